--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -3,8 +3,8 @@
 //! the module's part. `cargo bench -p martenramp-gateway --bench intake`
 
 use gateway::changes::{Change, Changes, WORK_A_TURN};
-use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
+use gateway::name_ids::Directory;
 use gateway::servers::Servers;
 use gateway::services::Services;
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -1,9 +1,9 @@
 //! A list between its last byte and the moment when all of it is in force: what it changes is found and handed on in
 //! batches, each of bounded work, so that a list of any length never takes a whole turn of the poll.
 
-use crate::directory::Directory;
 use crate::entry::Entry;
 use crate::list::Told;
+use crate::name_ids::Directory;
 use crate::servers::Servers;
 use martenramp::host::Listed;
 use martenramp::subsetting;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{Entry, Words};
 use crate::http::{self, Bad, Chunks, HEAD_MOST, HEADERS_MOST, Length};
-use crate::objects::{Fault, Objects, Part};
+use crate::json_stream::{Fault, Objects, Part};
 use crate::services::{Service, Services};
 use martenramp::host::Nanos;
 use serde_json::Value;
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -4,8 +4,8 @@
 use crate::ScaleError;
 use crate::deployment::{START, Service, zones};
 use gateway::changes::{Change, Changes};
-use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
+use gateway::name_ids::Directory;
 use gateway::servers::Servers;
 use martenramp::brain::Brain;
 use martenramp::host::{Listed, Nanos};
