--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -3,8 +3,8 @@
 //! the module's part. `cargo bench -p martenramp-gateway --bench intake`
 
 use gateway::changes::{Change, Changes, WORK_A_TURN};
-use gateway::list::{self, Told, Watch};
-use gateway::name_ids::Directory;
+use gateway::list::{self, ListUpdate, Watch};
+use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use gateway::services::Services;
 use rustix::time::{ClockId, clock_gettime};
@@ -80,7 +80,7 @@
     )
 }
 
-fn in_pieces(text: &[u8]) -> Told {
+fn in_pieces(text: &[u8]) -> ListUpdate {
     let (mut watch, mut told, mut buffer) = (Watch::new(0, usize::MAX), Vec::new(), Vec::new());
     for piece in text.chunks(PIECE) {
         buffer.extend_from_slice(piece);
@@ -90,15 +90,15 @@
     told.pop().expect("a whole list")
 }
 
-fn as_a_tree(object: &[u8]) -> Told {
-    list::read(&serde_json::from_slice(object).expect("an object"), &Services::default()).expect("a list")
+fn as_a_tree(object: &[u8]) -> ListUpdate {
+    list::parse(&serde_json::from_slice(object).expect("an object"), &Services::default()).expect("a list")
 }
 
 /// What lists bring into force, as the gateway holds it.
 #[derive(Default)]
 struct Held {
     servers: Servers,
-    directory: Directory,
+    directory: NameIds,
 }
 
 /// Turns that a list took, and the longest of them in milliseconds.
@@ -108,18 +108,18 @@
 }
 
 impl Held {
-    fn take(&mut self, told: Told, work_a_turn: usize) -> Turns {
+    fn take(&mut self, told: ListUpdate, work_a_turn: usize) -> Turns {
         let (mut changes, mut turns) = (Changes::new(told), Turns { count: 0, longest: 0.0 });
         while !changes.is_done() {
             let (mut work, start) = (work_a_turn, processor_time());
             while let Some(batch) = changes.next(&self.servers, &mut self.directory, &mut work) {
                 for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
                     match address {
-                        Some(address) => drop(self.servers.list(&listed, address)),
-                        None => drop(self.servers.take_off(listed.key)),
+                        Some(address) => drop(self.servers.upsert(&listed, address)),
+                        None => drop(self.servers.delist(listed.key)),
                     }
                 }
-                self.servers.forget();
+                self.servers.remove_unused();
                 if changes.is_done() {
                     break;
                 }
@@ -141,7 +141,7 @@
     format!("{head}{:x}\r\n{object}\r\n", object.len())
 }
 
-fn told(size: usize) -> Told {
+fn told(size: usize) -> ListUpdate {
     in_pieces(watched(&object(size)).as_bytes())
 }
 
@@ -156,10 +156,10 @@
 }
 
 /// A change of a list that has the form of this one.
-fn change(of: &Told, from: usize, to: usize, gone: bool) -> Told {
+fn change(of: &ListUpdate, from: usize, to: usize, gone: bool) -> ListUpdate {
     let mut entries = of.entries[from..to].to_vec();
     entries.iter_mut().for_each(|entry| (entry.ready, entry.gone) = (false, gone));
-    Told { index: 8, entries, ..Told::default() }
+    ListUpdate { index: 8, entries, ..ListUpdate::default() }
 }
 
 fn in_force(size: usize) {
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -2,8 +2,8 @@
 //! batches, each of bounded work, so that a list of any length never takes a whole turn of the poll.
 
 use crate::entry::Entry;
-use crate::list::Told;
-use crate::name_ids::Directory;
+use crate::list::ListUpdate;
+use crate::name_ids::NameIds;
 use crate::servers::Servers;
 use martenramp::host::Listed;
 use martenramp::subsetting;
@@ -57,10 +57,10 @@
 }
 
 impl Changes {
-    pub fn new(told: Told) -> Self {
+    pub fn new(told: ListUpdate) -> Self {
         Changes {
             index: told.index,
-            whole: told.whole,
+            whole: told.is_snapshot,
             named: HashSet::with_capacity(told.entries.len()),
             entries: told.entries,
             walked_to: 0,
@@ -94,7 +94,7 @@
 
     /// Does what `work` allows, and takes off what it used up; the next batch, once one is ready. Nothing is handed on
     /// before the whole list was compared: what leaves goes first, wherever in the list it stands.
-    pub fn next(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) -> Option<Batch> {
+    pub fn next(&mut self, servers: &Servers, directory: &mut NameIds, work: &mut usize) -> Option<Batch> {
         if !self.compared {
             self.compare(servers, directory, work);
             self.walk(servers, work);
@@ -123,7 +123,7 @@
     }
 
     /// Compares entries with what is held; what is as it was goes no further.
-    fn compare(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) {
+    fn compare(&mut self, servers: &Servers, directory: &mut NameIds, work: &mut usize) {
         while *work > 0
             && let Some(entry) = self.entries.pop()
         {
@@ -135,12 +135,12 @@
             if !self.named.insert(key) {
                 continue;
             }
-            let listed = directory.listed(key, &entry);
+            let listed = directory.to_listed(key, &entry);
             let address = (!entry.gone).then_some(entry.address);
-            let held = servers.held(key);
+            let held = servers.by_key(key);
             let unchanged = match address {
                 Some(address) => held.is_some_and(|held| held.is_listed_as(&listed, address)),
-                None => held.is_none_or(|held| !held.listed),
+                None => held.is_none_or(|held| !held.is_listed),
             };
             match (unchanged, listed.ready) {
                 (true, _) => {}
@@ -160,8 +160,8 @@
             let mut walked = 0;
             for (number, server) in servers.by_number.range(self.walked_to..).take(WALKED_FOR_ONE) {
                 (self.walked_to, walked) = (number + 1, walked + 1);
-                if server.listed && !self.named.contains(&server.told.key) {
-                    self.leaving.push(Change { listed: server.told.clone(), address: None });
+                if server.is_listed && !self.named.contains(&server.last_listed.key) {
+                    self.leaving.push(Change { listed: server.last_listed.clone(), address: None });
                 }
             }
             if walked < WALKED_FOR_ONE {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -19,32 +19,32 @@
     pub counter: Option<SocketAddr>,
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// Memory that it may take.
-    pub memory: usize,
+    pub memory_limit: usize,
     /// The list of servers as this gateway last had it, in discovery's form.
-    pub known: Option<Value>,
+    pub initial_list: Option<Value>,
     /// As the module gets them: path=value, names and units untouched.
     pub settings: Settings,
     pub methods: Vec<Method>,
     pub plans: Vec<String>,
     pub services: Rc<Services>,
     /// The most units that one RPC may take, and how many gateways there are.
-    pub units_most: f64,
+    pub max_units: f64,
     pub gateways: u32,
     /// Settings with a version, if this file tells one.
-    pub agreement: Option<Agreed>,
+    pub agreement: Option<AgreementConfig>,
 }
 
 /// The version that the settings are, and how gateways agree on it.
-pub struct Agreed {
+pub struct AgreementConfig {
     pub version: Version,
     pub terms: Terms,
     /// Where other gateways' datagrams come in, and where this one sends what all of them are to hear.
     pub listen: SocketAddr,
-    pub all: SocketAddr,
+    pub peers: SocketAddr,
     /// For drills: this gateway's clock is taken to be so far ahead, nanoseconds.
-    pub clock_off: i64,
+    pub clock_offset: i64,
     /// The operators' word that nothing has to be remembered.
     pub fresh: bool,
 }
@@ -83,7 +83,7 @@
 
 impl Config {
     /// Reads the configuration's text; `env` looks up what it leaves out.
-    pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
+    pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let all: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
         let told = |name: &str, variable: &str| {
             let value = all[name].as_str().map(str::to_string).or_else(|| env(variable));
@@ -136,14 +136,14 @@
             discovery,
             counter,
             seed,
-            sockets,
-            memory,
-            known,
+            descriptor_limit: sockets,
+            memory_limit: memory,
+            initial_list: known,
             settings,
             methods,
             plans,
             services: Rc::new(services),
-            units_most: counter::AMOUNT_MOST,
+            max_units: counter::MAX_AMOUNT,
             gateways: u32::MAX,
             agreement,
         };
@@ -152,36 +152,36 @@
     }
 
     fn bounds(&mut self) {
-        self.units_most = self.setting("extra.largest").unwrap_or(f64::MAX).min(counter::AMOUNT_MOST);
-        self.gateways = self.setting("balancers").map_or(u32::MAX, |count| count as u32);
+        self.max_units = self.positive_setting("extra.largest").unwrap_or(f64::MAX).min(counter::MAX_AMOUNT);
+        self.gateways = self.positive_setting("balancers").map_or(u32::MAX, |count| count as u32);
     }
 
     /// Other settings hold from now on. What this process made of them at its start (limits, time-outs, names of zones) stays.
-    pub fn settle(&mut self, settings: Settings) {
+    pub fn apply_settings(&mut self, settings: Settings) {
         self.settings = settings;
         self.bounds();
     }
 
     /// The longest deadline of a method.
     pub fn longest_deadline(&self) -> Nanos {
-        let told = |number| self.setting(&format!("classes.{number}.deadline"));
+        let told = |number| self.positive_setting(&format!("classes.{number}.deadline"));
         let nanos = |secs: f64| (secs * 1e9) as Nanos;
         longest_deadline((0..self.methods.len()).map(|number| told(number).map(nanos)))
     }
 
     /// The shortest deadline of a method; the longest that counts where none is told.
     pub fn shortest_deadline(&self) -> Nanos {
-        let told =
-            (0..self.methods.len()).filter_map(|number| self.setting(&format!("classes.{number}.deadline")));
+        let told = (0..self.methods.len())
+            .filter_map(|number| self.positive_setting(&format!("classes.{number}.deadline")));
         told.map(|secs| (secs * 1e9) as Nanos).min().unwrap_or_else(|| self.longest_deadline())
     }
 
-    pub fn setting(&self, name: &str) -> Option<f64> {
+    pub fn positive_setting(&self, name: &str) -> Option<f64> {
         self.settings.get(name)?.parse().ok().filter(|value: &f64| value.is_finite() && *value > 0.0)
     }
 
     /// The entries of a list of plain names, such as the zones.
-    pub fn list(&self, name: &str) -> Vec<String> {
+    pub fn setting_list(&self, name: &str) -> Vec<String> {
         let joined = self.settings.get(name).map_or("", String::as_str);
         joined.split(',').filter(|entry| !entry.is_empty()).map(str::to_string).collect()
     }
@@ -234,7 +234,7 @@
         let key = |name: &str| format!("tariffs.{number}.{name}");
         PLAN_AMOUNTS
             .iter()
-            .try_for_each(|name| amount(key(name), counter::AMOUNT_MOST, "amount from 0 to 1e9"))?;
+            .try_for_each(|name| amount(key(name), counter::MAX_AMOUNT, "amount from 0 to 1e9"))?;
     }
     Ok(())
 }
@@ -245,7 +245,7 @@
     all: &Value,
     settings: &Settings,
     address: &impl Fn(&str, &str) -> Result<SocketAddr, String>,
-) -> Result<Agreed, String> {
+) -> Result<AgreementConfig, String> {
     let known = ["version", "starts_ms", "ground", "voters", "lease", "clock", "clock_off_ms", "fresh"];
     let unknown = told.as_object().into_iter().flatten().find(|(name, _)| !known.contains(&name.as_str()));
     if let Some((name, _)) = unknown {
@@ -291,7 +291,7 @@
     let all = address("peers_all", text("peers_all")?)?;
     let clock_off = told["clock_off_ms"].as_i64().unwrap_or(0).saturating_mul(1_000_000);
     let fresh = told["fresh"].as_bool().unwrap_or(false);
-    Ok(Agreed { version, terms, listen, all, clock_off, fresh })
+    Ok(AgreementConfig { version, terms, listen, peers: all, clock_offset: clock_off, fresh })
 }
 
 pub use martenramp::settings::flatten;
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -7,20 +7,20 @@
 use std::io::Write;
 
 /// Connections kept; the counter holds 32 from one gateway, an earlier life's among them for a while.
-pub const LINES: usize = 4;
+pub const CONNECTIONS: usize = 4;
 /// A connection is asked for a sign of life so often while nothing else is written: the counter closes idle
 /// ones after 10 s or less.
-pub const PING_EVERY: Nanos = 2_000_000_000;
+pub const PING_INTERVAL: Nanos = 2_000_000_000;
 /// With no answer at all for so long while calls are out, a connection is given up.
-pub const DEAD_AFTER: Nanos = 1_000_000_000;
+pub const REPLY_TIMEOUT: Nanos = 1_000_000_000;
 /// How long until a connection that failed is opened again.
-pub const AGAIN: Nanos = 100_000_000;
+pub const RECONNECT_DELAY: Nanos = 100_000_000;
 /// Once the counter has moved, the old connections are closed when all they carry is over, or after so long.
-pub const MOVES_WITHIN: Nanos = 1_000_000_000;
+pub const DRAIN_TIMEOUT: Nanos = 1_000_000_000;
 /// What a call may take where no time is told.
-pub const WAIT: Nanos = 50_000_000;
+pub const DEFAULT_CALL_TIMEOUT: Nanos = 50_000_000;
 /// The largest amount that a call may add.
-pub const AMOUNT_MOST: f64 = 1e9;
+pub const MAX_AMOUNT: f64 = 1e9;
 /// An answer without an end in so many bytes is none.
 const ANSWER_MOST: usize = 512;
 
@@ -30,97 +30,98 @@
     pub serial: u64,
     pub name: u64,
     pub add: f64,
-    pub forget: Nanos,
+    pub ttl: Nanos,
 }
 
 /// One connection.
 #[derive(Debug, Default)]
-pub struct Line {
-    pub up: bool,
+pub struct CounterConnection {
+    pub is_connected: bool,
     /// Calls that wait for the connection to come up.
     pub waiting: VecDeque<Call>,
     /// Calls written, oldest first; nothing is a PING, and a call of serial 0 has timed out.
-    pub written: VecDeque<Option<Call>>,
+    pub in_flight: VecDeque<Option<Call>>,
     /// When something was last written with nothing else out, or last answered.
-    pub heard: Nanos,
-    pub wrote: Nanos,
+    pub last_reply: Nanos,
+    pub last_write: Nanos,
 }
 
-impl Line {
+impl CounterConnection {
     /// Writes the call, or keeps it until the connection is up.
-    pub fn call(&mut self, out: &mut Vec<u8>, now: Nanos, call: Call) {
-        if !self.up {
+    pub fn send_call(&mut self, out: &mut Vec<u8>, now: Nanos, call: Call) {
+        if !self.is_connected {
             return self.waiting.push_back(call);
         }
         self.mark(now);
-        self.written.push_back(Some(call));
+        self.in_flight.push_back(Some(call));
         let (name, add) = (call.name.to_string(), call.add.to_string());
-        let forget = call.forget.div_ceil(1_000_000).max(1).to_string();
+        let forget = call.ttl.div_ceil(1_000_000).max(1).to_string();
         let _ = write!(out, "*4\r\n$7\r\nINCRTTL\r\n");
         for word in [name, add, forget] {
             let _ = write!(out, "${}\r\n{word}\r\n", word.len());
         }
     }
 
-    pub fn ping(&mut self, out: &mut Vec<u8>, now: Nanos) {
+    pub fn send_ping(&mut self, out: &mut Vec<u8>, now: Nanos) {
         self.mark(now);
-        self.written.push_back(None);
+        self.in_flight.push_back(None);
         out.extend_from_slice(b"*1\r\n$4\r\nPING\r\n");
     }
 
     fn mark(&mut self, now: Nanos) {
-        if self.written.is_empty() {
-            self.heard = now;
+        if self.in_flight.is_empty() {
+            self.last_reply = now;
         }
-        self.wrote = now;
+        self.last_write = now;
     }
 
     /// The connection is up: what waited is written.
-    pub fn opened(&mut self, out: &mut Vec<u8>, now: Nanos) {
-        (self.up, self.heard, self.wrote) = (true, now, now);
+    pub fn connected(&mut self, out: &mut Vec<u8>, now: Nanos) {
+        (self.is_connected, self.last_reply, self.last_write) = (true, now, now);
         for call in std::mem::take(&mut self.waiting) {
-            self.call(out, now, call);
+            self.send_call(out, now, call);
         }
     }
 
-    pub fn is_dead(&self, now: Nanos) -> bool {
-        !self.written.is_empty() && now > self.heard + DEAD_AFTER
+    pub fn is_unresponsive(&self, now: Nanos) -> bool {
+        !self.in_flight.is_empty() && now > self.last_reply + REPLY_TIMEOUT
     }
 
     fn out(&self) -> impl Iterator<Item = &Call> {
-        self.written.iter().flatten().chain(&self.waiting).filter(|call| call.serial != 0)
+        self.in_flight.iter().flatten().chain(&self.waiting).filter(|call| call.serial != 0)
     }
 
     /// Whether no call is out here.
-    pub fn is_done(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.out().next().is_none()
     }
 
     /// Whether a call for this name is out here.
-    pub fn carries(&self, name: u64) -> bool {
+    pub fn has_call_for(&self, name: u64) -> bool {
         self.out().any(|call| call.name == name)
     }
 
-    pub fn holds(&self, serial: u64) -> bool {
+    pub fn has_call(&self, serial: u64) -> bool {
         self.out().any(|call| call.serial == serial)
     }
 
     /// The time of a call is over: how it ended, if it was still out. One not written was never added.
-    pub fn time_out(&mut self, serial: u64) -> Option<(Call, End)> {
+    pub fn time_out_call(&mut self, serial: u64) -> Option<(Call, End)> {
         if let Some(at) = self.waiting.iter().position(|call| call.serial == serial) {
             return self.waiting.remove(at).map(|call| (call, End::NoConnection));
         }
-        let call = self.written.iter_mut().flatten().find(|call| call.serial == serial)?;
+        let call = self.in_flight.iter_mut().flatten().find(|call| call.serial == serial)?;
         let ended = *call;
         call.serial = 0; // its answer is still to come, and is passed over then
         Some((ended, End::TimedOut))
     }
 
     /// The connection is gone: all that was out on it, and how it ended.
-    pub fn broke(&mut self) -> Vec<(Call, End)> {
-        self.up = false;
+    pub fn disconnect(&mut self) -> Vec<(Call, End)> {
+        self.is_connected = false;
         let waiting = std::mem::take(&mut self.waiting).into_iter().map(|call| (call, End::NoConnection));
-        let written = std::mem::take(&mut self.written).into_iter().flatten().map(|call| (call, End::Reset));
+        let written =
+            std::mem::take(&mut self.in_flight).into_iter().flatten().map(|call| (call, End::Reset));
         written.chain(waiting).filter(|ended| ended.0.serial != 0).collect()
     }
 
@@ -134,8 +135,8 @@
         let mut at = 0;
         while let Some((used, how, total)) = answer(&input[at..])? {
             at += used;
-            self.heard = now;
-            match self.written.pop_front() {
+            self.last_reply = now;
+            match self.in_flight.pop_front() {
                 // Guards against a spoilt answer: it may have added, and what follows on the connection means
                 // nothing. Harm: the other calls out here count as added too.
                 Some(Some(call)) if how == End::Error => {
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,7 +1,7 @@
 //! Sockets only: one mio poll that reads into each connection's buffer and writes what waits for it.
 //! It knows who a connection belongs to, and nothing of what is said on it.
 
-use crate::logs::Logs;
+use crate::logs::LogBuffer;
 use crate::tcp_info;
 use martenramp::host::Nanos;
 use mio::net::{TcpListener, TcpStream, UdpSocket, UnixStream};
@@ -32,7 +32,7 @@
 const DISCARDS: usize = 4 << 20;
 const DISCARDS_A_TURN: usize = 64 << 10;
 /// How long until accepting is tried again when no descriptor was left for it.
-pub const ACCEPT_AGAIN: Nanos = 10_000_000;
+pub const ACCEPT_RETRY_DELAY: Nanos = 10_000_000;
 /// Log lines that standard error did not take are offered again so often.
 const LOGS_AGAIN: Duration = Duration::from_millis(50);
 
@@ -59,13 +59,13 @@
 pub enum Peer {
     Client,
     Server,
-    List,
+    Discovery,
     Counter(usize),
 }
 
 /// How a connection ended. What it carried may only be taken as whole where it was [`Ending::Closed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ConnectionEnd {
     /// The other side ended its sending in good order, and all that it sent has been read.
     Closed,
     /// The other side reset it: what it sent last may be missing.
@@ -74,13 +74,13 @@
     Failed(&'static str),
 }
 
-impl Ending {
+impl ConnectionEnd {
     /// The reason code for the log.
     pub fn reason(self) -> &'static str {
         match self {
-            Ending::Closed => "closed",
-            Ending::Reset => "reset",
-            Ending::Failed(why) => why,
+            ConnectionEnd::Closed => "closed",
+            ConnectionEnd::Reset => "reset",
+            ConnectionEnd::Failed(why) => why,
         }
     }
 }
@@ -101,7 +101,7 @@
     /// Nothing more is used: what comes is read and discarded, up to so many bytes.
     discards: Option<usize>,
     /// The other side has ended its sending, or the connection broke.
-    ended: Option<Ending>,
+    ended: Option<ConnectionEnd>,
     out: Vec<u8>,
     written: usize,
     dirty: bool,
@@ -118,10 +118,10 @@
     datagrams: Option<UdpSocket>,
     more_datagrams: bool,
     /// Bytes that the buffers of clients take.
-    pub held: usize,
+    pub client_buffer_bytes: usize,
     pub now: Nanos,
     /// For how long what is read now may have waited here unread.
-    pub late: Nanos,
+    pub input_delay: Nanos,
 }
 
 impl Net {
@@ -181,7 +181,7 @@
     }
 
     /// Sends a datagram; one that finds no room is lost, as on any network.
-    pub fn tell(&self, to: SocketAddr, bytes: &[u8]) {
+    pub fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.datagrams {
             let _ = socket.send_to(bytes, to);
         }
@@ -214,17 +214,17 @@
         self.get(id).map(|conn| conn.address)
     }
 
-    pub fn since(&self, id: usize) -> Nanos {
+    pub fn opened_at(&self, id: usize) -> Nanos {
         self.get(id).map_or(self.now, |conn| conn.since)
     }
 
     /// For how long what came last on a connection has waited in the system, if that can tell.
-    pub fn unread_for(&self, id: usize) -> Option<Nanos> {
-        tcp_info::since_last_data(&self.get(id)?.stream)
+    pub fn last_input_age(&self, id: usize) -> Option<Nanos> {
+        tcp_info::time_since_last_data(&self.get(id)?.stream)
     }
 
     /// What is to be written; it goes out at the end of the round.
-    pub fn out(&mut self, id: usize) -> Option<&mut Vec<u8>> {
+    pub fn output(&mut self, id: usize) -> Option<&mut Vec<u8>> {
         let conn = self.conns.get_mut(id & ((1 << PLACE_BITS) - 1)).filter(|conn| conn.id == id)?;
         if !std::mem::replace(&mut conn.dirty, true) {
             self.dirty.push(id);
@@ -238,15 +238,15 @@
     }
 
     /// The buffer of one connection beside what is to be written to another.
-    pub fn input_and_out(&mut self, from: usize, to: usize) -> Option<(&[u8], &mut Vec<u8>)> {
-        self.out(to)?;
+    pub fn input_and_output(&mut self, from: usize, to: usize) -> Option<(&[u8], &mut Vec<u8>)> {
+        self.output(to)?;
         self.get(from)?;
         let mask = (1 << PLACE_BITS) - 1;
         let (from, to) = self.conns.get2_mut(from & mask, to & mask)?;
         Some((&from.input, &mut to.out))
     }
 
-    pub fn used(&mut self, id: usize, bytes: usize) {
+    pub fn consume(&mut self, id: usize, bytes: usize) {
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.drain(..bytes.min(conn.input.len()));
         if conn.input.is_empty() && conn.input.capacity() > KEPT {
@@ -259,7 +259,7 @@
     }
 
     /// Drops what was read beyond so many bytes, and reads on.
-    pub fn keep(&mut self, id: usize, bytes: usize) {
+    pub fn truncate_input(&mut self, id: usize, bytes: usize) {
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.truncate(bytes);
         if std::mem::take(&mut conn.paused) {
@@ -278,28 +278,28 @@
     }
 
     /// Whether its buffer is full, so that its end could not be seen.
-    pub fn is_full(&self, id: usize) -> bool {
+    pub fn is_input_full(&self, id: usize) -> bool {
         self.get(id).is_some_and(|conn| conn.paused)
     }
 
     /// Whether the other side can have got the last byte written to it.
-    pub fn is_sent(&self, id: usize) -> bool {
+    pub fn is_flushed(&self, id: usize) -> bool {
         self.get(id).is_some_and(|conn| conn.up && conn.written == conn.out.len())
     }
 
     /// Bytes that were put into its buffer and not yet handed to the system.
-    pub fn unwritten(&self, id: usize) -> usize {
+    pub fn unsent_bytes(&self, id: usize) -> usize {
         self.get(id).map_or(0, |conn| conn.out.len() - conn.written)
     }
 
-    pub fn ended(&self, id: usize) -> Option<Ending> {
+    pub fn connection_end(&self, id: usize) -> Option<ConnectionEnd> {
         self.get(id).and_then(|conn| conn.ended)
     }
 
     /// What else comes on a connection is read and discarded, since closing over unread bytes resets the connection and
     /// may take the last answer with it. Guards against a client that sends on without end: it is read for
     /// [`DISCARDS`] bytes and then left unread. Harm: such a client may miss its answer.
-    pub fn discard(&mut self, id: usize) {
+    pub fn discard_input(&mut self, id: usize) {
         if let Some(conn) = self.get_mut(id).filter(|conn| conn.discards.is_none()) {
             (conn.discards, conn.input) = (Some(DISCARDS), Vec::new());
             if !std::mem::replace(&mut conn.paused, true) {
@@ -310,7 +310,7 @@
     }
 
     /// Ends this side's sending.
-    pub fn finish(&mut self, id: usize) {
+    pub fn shutdown_write(&mut self, id: usize) {
         if let Some(conn) = self.get(id) {
             let _ = conn.stream.shutdown(std::net::Shutdown::Write);
         }
@@ -319,7 +319,7 @@
     pub fn close(&mut self, id: usize) {
         if self.get(id).is_some() {
             let mut conn = self.conns.remove(id & ((1 << PLACE_BITS) - 1));
-            self.held -= conn.held;
+            self.client_buffer_bytes -= conn.held;
             let _ = self.registry.deregister(&mut conn.stream);
         }
     }
@@ -340,7 +340,7 @@
             if have >= conn.input_most {
                 conn.paused = true;
                 // A client that closes has gone, whatever it sent before; of a server's answer the rest is still to be read.
-                conn.ended = (closes && conn.peer == Peer::Client).then_some(Ending::Closed);
+                conn.ended = (closes && conn.peer == Peer::Client).then_some(ConnectionEnd::Closed);
                 return;
             }
             let room = if have < 4 * READ { READ } else { 4 * READ }.min(conn.input_most - have);
@@ -349,7 +349,7 @@
             let got = conn.stream.read(&mut conn.input[have..]);
             conn.input.truncate(have + got.as_ref().map_or(0, |got| *got));
             match got {
-                Ok(0) => conn.ended = Some(Ending::Closed),
+                Ok(0) => conn.ended = Some(ConnectionEnd::Closed),
                 // A short read does not tell that the socket is empty, and no further event comes of what is left.
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -367,7 +367,7 @@
         conn.paused = false;
         while conn.ended.is_none() && left > 0 && turn > 0 {
             match conn.stream.read(&mut bytes) {
-                Ok(0) => conn.ended = Some(Ending::Closed),
+                Ok(0) => conn.ended = Some(ConnectionEnd::Closed),
                 Ok(got) => (left, turn) = (left.saturating_sub(got), turn.saturating_sub(got)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -376,7 +376,7 @@
         }
         conn.discards = Some(left);
         if left == 0 && closes {
-            conn.ended = conn.ended.or(Some(Ending::Closed));
+            conn.ended = conn.ended.or(Some(ConnectionEnd::Closed));
         }
         if turn == 0 && left > 0 && conn.ended.is_none() {
             conn.paused = true;
@@ -389,7 +389,7 @@
         let Some(conn) = self.get_mut(id).filter(|conn| conn.peer == Peer::Client) else { return };
         let now = conn.input.capacity() + conn.out.capacity();
         let was = std::mem::replace(&mut conn.held, now);
-        self.held = self.held + now - was;
+        self.client_buffer_bytes = self.client_buffer_bytes + now - was;
     }
 
     fn write(&mut self, id: usize) {
@@ -402,7 +402,7 @@
         let Some(conn) = self.get_mut(id).filter(|conn| conn.up && conn.ended.is_none()) else { return };
         while conn.written < conn.out.len() {
             match conn.stream.write(&conn.out[conn.written..]) {
-                Ok(0) => return conn.ended = Some(Ending::Failed("network-error")),
+                Ok(0) => return conn.ended = Some(ConnectionEnd::Failed("network-error")),
                 Ok(written) => conn.written += written,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -417,9 +417,9 @@
     }
 }
 
-fn ending(e: &io::Error) -> Ending {
-    Ending::Failed(match e.kind() {
-        ErrorKind::ConnectionReset => return Ending::Reset,
+fn ending(e: &io::Error) -> ConnectionEnd {
+    ConnectionEnd::Failed(match e.kind() {
+        ErrorKind::ConnectionReset => return ConnectionEnd::Reset,
         ErrorKind::ConnectionRefused => "refused",
         ErrorKind::BrokenPipe => "broken-pipe",
         ErrorKind::TimedOut => "network-time-out",
@@ -429,7 +429,7 @@
 }
 
 /// Whether an error tells that the process, or the system, has no descriptor or no memory left for one.
-pub fn out_of_descriptors(e: &io::Error) -> bool {
+pub fn is_resource_exhausted(e: &io::Error) -> bool {
     use rustix::io::Errno;
     let codes = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     e.raw_os_error().is_some_and(|code| codes.iter().any(|known| known.raw_os_error() == code))
@@ -441,33 +441,33 @@
     fn net(&mut self) -> &mut Net;
     fn start(&mut self, now: Nanos);
     /// A turn begins; `Net::now` is its time, and nothing has been looked at yet.
-    fn woke(&mut self);
+    fn turn_started(&mut self);
     /// A datagram came from another gateway.
-    fn heard(&mut self, bytes: &[u8]);
-    fn next_turn(&mut self) -> Option<Nanos>;
+    fn datagram_received(&mut self, bytes: &[u8]);
+    fn next_timer(&mut self) -> Option<Nanos>;
     /// SIGTERM or SIGINT, and SIGHUP.
     fn stop(&mut self);
     fn reload(&mut self);
-    fn listens(&self) -> bool;
-    fn is_over(&self) -> bool;
-    fn has_room(&mut self) -> bool;
-    fn client_input_most(&self) -> usize;
+    fn is_listening(&self) -> bool;
+    fn is_finished(&self) -> bool;
+    fn can_accept(&mut self) -> bool;
+    fn max_client_input(&self) -> usize;
     fn accepted(&mut self, id: usize);
-    fn accept_later(&mut self);
+    fn retry_accept_later(&mut self);
     /// Nobody waits to be accepted any more.
-    fn accepted_all(&mut self) {}
+    fn accept_queue_empty(&mut self) {}
     /// What is answered to a message of a connection that there is no room for.
-    fn refusal(&self) -> &[u8] {
+    fn unavailable_response(&self) -> &[u8] {
         b""
     }
     /// Frees a descriptor; false if none can be.
-    fn shed(&mut self) -> bool;
-    fn up(&mut self, id: usize);
-    fn wrote(&mut self, id: usize);
-    fn came(&mut self, id: usize);
+    fn free_descriptor(&mut self) -> bool;
+    fn connected(&mut self, id: usize);
+    fn output_written(&mut self, id: usize);
+    fn input_received(&mut self, id: usize);
     /// Timers that are due; true if connections may be accepted again.
-    fn due(&mut self) -> bool;
-    fn settle(&mut self);
+    fn run_due_timers(&mut self) -> bool;
+    fn process_pending(&mut self);
     /// The turn's bytes are about to go out: attempts whose connection stands are written now, if what was true when
     /// each was asked for still is.
     fn write_attempts(&mut self);
@@ -512,9 +512,9 @@
             resumed,
             datagrams: None,
             more_datagrams: false,
-            held: 0,
+            client_buffer_bytes: 0,
             now: clock.now(),
-            late: 0,
+            input_delay: 0,
         };
         let listener = Some(listener);
         let listens_since = net.now;
@@ -522,15 +522,15 @@
     }
 
     /// Turns until the gateway is over.
-    pub fn run(mut self, gateway: &mut impl EventHandler, logs: &Logs) -> io::Result<()> {
+    pub fn run(mut self, gateway: &mut impl EventHandler, logs: &LogBuffer) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_A_TURN);
         gateway.start(self.clock.now());
         self.flush(gateway);
         // For how long the last turn lasted; before the first one, how long the start took.
         let mut busy = self.clock.now() - self.listens_since;
-        while !gateway.is_over() {
+        while !gateway.is_finished() {
             let now = self.clock.now();
-            let due = gateway.next_turn();
+            let due = gateway.next_timer();
             let next = due.map(|at| Duration::from_nanos(at.saturating_sub(now)));
             let net = gateway.net();
             let more = (!net.resumed.is_empty() || net.more_datagrams).then_some(Duration::ZERO);
@@ -544,9 +544,9 @@
             // lasted, or while the whole process stood still, which an overdue timer tells. Harm: a message that
             // came just now loses that much of its time.
             let (net, woke) = (gateway.net(), self.clock.now());
-            net.late = busy.max(due.map_or(0, |at| woke.saturating_sub(at)));
+            net.input_delay = busy.max(due.map_or(0, |at| woke.saturating_sub(at)));
             net.now = woke;
-            gateway.woke();
+            gateway.turn_started();
             // Guards against a signal whose byte in the pipe was lost, so that no event tells of it: the flag does.
             let wake_lost = self.is_signalled() && !events.iter().any(|event| event.token() == SIGNALS);
             let mut datagrams = gateway.net().more_datagrams;
@@ -565,7 +565,7 @@
                         }
                         if event.is_readable() || event.is_read_closed() || event.is_error() {
                             gateway.net().read(id, event.is_read_closed() || event.is_error());
-                            gateway.came(id);
+                            gateway.input_received(id);
                         }
                     }
                 }
@@ -575,25 +575,25 @@
             }
             if datagrams {
                 for bytes in gateway.net().datagrams() {
-                    gateway.heard(&bytes);
+                    gateway.datagram_received(&bytes);
                 }
             }
             // Once a turn, so that a client that sends on without end has no more than its turn.
             for id in gateway.net().take_resumed() {
                 gateway.net().read(id, false);
-                gateway.came(id);
+                gateway.input_received(id);
             }
-            if gateway.due() {
+            if gateway.run_due_timers() {
                 self.accept(gateway);
             }
             self.flush(gateway);
-            if gateway.listens() {
+            if gateway.is_listening() {
                 // Still open.
             } else if self.listener.is_some() {
                 self.stop_listening(gateway);
                 self.flush(gateway);
             }
-            logs.drain();
+            logs.write_pending();
             busy = self.clock.now() - gateway.net().now;
         }
         Ok(())
@@ -605,7 +605,7 @@
         while !self.accept(gateway) {
             let Some(listener) = &self.listener else { return };
             let Ok((mut stream, _)) = listener.accept() else { break };
-            turn_away(&mut stream, gateway.refusal());
+            turn_away(&mut stream, gateway.unavailable_response());
         }
         self.listener = None;
     }
@@ -632,19 +632,19 @@
                 Ok(Some(e)) | Err(e) => conn.ended = Some(ending(&e)),
             }
             if conn.ended.is_none() {
-                gateway.up(id);
+                gateway.connected(id);
             } else {
-                return gateway.came(id);
+                return gateway.input_received(id);
             }
         }
         gateway.net().write(id);
-        gateway.wrote(id);
+        gateway.output_written(id);
     }
 
     /// Writes all that waits, and whatever comes of that, until nothing is left to write now.
     fn flush(&mut self, gateway: &mut impl EventHandler) {
         loop {
-            gateway.settle();
+            gateway.process_pending();
             gateway.write_attempts();
             let dirty = std::mem::take(&mut gateway.net().dirty);
             if dirty.is_empty() {
@@ -655,9 +655,9 @@
                     conn.dirty = false;
                 }
                 gateway.net().write(id);
-                gateway.wrote(id);
-                if gateway.net().ended(id).is_some() {
-                    gateway.came(id);
+                gateway.output_written(id);
+                if gateway.net().connection_end(id).is_some() {
+                    gateway.input_received(id);
                 }
             }
         }
@@ -666,11 +666,11 @@
     /// Takes all that wait to be accepted, as far as there is room; whether nobody waits any more.
     fn accept(&mut self, gateway: &mut impl EventHandler) -> bool {
         let Some(listener) = &self.listener else { return true };
-        while gateway.has_room() {
+        while gateway.can_accept() {
             match listener.accept() {
                 Ok((stream, address)) => {
                     let _ = stream.set_nodelay(true);
-                    let most = gateway.client_input_most();
+                    let most = gateway.max_client_input();
                     if let Ok(id) = gateway.net().add(stream, Peer::Client, address, most) {
                         if let Some(conn) = gateway.net().get_mut(id) {
                             conn.up = true;
@@ -679,12 +679,12 @@
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    gateway.accepted_all();
+                    gateway.accept_queue_empty();
                     return true;
                 }
                 // Guards against running out of descriptors: an idle connection gives way, or accepting waits.
-                Err(e) if out_of_descriptors(&e) => {
-                    if !gateway.shed() {
+                Err(e) if is_resource_exhausted(&e) => {
+                    if !gateway.free_descriptor() {
                         break;
                     }
                 }
@@ -692,7 +692,7 @@
                 Err(_) => break,
             }
         }
-        gateway.accept_later();
+        gateway.retry_accept_later();
         false
     }
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -27,12 +27,12 @@
     pub ready: bool,
     pub gone: bool,
     pub weight: f64,
-    pub since_ms: u64,
+    pub started_ms: u64,
 }
 
 impl Entry {
     /// Reads an entry; nothing where it makes no sense.
-    pub fn read<'a>(from: impl Deserializer<'a>, words: &mut Words) -> Option<Entry> {
+    pub fn from_deserializer<'a>(from: impl Deserializer<'a>, words: &mut StringPool) -> Option<Entry> {
         let fields = Fields::deserialize(from).ok()?;
         let status = fields.status.text()?;
         let gone = status == "gone";
@@ -47,21 +47,21 @@
             ready: status == "ready",
             gone,
             weight: fields.weight.number().filter(|weight| weight.is_finite()).unwrap_or(1.0),
-            since_ms: fields.since_ms.number().unwrap_or(0.0) as u64,
+            started_ms: fields.since_ms.number().unwrap_or(0.0) as u64,
         })
     }
 
     /// Bytes that it takes.
-    pub fn memory(&self) -> usize {
+    pub fn memory_size(&self) -> usize {
         size_of::<Entry>() + self.name.len() + ALLOCATION
     }
 }
 
 /// Words that many entries have in common, such as the names of zones, held once.
 #[derive(Debug, Default)]
-pub struct Words(Vec<Rc<str>>);
+pub struct StringPool(Vec<Rc<str>>);
 
-impl Words {
+impl StringPool {
     fn shared(&mut self, word: &str) -> Rc<str> {
         if let Some(known) = self.0.iter().find(|known| &***known == word) {
             return known.clone();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,18 +2,18 @@
 //! module asks for. It decides nothing.
 
 use crate::changes::{Batch, Change, Changes, WORK_A_TURN};
-use crate::clients::{self, Client, Got};
+use crate::clients::{self, Client, Parsed};
 use crate::config::Config;
-use crate::counter::{self, Call, Line};
-use crate::driver::{ACCEPT_AGAIN, Ending, EventHandler, Net, Peer, out_of_descriptors};
+use crate::counter::{self, Call, CounterConnection};
+use crate::driver::{ACCEPT_RETRY_DELAY, ConnectionEnd, EventHandler, Net, Peer, is_resource_exhausted};
 use crate::guard::{self, Effect, ServerNow};
-use crate::http::{BODY_MOST, Bad, HEAD_MOST};
+use crate::http::{MAX_BODY_LEN, MAX_HEAD_LEN, MessageError};
 use crate::invariants::{Counts, Invariant};
-use crate::list::{self, Told, Watch};
-use crate::name_ids::Directory;
+use crate::list::{self, ListUpdate, Watch};
+use crate::name_ids::NameIds;
 use crate::phase::{ClientEnd, Owed, Phase};
 use crate::room;
-use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
+use crate::servers::{self, Attempt, Body, Response, Server, ServerConnection, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
 use martenramp::brain::Brain;
@@ -54,7 +54,7 @@
 /// What of the counter may wait in a buffer.
 const OTHER_INPUT: usize = 64 << 10;
 /// What of the watch may wait: more than a head, and no more than can be read in a small part of a turn.
-const LIST_INPUT: usize = HEAD_MOST + (8 << 10);
+const LIST_INPUT: usize = MAX_HEAD_LEN + (8 << 10);
 /// Of the memory, the parts that may be taken: by all clients' buffers, all servers', and the entries of a list that is
 /// coming in.
 const CLIENTS_MEMORY: usize = 3;
@@ -65,7 +65,7 @@
 const TURN_LEAST: Nanos = 10 * MS;
 /// So many times a client that sends on is read before an attempt is written for it.
 const LOOKS: usize = 16;
-const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + 1024;
+const MESSAGE_MOST: usize = MAX_HEAD_LEN + MAX_BODY_LEN + 1024;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -102,16 +102,16 @@
 /// An object of the list that waits for its turn.
 enum Pending {
     /// As discovery told it.
-    Told(Told),
+    Told(ListUpdate),
     /// What is to be taken of one.
-    Judged(Told),
+    Judged(ListUpdate),
 }
 
 struct Rpc {
     state: RpcState,
     /// Whose buffer holds the message, as long as that client is there.
     client: usize,
-    message: clients::Rpc,
+    message: clients::RpcRequest,
     /// When its message was read.
     since: Nanos,
     deadline: Nanos,
@@ -149,7 +149,7 @@
     ids: HashSet<Box<[u8]>>,
     open_rpcs: usize,
     servers: Servers,
-    links: BTreeMap<usize, Link>,
+    links: BTreeMap<usize, ServerConnection>,
     /// Connections that stand and have been asked to carry an attempt; it is written when the turn's bytes go out.
     to_write: VecDeque<usize>,
     watch: Watch,
@@ -166,9 +166,9 @@
     /// When the first timer for work on subsets is due.
     subsets_awaited: Option<Nanos>,
     /// Two sets: the one from `lines_from` on is used; the other's lines, where they stand, only end what they carry.
-    lines: [Line; 2 * counter::LINES],
-    lines_on: [Option<usize>; 2 * counter::LINES],
-    lines_again: [Nanos; 2 * counter::LINES],
+    lines: [CounterConnection; 2 * counter::CONNECTIONS],
+    lines_on: [Option<usize>; 2 * counter::CONNECTIONS],
+    lines_again: [Nanos; 2 * counter::CONNECTIONS],
     lines_from: usize,
     moved_at: Nanos,
     last_call: u64,
@@ -208,7 +208,7 @@
     dial: Nanos,
     idle: Nanos,
     count_wait: Nanos,
-    directory: Directory,
+    directory: NameIds,
     columns: Vec<String>,
     /// Whether discovery pushes its lists, so that asking costs it nothing.
     pushed: bool,
@@ -229,23 +229,27 @@
 impl Gateway {
     pub fn new(config: Config, read_again: ReadAgain, net: Net, log: Logger) -> Gateway {
         let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets = config.sockets.min(own.map_or(usize::MAX, |own| own as usize));
+        let sockets = config.descriptor_limit.min(own.map_or(usize::MAX, |own| own as usize));
         let spares = (sockets / SPARES).max(2);
         let shared = sockets.saturating_sub(OTHERS + spares).max(8);
         let clients_most = shared * CLIENTS_TENTHS / 10;
-        let span = |name: &str, default| config.setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
-        let idle = span("ceilings.connIdle", servers::IDLE) as f64 * servers::IDLE_SHARE;
+        let span =
+            |name: &str, default| config.positive_setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
+        let idle =
+            span("ceilings.connIdle", servers::DEFAULT_IDLE_TIMEOUT) as f64 * servers::IDLE_TIMEOUT_SHARE;
         let host = PolicyHost {
-            dial: span("ceilings.dialTimeout", servers::DIAL),
+            dial: span("ceilings.dialTimeout", servers::DEFAULT_CONNECT_TIMEOUT),
             idle: idle as Nanos,
-            count_wait: span("extra.countWait", counter::WAIT),
-            rpcs_most: config.setting("ceilings.maxOpen").map_or(usize::MAX, |most| most as usize),
-            directory: Directory::new(config.list("localities"), config.list("shapes")),
-            columns: config.list("reporting.columns"),
+            count_wait: span("extra.countWait", counter::DEFAULT_CALL_TIMEOUT),
+            rpcs_most: config.positive_setting("ceilings.maxOpen").map_or(usize::MAX, |most| most as usize),
+            directory: NameIds::new(config.setting_list("localities"), config.setting_list("shapes")),
+            columns: config.setting_list("reporting.columns"),
             clients_most,
             spares,
-            held_most: config.memory / CLIENTS_MEMORY,
-            links_most: (shared - clients_most).min(config.memory / LINKS_MEMORY / (2 * MESSAGE_MOST)).max(2),
+            held_most: config.memory_limit / CLIENTS_MEMORY,
+            links_most: (shared - clients_most)
+                .min(config.memory_limit / LINKS_MEMORY / (2 * MESSAGE_MOST))
+                .max(2),
             net,
             log,
             timers: Timers::default(),
@@ -257,14 +261,14 @@
             servers: Servers::default(),
             links: BTreeMap::new(),
             to_write: VecDeque::new(),
-            watch: Watch::of_services(0, config.memory / LIST_MEMORY, config.services.clone()),
+            watch: Watch::for_services(0, config.memory_limit / LIST_MEMORY, config.services.clone()),
             pending: VecDeque::new(),
             changes: None,
             goes_on: false,
             subsets_awaited: None,
-            stop_within: span("rules.stopSendingWithin", list::STOP_WITHIN),
+            stop_within: span("rules.stopSendingWithin", list::DEFAULT_STOP_WITHIN),
             pushed: config.settings.get("membershipMode").is_some_and(|mode| mode == "push"),
-            fleet: config.setting("balancers").map_or(1, |count| count as u32),
+            fleet: config.positive_setting("balancers").map_or(1, |count| count as u32),
             chance: fastrand::Rng::with_seed(config.seed.rotate_left(32)),
             woke_at: Instant::now(),
             caught_up: 0,
@@ -312,13 +316,17 @@
     fn start(&mut self, now: Nanos) {
         (self.host.net.now, self.host.woke_at) = (now, Instant::now());
         self.begin_to_agree();
-        let known =
-            self.host.config.known.take().and_then(|known| list::read(&known, &self.host.config.services));
+        let known = self
+            .host
+            .config
+            .initial_list
+            .take()
+            .and_then(|known| list::parse(&known, &self.host.config.services));
         if let Some(told) = known.filter(|told| !told.entries.is_empty()) {
             self.told(told);
         }
         if self.host.has_list {
-            self.host.watch.heard = now;
+            self.host.watch.last_received = now;
             self.host.watch_later()
         } else {
             self.host.dial_watch()
@@ -329,12 +337,12 @@
     }
 
     /// When to turn next. Timers whose cause is over are dropped as they come first, so that they wake nobody.
-    fn next_turn(&mut self) -> Option<Nanos> {
+    fn next_timer(&mut self) -> Option<Nanos> {
         let PolicyHost { timers, links, rpcs, lines, .. } = &mut self.host;
         timers.skip(|what| match what {
             TimerEvent::CallOut(id, rpc, nth) => !links.get(id).is_some_and(|link| link.carries(*rpc, *nth)),
-            TimerEvent::Dial(id) => links.get(id).is_none_or(|link| link.up),
-            TimerEvent::Count(line, serial) => !lines[*line].holds(*serial),
+            TimerEvent::Dial(id) => links.get(id).is_none_or(|link| link.is_connected),
+            TimerEvent::Count(line, serial) => !lines[*line].has_call(*serial),
             TimerEvent::Overdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
             _ => false,
         });
@@ -377,11 +385,11 @@
     }
 
     /// A list's next batch goes before all that the turn brings: what is sent to a server in this turn is written in it.
-    fn woke(&mut self) {
+    fn turn_started(&mut self) {
         let host = &mut self.host;
         // The driver takes the last turn to have begun at the time that was told then.
-        host.net.late += std::mem::take(&mut host.caught_up);
-        host.last_turn = host.net.late;
+        host.net.input_delay += std::mem::take(&mut host.caught_up);
+        host.last_turn = host.net.input_delay;
         host.woke_at = Instant::now();
         self.agree();
         if self.host.goes_on {
@@ -389,30 +397,30 @@
         }
     }
 
-    fn heard(&mut self, bytes: &[u8]) {
+    fn datagram_received(&mut self, bytes: &[u8]) {
         self.hear(bytes);
     }
 
-    fn listens(&self) -> bool {
+    fn is_listening(&self) -> bool {
         self.host.listens
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.host.exits || !self.host.listens && self.host.clients.is_empty()
     }
 
-    fn has_room(&mut self) -> bool {
+    fn can_accept(&mut self) -> bool {
         self.host.has_room_for_client()
     }
 
-    fn client_input_most(&self) -> usize {
+    fn max_client_input(&self) -> usize {
         MESSAGE_MOST
     }
 
     fn accepted(&mut self, id: usize) {
         let spare = self.host.clients.len() >= self.host.clients_most;
         let since = self.host.connected_since(id);
-        let client = Client { since, spare, ..Client::default() };
+        let client = Client { state_since: since, over_limit: spare, ..Client::default() };
         self.host.clients.insert(id, client);
         // What it sent behind its connection may have waited as long as that did, which is known now and not in the turn
         // that would read it.
@@ -420,58 +428,60 @@
         self.host.again.push_back(id);
     }
 
-    fn accept_later(&mut self) {
+    fn retry_accept_later(&mut self) {
         self.host.accept_later();
     }
 
-    fn accepted_all(&mut self) {
+    fn accept_queue_empty(&mut self) {
         self.host.behind_since = None;
     }
 
-    fn refusal(&self) -> &[u8] {
-        clients::REFUSAL
+    fn unavailable_response(&self) -> &[u8] {
+        clients::UNAVAILABLE_RESPONSE
     }
 
     /// Closes an idle connection to free its descriptor; false if there is none.
-    fn shed(&mut self) -> bool {
+    fn free_descriptor(&mut self) -> bool {
         self.host.shed()
     }
 
     /// A connection that was begun here stands.
-    fn up(&mut self, id: usize) {
+    fn connected(&mut self, id: usize) {
         let PolicyHost { net, links, to_write, lines, watch, watch_on, .. } = &mut self.host;
         let now = net.now;
         match net.peer(id) {
             Some(Peer::Server) => {
                 if let Some(link) = links.get_mut(&id) {
-                    link.up = true;
+                    link.is_connected = true;
                     to_write.push_back(id);
                 }
             }
-            Some(Peer::List) if *watch_on == Some(id) => drop(net.out(id).map(|out| watch.ask(out, now))),
-            Some(Peer::Counter(line)) => drop(net.out(id).map(|out| lines[line].opened(out, now))),
+            Some(Peer::Discovery) if *watch_on == Some(id) => {
+                drop(net.output(id).map(|out| watch.write_request(out, now)))
+            }
+            Some(Peer::Counter(line)) => drop(net.output(id).map(|out| lines[line].connected(out, now))),
             _ => {}
         }
     }
 
     /// All or some of what waited for a connection is written.
-    fn wrote(&mut self, id: usize) {
+    fn output_written(&mut self, id: usize) {
         self.host.client_wrote(id);
     }
 
     /// Bytes came in, or the connection ended.
-    fn came(&mut self, id: usize) {
+    fn input_received(&mut self, id: usize) {
         match self.host.net.peer(id) {
             Some(Peer::Client) => self.client_came(id),
             Some(Peer::Server) => self.host.server_came(id),
-            Some(Peer::List) => self.list_came(id),
+            Some(Peer::Discovery) => self.list_came(id),
             Some(Peer::Counter(line)) => self.host.counter_came(line, id),
             None => {}
         }
     }
 
     /// Timers that are due; true if connections may be accepted again.
-    fn due(&mut self) -> bool {
+    fn run_due_timers(&mut self) -> bool {
         let now = self.host.net.now;
         while let Some(what) = self.host.timers.due(now) {
             match what {
@@ -480,7 +490,7 @@
                 TimerEvent::Dial(id) => self.host.dial_over(id),
                 TimerEvent::Write(id) => self.host.to_write.push_back(id),
                 TimerEvent::Count(line, serial) => {
-                    if let Some((call, how)) = self.host.lines[line].time_out(serial) {
+                    if let Some((call, how)) = self.host.lines[line].time_out_call(serial) {
                         self.host.counted.push_back((call, how, 0.0));
                     }
                 }
@@ -498,7 +508,7 @@
                 TimerEvent::Changes => {} // the turn has begun with it
                 TimerEvent::Subsets => self.work_on_subsets(),
             }
-            self.settle();
+            self.process_pending();
         }
         std::mem::take(&mut self.host.accepts_again)
     }
@@ -512,12 +522,12 @@
                 // Timers are looked at once a turn, so this is for the next one.
                 self.host.timers.set(self.host.net.now + MS, TimerEvent::Write(id));
             }
-            self.settle();
+            self.process_pending();
         }
     }
 
     /// Tells the module of all that has ended, until nothing more comes of it.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         let now = self.host.net.now;
         loop {
             if let Some(ended) = self.host.ended.pop_front() {
@@ -547,7 +557,8 @@
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
-        let attempt = Attempt { rpc: id, nth: rpc.call_outs, sent: now, until, before };
+        let attempt =
+            Attempt { rpc: id, number: rpc.call_outs, requested_at: now, deadline: until, write_by: before };
         rpc.call_outs += 1;
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
@@ -560,11 +571,11 @@
         self.shift(id, RpcState::Out);
         let (Some(rpc), Some(link)) = (self.rpcs.get_mut(&id), self.links.get_mut(&to)) else { return };
         rpc.open = true;
-        link.stage = Stage::Asked(attempt);
-        if link.up {
+        link.stage = Stage::Requested(attempt);
+        if link.is_connected {
             self.to_write.push_back(to);
         }
-        self.timers.set(until, TimerEvent::CallOut(to, id, attempt.nth));
+        self.timers.set(until, TimerEvent::CallOut(to, id, attempt.number));
     }
 
     fn push_back(&mut self, id: u32, come_back: Nanos) {
@@ -586,14 +597,14 @@
 
     fn count(&mut self, name: u64, add: f64, forget: Nanos) {
         self.last_call += 1;
-        let call = Call { serial: self.last_call, name, add, forget };
+        let call = Call { serial: self.last_call, name, add, ttl: forget };
         let Some(line) = self.line_for(name) else {
             return self.counted.push_back((call, End::NoConnection, 0.0));
         };
         let PolicyHost { net, lines, lines_on, .. } = self;
         let now = net.now;
-        if let Some(out) = lines_on[line].and_then(|id| net.out(id)) {
-            lines[line].call(out, now, call);
+        if let Some(out) = lines_on[line].and_then(|id| net.output(id)) {
+            lines[line].send_call(out, now, call);
             self.timers.set(now + self.count_wait, TimerEvent::Count(line, call.serial));
         }
     }
@@ -617,7 +628,7 @@
     /// given): an idle connection gives way. Harm: a client that rested opens another one.
     fn connect(&mut self, address: SocketAddr, peer: Peer, most: usize) -> io::Result<usize> {
         match self.net.connect(address, peer, most) {
-            Err(e) if out_of_descriptors(&e) && self.shed() => self.net.connect(address, peer, most),
+            Err(e) if is_resource_exhausted(&e) && self.shed() => self.net.connect(address, peer, most),
             connected => connected,
         }
     }
--- a/crates/gateway/src/gateway/agreeing.rs
+++ b/crates/gateway/src/gateway/agreeing.rs
@@ -62,7 +62,7 @@
             told.listen
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
-        let (all, clock_off) = (told.all, told.clock_off);
+        let (all, clock_off) = (told.peers, told.clock_offset);
         let (now, content) = (host.net.now.saturating_add_signed(clock_off), told.version.content());
         let mut state =
             Agreement::new(told.terms, number, host.chance.u32(..), now, content, told.version.start);
@@ -116,7 +116,7 @@
         let now = self.host.net.now;
         info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
-        self.host.config.settle(settings.clone());
+        self.host.config.apply_settings(settings.clone());
         self.brain.settle(now, settings);
     }
 
@@ -125,13 +125,13 @@
         let Some(agreement) = &mut self.agreement else { return };
         let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
         let words = agreement.state.poll_messages(now);
-        words.iter().for_each(|word| self.host.net.tell(agreement.all, &word.encode()));
+        words.iter().for_each(|word| self.host.net.send_datagram(agreement.all, &word.encode()));
         if agreement.state.is_voter() && now >= agreement.tells_list_at {
             agreement.tells_list_at = now + agreement.state.terms().renewal_interval();
             if let (Some(Announcement { index, removed }), Some(gateway)) =
                 (agreement.lists.announcement(now), agreement.number)
             {
-                self.host.net.tell(agreement.all, &ListNotice { gateway, index, removed }.encode());
+                self.host.net.send_datagram(agreement.all, &ListNotice { gateway, index, removed }.encode());
             }
         }
         let (was, acting) = (agreement.acting, agreement.state.evaluate(now));
@@ -192,21 +192,21 @@
         let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
         info!(self.host.log, "list"; "why" => "late", "index" => held, "newer" => notice.index, "held_back" => names.join(","));
         let entries = entries.into_iter().map(|entry| Entry { ready: false, ..entry }).collect();
-        self.list(Told { index: held, entries, ..Told::default() });
+        self.list(ListUpdate { index: held, entries, ..ListUpdate::default() });
     }
 
     /// What to make of a list: it is changed to what may be taken of it, and what comes after it is told back; nothing
     /// where it is passed over.
-    pub(super) fn judge_list(&mut self, told: &mut Told) -> Option<Told> {
-        let mut more = Told { index: told.index, ..Told::default() };
+    pub(super) fn judge_list(&mut self, told: &mut ListUpdate) -> Option<ListUpdate> {
+        let mut more = ListUpdate { index: told.index, ..ListUpdate::default() };
         let Some(agreement) = &mut self.agreement else { return Some(more) };
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
-            since: entry.since_ms.saturating_mul(MS),
+            since: entry.started_ms.saturating_mul(MS),
         };
         let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
-        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.whole, &list);
+        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.is_snapshot, &list);
         let count = verdict.held_back.len();
         if verdict.is_empty || verdict.is_older || count > 0 {
             let why = if verdict.is_empty {
@@ -227,10 +227,10 @@
             entry.ready &= !held_back.contains(&seen.key);
         }
         // What an older list lacks stays: its changes are taken, not its gaps.
-        told.whole &= !verdict.is_older;
+        told.is_snapshot &= !verdict.is_older;
         more.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
-        if told.whole && agreement.entries.len() > 2 * list.len().max(64) {
+        if told.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
             let named: HashSet<u64> = list.iter().map(|seen| seen.key).collect();
             agreement.entries.retain(|key, _| named.contains(key));
         }
--- a/crates/gateway/src/gateway/checks.rs
+++ b/crates/gateway/src/gateway/checks.rs
@@ -85,7 +85,7 @@
     pub(super) fn check_end_of_client(&mut self, id: usize, end: ClientEnd) {
         let Some(client) = self.clients.get(&id) else { return };
         if let Some(owed) = client.phase.owed() {
-            self.log_unwritten(&owed.txn, end.reason(), self.net.unwritten(id));
+            self.log_unwritten(&owed.txn, end.reason(), self.net.unsent_bytes(id));
         }
         let owes = client.phase.rpc().is_some() || client.phase.owed().is_some();
         let excused = matches!(end, ClientEnd::Gone(_) | ClientEnd::ReadsNothing);
@@ -107,7 +107,7 @@
         for id in clients {
             let Some(client) = self.clients.get(&id) else { continue };
             if let Some(owed) = client.phase.owed() {
-                self.log_unwritten(&owed.txn, "process-ends", self.net.unwritten(id));
+                self.log_unwritten(&owed.txn, "process-ends", self.net.unsent_bytes(id));
             }
             let answered = client.phase.rpc().is_none();
             let txn = self.txn_on(client);
--- a/crates/gateway/src/gateway/client_side.rs
+++ b/crates/gateway/src/gateway/client_side.rs
@@ -11,71 +11,74 @@
         let length = self.host.net.input(id).len();
         // Guards against messages that waited here unread for longer than the last turn lasted: for a place, or while the
         // process had no processor. Harm: a call of the system for each message.
-        let begins = client.reads.is_empty() && length > 0;
-        let unread_for = if begins { self.host.net.unread_for(id).unwrap_or(0) } else { 0 };
-        let came = self.host.net.now.saturating_sub(self.host.net.late.max(unread_for));
-        client.filled(length, came);
+        let begins = client.read_times.is_empty() && length > 0;
+        let unread_for = if begins { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
+        let came = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
+        client.record_read(length, came);
         if client.phase.closes() {
             let length = self.host.net.input(id).len();
-            self.host.net.used(id, length);
-        } else if let Some((_, length)) = client.phase.rpc().filter(|_| self.host.net.is_full(id)) {
+            self.host.net.consume(id, length);
+        } else if let Some((_, length)) = client.phase.rpc().filter(|_| self.host.net.is_input_full(id)) {
             // Guards against a client whose leaving lies behind what it sent in the meantime, so that its RPC would wait
             // on for nobody. Covers floods. Harm: one that sends on before its answer has to open another connection.
-            client.floods = true;
-            self.host.net.keep(id, length);
+            client.sent_excess = true;
+            self.host.net.truncate_input(id, length);
         } else if client.phase.is_reading()
             && !self.host.net.input(id).is_empty()
-            && self.host.net.is_sent(id)
+            && self.host.net.is_flushed(id)
         {
             // The answer before this message is out: one that reads none can't fill the buffer with them.
-            let found = client.look(&self.host.config, came, self.host.net.input(id));
-            if matches!(found, Ok(Got::Rpc(_) | Got::Ready(_) | Got::Healthy(_))) {
+            let found = client.parse_message(&self.host.config, came, self.host.net.input(id));
+            if matches!(found, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
                 self.host.claim_place(id);
             }
             match found {
                 // Guards the memory against many long messages at once; servers' buffers have a part of their own.
                 // Harm: a long message is turned away that might have found room a little later.
-                Ok(Got::Part) if self.host.net.held > self.host.held_most => {
+                Ok(Parsed::Incomplete) if self.host.net.client_buffer_bytes > self.host.held_most => {
                     self.host.refuse(id, 503, "no-memory")
                 }
-                Ok(Got::Part | Got::Continue) if self.host.is_past_last_call() => {
+                Ok(Parsed::Incomplete | Parsed::Continue) if self.host.is_past_last_call() => {
                     self.host.refuse(id, 503, "stopping")
                 }
-                Ok(Got::Part) => {}
-                Ok(Got::Continue) => {
-                    if let Some(out) = self.host.net.out(id) {
+                Ok(Parsed::Incomplete) => {}
+                Ok(Parsed::Continue) => {
+                    if let Some(out) = self.host.net.output(id) {
                         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                 }
-                Ok(Got::Rpc(message)) => self.arrive(id, message),
-                Ok(Got::Ready(length)) => {
+                Ok(Parsed::Rpc(message)) => self.arrive(id, message),
+                Ok(Parsed::Ready(length)) => {
                     let ready = self.host.has_list && !self.host.is_stopping();
                     let shows = self.shows();
                     self.host.answer_own(id, if ready { 200 } else { 503 }, length, &shows);
                 }
-                Ok(Got::Healthy(length)) => {
+                Ok(Parsed::Healthy(length)) => {
                     let shows = self.shows() + &self.host.counts_line();
                     self.host.answer_own(id, 200, length, &shows);
                 }
-                Err(Bad(status, why)) => self.host.refuse(id, status, why),
+                Err(MessageError(status, why)) => self.host.refuse(id, status, why),
             }
         }
-        if let Some(ending) = self.host.net.ended(id) {
+        if let Some(ending) = self.host.net.connection_end(id) {
             self.client_left(id, ending.reason());
         }
     }
 
-    pub(super) fn arrive(&mut self, client: usize, message: clients::Rpc) {
+    pub(super) fn arrive(&mut self, client: usize, message: clients::RpcRequest) {
         let (now, end) = (self.host.net.now, message.body.end);
         let own: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
-        let spare = self.host.clients.get(&client).is_some_and(|client| client.spare);
-        if self.host.open_rpcs >= self.host.rpcs_most || spare || self.host.net.held > self.host.held_most {
+        let spare = self.host.clients.get(&client).is_some_and(|client| client.over_limit);
+        if self.host.open_rpcs >= self.host.rpcs_most
+            || spare
+            || self.host.net.client_buffer_bytes > self.host.held_most
+        {
             // No room for more: what is refused here never reached the module.
             self.host.log_turned_away(&own, 503, "no-room");
             self.host.answer_own(client, 503, end, "");
             return;
         }
-        let came = self.host.clients.get(&client).map_or(now, |client| client.came);
+        let came = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
         let asked = (came + message.remaining_ms * MS).saturating_sub(MARGIN);
         if !self.host.may_begin(&own, asked) {
             return self.host.answer_own(client, 503, end, "");
@@ -86,7 +89,7 @@
         }
         let (id, method) = (self.host.fresh_rpc(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.shift(Phase::Waiting { rpc: id, length: end }, now);
+        at.set_phase(Phase::Waiting { rpc: id, length: end }, now);
         let deadline = self.host.within_life(asked).max(now);
         let arrival = Arrival {
             id,
@@ -133,14 +136,17 @@
     /// what others sent, or behind bytes of its own. Covers busy turns, small parts of a core and floods. Harm: a read for
     /// each attempt; one whose client sends on without end is put off until its time is over.
     pub(super) fn client_stays(&mut self, link: usize) -> bool {
-        let attempt = self.host.links.get(&link).and_then(Link::attempt);
+        let attempt = self.host.links.get(&link).and_then(ServerConnection::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
         let client = rpc.client;
         for _ in 0..LOOKS {
             let before = self.host.net.input(client).len();
             self.host.net.read(client, false);
             let net = &self.host.net;
-            if net.input(client).len() == before && !net.is_full(client) && net.ended(client).is_none() {
+            if net.input(client).len() == before
+                && !net.is_input_full(client)
+                && net.connection_end(client).is_none()
+            {
                 return true;
             }
             self.client_came(client);
@@ -164,8 +170,8 @@
     pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes(rpc));
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, come_back, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, come_back, close);
         }
         self.log_answer(id, status, why);
         self.answered(id, client, close);
@@ -173,7 +179,7 @@
 
     /// Whether the answer to an RPC is the last on its connection.
     pub(super) fn closes(&self, rpc: &Rpc) -> bool {
-        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.floods);
+        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.sent_excess);
         rpc.message.close
             || floods
             || self.ends_with(rpc.client, rpc.message.body.end)
@@ -188,31 +194,31 @@
         let (now, stopping) = (self.net.now, self.is_stopping());
         let Some(at) = self.clients.get_mut(&client) else { return };
         let length = at.phase.rpc().map_or(0, |rpc| rpc.1);
-        let last = close.then_some(match at.floods {
+        let last = close.then_some(match at.sent_excess {
             _ if stopping => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.shift(Phase::Answering { owed: Owed { txn: txn.unwrap_or_default(), deadline }, last }, now);
+        at.set_phase(Phase::Answering { owed: Owed { txn: txn.unwrap_or_default(), deadline }, last }, now);
         self.clients_served += usize::from(at.served == 0);
         at.served += 1;
-        at.used(length);
-        self.net.used(client, length);
+        at.consume(length);
+        self.net.consume(client, length);
     }
 
     /// Some of what waited for a client was written; once that is all, its answer is no longer owed.
     pub(super) fn client_wrote(&mut self, id: usize) {
-        let (now, sent) = (self.net.now, self.net.is_sent(id));
+        let (now, sent) = (self.net.now, self.net.is_flushed(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
-            None => client.since = if client.phase.owed().is_some() { now } else { client.since },
+            None => client.state_since = if client.phase.owed().is_some() { now } else { client.state_since },
             Some(next) => {
                 let owed = client.phase.owed().cloned().unwrap_or_default();
                 let ends = next.closes();
-                client.shift(next, now);
+                client.set_phase(next, now);
                 self.check_answer(&owed);
                 if ends {
-                    self.net.finish(id);
+                    self.net.shutdown_write(id);
                 }
             }
         }
@@ -224,18 +230,18 @@
 
     /// An answer of the gateway's own to a message that is no RPC of the module's; `lines` are further header lines.
     pub(super) fn answer_own(&mut self, client: usize, status: u16, length: usize, lines: &str) {
-        let spare = self.clients.get(&client).is_some_and(|client| client.spare);
+        let spare = self.clients.get(&client).is_some_and(|client| client.over_limit);
         let (now, stopping) = (self.net.now, self.is_stopping());
         let close = spare || self.ends_with(client, length);
-        if let Some(out) = self.net.out(client) {
-            clients::write_told(out, status, lines, 0, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response_with_headers(out, status, lines, 0, close);
         }
-        self.net.used(client, length);
+        self.net.consume(client, length);
         if let Some(at) = self.clients.get_mut(&client) {
             let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.shift(Phase::Answering { owed: Owed::default(), last }, now);
+            at.set_phase(Phase::Answering { owed: Owed::default(), last }, now);
             at.partial = false;
-            at.used(length);
+            at.consume(length);
             self.clients_served += usize::from(at.served == 0);
             at.served += 1;
         }
@@ -243,13 +249,13 @@
 
     /// Answers what can't be taken and closes.
     pub(super) fn refuse(&mut self, client: usize, status: u16, why: &'static str) {
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, 0, true);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, 0, true);
         }
-        self.net.discard(client);
+        self.net.discard_input(client);
         let now = self.net.now;
         if let Some(at) = self.clients.get_mut(&client) {
-            at.shift(Phase::Answering { owed: Owed::default(), last: Some(why) }, now);
+            at.set_phase(Phase::Answering { owed: Owed::default(), last: Some(why) }, now);
         }
     }
 
@@ -266,7 +272,7 @@
         self.clients_served -= usize::from(client.served > 0);
         let why = client.phase.closing().unwrap_or(end.reason());
         info!(self.log, "client"; "why" => why, "from" => shown(self.net.address(id)), "answers" => client.served,
-            "ms" => (self.net.now - self.net.since(id)) / MS);
+            "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
         true
     }
@@ -275,9 +281,9 @@
     /// served. What had arrived by now is; what comes later crosses the end, was not read before it and is never sent on.
     pub(super) fn rests(&mut self, id: usize) -> bool {
         let inside = self.clients.get(&id).filter(|client| client.partial);
-        let before = inside.map_or(0, |client| client.looked_at);
+        let before = inside.map_or(0, |client| client.parsed_bytes);
         self.net.read(id, false);
-        let rests = self.net.input(id).len() == before && self.net.ended(id).is_none();
+        let rests = self.net.input(id).len() == before && self.net.connection_end(id).is_none();
         if !rests {
             self.again.push_back(id);
         }
@@ -292,8 +298,8 @@
         }
         let now = self.net.now;
         if let Some(client) = self.clients.get_mut(&id).filter(|client| client.phase.is_reading()) {
-            client.shift(Phase::Ending { why }, now);
-            self.net.finish(id);
+            client.set_phase(Phase::Ending { why }, now);
+            self.net.shutdown_write(id);
         }
     }
 
--- a/crates/gateway/src/gateway/discovery_side.rs
+++ b/crates/gateway/src/gateway/discovery_side.rs
@@ -20,27 +20,27 @@
             _ => watch,
         };
         let fed = watch.feed(net.now, net.input(id), &mut told);
-        net.used(id, fed.unwrap_or(0));
+        net.consume(id, fed.unwrap_or(0));
         if self.host.watch_on == Some(id)
             && self.host.watch.head_read
             && !std::mem::replace(&mut self.host.watching, true)
         {
-            info!(self.host.log, "watching"; "index" => self.host.watch.index, "ms" => (self.host.net.now - self.host.net.since(id)) / MS);
+            info!(self.host.log, "watching"; "index" => self.host.watch.index, "ms" => (self.host.net.now - self.host.net.opened_at(id)) / MS);
         }
         if self.host.watch_on == Some(id) && self.host.watch.head_read {
             self.host.end_old_watch("moved");
         }
         told.into_iter().for_each(|told| self.told(told));
-        if let Some(why) = fed.err().or(self.host.net.ended(id).map(Ending::reason)) {
+        if let Some(why) = fed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.host.watch_broke(id, why);
         }
     }
 
     /// The list told by discovery, or held from before.
-    pub(super) fn told(&mut self, told: Told) {
+    pub(super) fn told(&mut self, told: ListUpdate) {
         self.host.watch.index = told.index;
-        if let Some(name) = &told.first_untold {
-            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.untold);
+        if let Some(name) = &told.first_without_service {
+            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.without_service);
         }
         self.host.pending.push_back(Pending::Told(told));
         self.bring_into_force();
@@ -48,7 +48,7 @@
 
     /// A change that was not told by the own discovery. It goes before what that told in the meantime and is yet to be
     /// judged, since it is looked at then.
-    pub(super) fn list(&mut self, told: Told) {
+    pub(super) fn list(&mut self, told: ListUpdate) {
         let pending = &mut self.host.pending;
         let told_at = pending.iter().position(|waits| matches!(waits, Pending::Told(_)));
         pending.insert(told_at.unwrap_or(pending.len()), Pending::Judged(told));
@@ -64,7 +64,7 @@
         }
         let old = self.host.old_watch.as_ref().map(|old| old.0);
         for id in [old, self.host.watch_on].into_iter().flatten() {
-            if !self.host.net.input(id).is_empty() || self.host.net.ended(id).is_some() {
+            if !self.host.net.input(id).is_empty() || self.host.net.connection_end(id).is_some() {
                 self.list_came(id);
             }
         }
@@ -122,14 +122,14 @@
         let mut list = Vec::with_capacity(batch.leaving.len() + batch.coming.len());
         for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
             let Some(address) = address else {
-                if let Some((listed, idle)) = host.servers.take_off(listed.key) {
+                if let Some((listed, idle)) = host.servers.delist(listed.key) {
                     idle.into_iter().for_each(|id| host.end_link(id, "server-gone"));
                     list.push(listed);
                 }
                 continue;
             };
             let came_up = host.started_at(&listed);
-            let (server, stale) = host.servers.list_started(&listed, address, came_up);
+            let (server, stale) = host.servers.upsert_with_start(&listed, address, came_up);
             stale.into_iter().for_each(|id| host.end_link(id, "server-moved"));
             list.push(Listed { server, came_up, ..listed });
         }
@@ -138,7 +138,7 @@
         } else {
             self.brain.listed(host.net.now, false, &list);
         }
-        host.servers.forget();
+        host.servers.remove_unused();
         self.await_subsets();
     }
 
@@ -165,8 +165,8 @@
     /// When a server started that the list names.
     fn started_at(&self, listed: &Listed) -> Nanos {
         let stamp = listed.came_up;
-        match self.servers.held(listed.key).filter(|held| held.stamp == stamp) {
-            Some(held) => held.came_up,
+        match self.servers.by_key(listed.key).filter(|held| held.listed_start == stamp) {
+            Some(held) => held.started_at,
             None => {
                 let now = self.net.now + self.turn_lasted();
                 starts::started_at(stamp, now, self.has_list, starts::is_wall_stepped(now))
@@ -190,8 +190,8 @@
     /// The watch is asked for after a rest of this gateway's own.
     pub(super) fn watch_later(&mut self) {
         let (now, told) = (self.net.now, self.stop_within);
-        let rest = self.watch.again(now, self.pushed, self.fleet, told, &mut self.chance);
-        let rest = rest.max(self.watch.rest_untaken(&mut self.chance));
+        let rest = self.watch.retry_delay(now, self.pushed, self.fleet, told, &mut self.chance);
+        let rest = rest.max(self.watch.invalid_list_delay(&mut self.chance));
         self.timers.set(now + rest, TimerEvent::Watch);
     }
 
@@ -199,8 +199,8 @@
         if self.watch_on.is_some() {
             return;
         }
-        self.watch.heard = self.net.now;
-        match self.connect(self.config.discovery, Peer::List, LIST_INPUT) {
+        self.watch.last_received = self.net.now;
+        match self.connect(self.config.discovery, Peer::Discovery, LIST_INPUT) {
             Ok(id) => self.watch_on = Some(id),
             Err(e) => {
                 warn!(self.log, "can't connect"; "to" => %self.config.discovery, "error" => %e);
@@ -211,7 +211,7 @@
 
     /// Discovery is elsewhere now. What the old watch tells until the new one speaks still counts.
     pub(super) fn move_watch(&mut self) {
-        let new = self.watch.anew();
+        let new = self.watch.successor();
         let watch = std::mem::replace(&mut self.watch, new);
         self.watching = false;
         if let Some(id) = self.watch_on.take() {
@@ -231,7 +231,7 @@
     }
 
     fn end_watch(&mut self, id: usize, index: u64, why: &'static str) {
-        info!(self.log, "list"; "why" => why, "index" => index, "ms" => (self.net.now - self.net.since(id)) / MS);
+        info!(self.log, "list"; "why" => why, "index" => index, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
     }
 
--- a/crates/gateway/src/gateway/making_room.rs
+++ b/crates/gateway/src/gateway/making_room.rs
@@ -28,7 +28,7 @@
     pub(super) fn connected_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
         let Some(behind_since) = self.behind_since else { return now };
-        let unread_for = self.net.unread_for(id).unwrap_or(0);
+        let unread_for = self.net.last_input_age(id).unwrap_or(0);
         now.saturating_sub(unread_for).max(behind_since)
     }
 
@@ -36,8 +36,8 @@
     pub(super) fn accept_later(&mut self) {
         let now = self.net.now;
         self.behind_since.get_or_insert(now);
-        let again = now + ACCEPT_AGAIN;
-        let silent = room::next_silent(self.clients.values().filter_map(Client::idle));
+        let again = now + ACCEPT_RETRY_DELAY;
+        let silent = room::next_silent(self.clients.values().filter_map(Client::idle_state));
         let at = silent.map_or(again, |at| at.clamp(now + ACCEPT_SOONEST, again));
         if self.accepts_at.is_none_or(|awaited| at < awaited) {
             self.accepts_at = Some(at);
@@ -53,13 +53,13 @@
     /// A client on a spare place has spoken: it has a place of its own if there is one by now, or if those that were served
     /// hold more than their part.
     pub(super) fn claim_place(&mut self, id: usize) {
-        if !self.clients.get(&id).is_some_and(|client| client.spare) {
+        if !self.clients.get(&id).is_some_and(|client| client.over_limit) {
             return;
         }
         let is_left = self.clients.len() <= self.clients_most;
         let overheld = room::is_overheld(self.clients_served, self.clients_most);
         if is_left || overheld && self.shed_client(For::Need) {
-            self.clients.entry(id).and_modify(|client| client.spare = false);
+            self.clients.entry(id).and_modify(|client| client.over_limit = false);
         }
     }
 
@@ -77,7 +77,7 @@
             return false;
         }
         *none_until = now + ACCEPT_SOONEST;
-        let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle()?)));
+        let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle_state()?)));
         let in_turn = room::in_turn(idle(), now, to);
         self.silent_wait = idle().any(|(_, idle)| matches!(idle, Idle::Silent(_)));
         let mut tried = in_turn.into_iter().take(TRIED_MOST);
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -25,12 +25,12 @@
     /// An attempt was asked for; logged for retries, and while the process stops.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if attempt.nth == 0 && !self.is_stopping() {
+        if attempt.number == 0 && !self.is_stopping() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt"; "txn" => %text(&rpc.id), "number" => attempt.nth, "to" => shown(address),
-            "limit_ms" => attempt.until.saturating_sub(attempt.sent) / MS, "repeat" => attempt.nth > 0);
+        info!(self.log, "attempt"; "txn" => %text(&rpc.id), "number" => attempt.number, "to" => shown(address),
+            "limit_ms" => attempt.deadline.saturating_sub(attempt.requested_at) / MS, "repeat" => attempt.number > 0);
     }
 
     /// An attempt ended; logged unless it went well, and always while the process stops.
@@ -40,8 +40,8 @@
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt ended"; "txn" => %text(&rpc.id), "number" => attempt.nth, "to" => shown(address),
-            "how" => end_code(how), "ms" => (self.net.now - attempt.sent) / MS);
+        info!(self.log, "attempt ended"; "txn" => %text(&rpc.id), "number" => attempt.number, "to" => shown(address),
+            "how" => end_code(how), "ms" => (self.net.now - attempt.requested_at) / MS);
     }
 
     /// An RPC got its final answer; `why` tells an answer of the gateway's own from a server's.
--- a/crates/gateway/src/gateway/stopping.rs
+++ b/crates/gateway/src/gateway/stopping.rs
@@ -10,7 +10,7 @@
             return;
         }
         // The signal may have waited here as long as a message that is read now.
-        let signalled_at = self.host.net.now.saturating_sub(self.host.net.late);
+        let signalled_at = self.host.net.now.saturating_sub(self.host.net.input_delay);
         let shutdown = Shutdown::new(signalled_at, self.host.longest_deadline());
         info!(self.host.log, "stopping"; "held" => self.host.open_rpcs, "clients" => self.host.clients.len(),
             "answer_within_ms" => shutdown.answer_by.saturating_sub(self.host.net.now) / MS);
@@ -40,8 +40,8 @@
         }
         for (id, link) in &mut host.links {
             if let Some(attempt) = link.attempt_mut() {
-                attempt.until = attempt.until.min(answer_by);
-                host.timers.set(attempt.until, TimerEvent::CallOut(*id, attempt.rpc, attempt.nth));
+                attempt.deadline = attempt.deadline.min(answer_by);
+                host.timers.set(attempt.deadline, TimerEvent::CallOut(*id, attempt.rpc, attempt.number));
             }
         }
         let now = host.net.now;
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -5,14 +5,14 @@
 use std::ops::Range;
 
 /// The largest head and body taken from anyone.
-pub const HEAD_MOST: usize = 16 << 10;
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_HEAD_LEN: usize = 16 << 10;
+pub const MAX_BODY_LEN: usize = 64 << 10;
 /// More header lines than this in one head are refused.
-pub const HEADERS_MOST: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 
 /// How the end of a body is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Length {
+pub enum BodyLength {
     Fixed(usize),
     Chunked,
     UntilClose,
@@ -20,25 +20,25 @@
 
 /// Why a message can't be taken: the status to answer a request with, and a reason code for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad(pub u16, pub &'static str);
+pub struct MessageError(pub u16, pub &'static str);
 
 pub fn header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
-pub fn text<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     header(headers, name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
 }
 
 /// A header that must stand there once: two could be read differently by whoever is next.
-pub fn only<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
+pub fn single_header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     let mut named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
     let value = std::str::from_utf8(named.next()?.value).ok().map(str::trim);
     value.filter(|value| named.next().is_none() && !value.is_empty())
 }
 
 /// Whether a header that lists words holds this one.
-pub fn lists(headers: &[Header], name: &str, word: &str) -> bool {
+pub fn header_has_token(headers: &[Header], name: &str, word: &str) -> bool {
     let named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
     let mut words = named.flat_map(|header| header.value.split(|byte| *byte == b','));
     words.any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
@@ -46,26 +46,26 @@
 
 /// The length that the headers tell; `without` is what applies if they tell none. Guards against messages
 /// that two readers would end at different bytes (two lengths, or a length beside chunks).
-pub fn length(headers: &[Header], without: Length) -> Result<Length, Bad> {
+pub fn body_length(headers: &[Header], without: BodyLength) -> Result<BodyLength, MessageError> {
     let mut told = None;
     for header in headers.iter().filter(|header| header.name.eq_ignore_ascii_case("content-length")) {
         let value = header.value.trim_ascii();
         let plain = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let digits = std::str::from_utf8(value).ok().filter(|_| plain);
-        let number = digits.and_then(|digits| digits.parse().ok()).ok_or(Bad(400, "bad-length"))?;
+        let number = digits.and_then(|digits| digits.parse().ok()).ok_or(MessageError(400, "bad-length"))?;
         if told.replace(number).is_some_and(|before| before != number) {
-            return Err(Bad(400, "two-lengths"));
+            return Err(MessageError(400, "two-lengths"));
         }
     }
     if header(headers, "transfer-encoding").is_some() {
         let chunked =
-            text(headers, "transfer-encoding").is_some_and(|how| how.eq_ignore_ascii_case("chunked"));
+            header_text(headers, "transfer-encoding").is_some_and(|how| how.eq_ignore_ascii_case("chunked"));
         return match told {
-            None if chunked => Ok(Length::Chunked),
-            _ => Err(Bad(400, "bad-encoding")),
+            None if chunked => Ok(BodyLength::Chunked),
+            _ => Err(MessageError(400, "bad-encoding")),
         };
     }
-    Ok(told.map_or(without, Length::Fixed))
+    Ok(told.map_or(without, BodyLength::Fixed))
 }
 
 /// Headers that speak of one connection only, or that whoever passes a message on writes itself.
@@ -83,7 +83,7 @@
 ];
 
 /// Passes on the header lines of a head (without its first line), except those of one connection and `but`.
-pub fn pass_headers(out: &mut Vec<u8>, lines: &[u8], but: &[&str]) {
+pub fn forward_headers(out: &mut Vec<u8>, lines: &[u8], but: &[&str]) {
     let lines = || lines.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
     let named = |line: &[u8], name: &str| {
         line.get(name.len()) == Some(&b':') && line[..name.len()].eq_ignore_ascii_case(name.as_bytes())
@@ -106,14 +106,14 @@
 }
 
 /// Where a slice lies in the buffer that it is part of.
-pub fn place(buffer: &[u8], part: &[u8]) -> Range<usize> {
+pub fn range_within(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + part.len()
 }
 
 /// Takes chunked bodies apart, fed bytes as they come; the data is handed on in pieces.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     /// Data bytes left of the chunk at hand.
     left: usize,
     step: Step,
@@ -129,13 +129,13 @@
     Over,
 }
 
-impl Chunks {
-    pub fn is_over(&self) -> bool {
+impl ChunkedDecoder {
+    pub fn is_complete(&self) -> bool {
         self.step == Step::Over
     }
 
     /// How many bytes of the input were used up; `data` gets what they held.
-    pub fn feed(&mut self, input: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, Bad> {
+    pub fn feed(&mut self, input: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, MessageError> {
         let mut at = 0;
         while self.step != Step::Over {
             let rest = &input[at..];
@@ -153,7 +153,7 @@
                 _ => {
                     let Some(end) = rest.iter().position(|byte| *byte == b'\n') else {
                         if rest.len() > 256 {
-                            return Err(Bad(400, "bad-chunk"));
+                            return Err(MessageError(400, "bad-chunk"));
                         }
                         break;
                     };
@@ -164,7 +164,7 @@
                         Step::DataEnd if line.is_empty() => Step::Size,
                         Step::Trailer if line.is_empty() => Step::Over,
                         Step::Trailer => Step::Trailer,
-                        _ => return Err(Bad(400, "bad-chunk")),
+                        _ => return Err(MessageError(400, "bad-chunk")),
                     };
                 }
             }
@@ -172,16 +172,16 @@
         Ok(at)
     }
 
-    fn size(&mut self, line: &[u8]) -> Result<Step, Bad> {
+    fn size(&mut self, line: &[u8]) -> Result<Step, MessageError> {
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
         let digits = std::str::from_utf8(digits).ok().filter(|digits| !digits.starts_with('+'));
         let size = digits.and_then(|digits| u32::from_str_radix(digits, 16).ok());
-        self.left = size.ok_or(Bad(400, "bad-chunk"))? as usize;
+        self.left = size.ok_or(MessageError(400, "bad-chunk"))? as usize;
         Ok(if self.left == 0 { Step::Trailer } else { Step::Data })
     }
 }
 
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/gateway/src/json_stream.rs
+++ b/crates/gateway/src/json_stream.rs
@@ -2,44 +2,44 @@
 //! are handed on one by one, so that neither the object's bytes nor a tree of them are ever held whole.
 
 /// What of an object is held at most: one element, and all that stands around the elements.
-pub const ELEMENT_MOST: usize = 64 << 10;
-pub const FRAME_MOST: usize = 16 << 10;
+pub const MAX_ELEMENT_LEN: usize = 64 << 10;
+pub const MAX_ENVELOPE_LEN: usize = 16 << 10;
 /// So many brackets may be open at once.
-pub const DEPTH_MOST: usize = 32;
+pub const MAX_DEPTH: usize = 32;
 
 /// Why an object can't be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ObjectError {
     /// It is no JSON object of the form that is asked for.
-    Garbled,
+    Malformed,
     /// One element, or what stands around the elements, is longer than its bound.
     ElementTooLong,
-    FrameTooLong,
+    EnvelopeTooLong,
     TooDeep,
     /// All elements together take more memory than they may.
-    TooMany,
+    ListTooLong,
 }
 
-impl Fault {
+impl ObjectError {
     /// The reason code for the log.
     pub fn reason(self) -> &'static str {
         match self {
-            Fault::Garbled => "garbled-object",
-            Fault::ElementTooLong => "entry-too-long",
-            Fault::FrameTooLong => "object-too-long",
-            Fault::TooDeep => "object-too-deep",
-            Fault::TooMany => "list-too-long",
+            ObjectError::Malformed => "garbled-object",
+            ObjectError::ElementTooLong => "entry-too-long",
+            ObjectError::EnvelopeTooLong => "object-too-long",
+            ObjectError::TooDeep => "object-too-deep",
+            ObjectError::ListTooLong => "list-too-long",
         }
     }
 }
 
 /// A part of an object that is whole.
 #[derive(Debug)]
-pub enum Part<'a> {
+pub enum ObjectPart<'a> {
     /// An element of the array; only the pairing of brackets and quotes has been looked at.
     Element(&'a [u8]),
     /// The object's end: the whole of it but for the array's elements, and looked at no further either.
-    Frame(&'a [u8]),
+    Envelope(&'a [u8]),
 }
 
 /// Where the next byte stands.
@@ -65,24 +65,24 @@
 
 impl Nesting {
     /// Takes one byte. Strings hold no bare line ends: one tells of an object that was cut short.
-    fn take(&mut self, byte: u8) -> Result<(), Fault> {
+    fn take(&mut self, byte: u8) -> Result<(), ObjectError> {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
             b'\\' => self.escaped = self.quoted,
             b'"' => self.quoted = !self.quoted,
-            _ if self.quoted && byte < b' ' => return Err(Fault::Garbled),
+            _ if self.quoted && byte < b' ' => return Err(ObjectError::Malformed),
             _ if self.quoted => {}
             b'{' | b'[' => self.depth += 1,
-            b'}' | b']' => self.depth = self.depth.checked_sub(1).ok_or(Fault::Garbled)?,
+            b'}' | b']' => self.depth = self.depth.checked_sub(1).ok_or(ObjectError::Malformed)?,
             _ => {}
         }
-        if self.depth > DEPTH_MOST { Err(Fault::TooDeep) } else { Ok(()) }
+        if self.depth > MAX_DEPTH { Err(ObjectError::TooDeep) } else { Ok(()) }
     }
 }
 
 /// Takes objects apart whose array stands under one name, wherever among the object's keys.
 #[derive(Debug)]
-pub struct Objects {
+pub struct ObjectStream {
     /// The array's name as it is written, in quotes.
     quoted_name: String,
     place: Place,
@@ -94,10 +94,10 @@
     met: bool,
 }
 
-impl Objects {
+impl ObjectStream {
     /// For objects whose array stands under this name.
     pub fn new(name: &str) -> Self {
-        Objects {
+        ObjectStream {
             quoted_name: format!("\"{name}\""),
             place: Place::default(),
             nesting: Nesting::default(),
@@ -108,7 +108,7 @@
     }
 
     /// Whether an object has begun and not ended.
-    pub fn is_inside(&self) -> bool {
+    pub fn is_in_object(&self) -> bool {
         self.place != Place::Between
     }
 
@@ -116,8 +116,8 @@
     pub fn feed(
         &mut self,
         mut data: &[u8],
-        mut found: impl FnMut(Part) -> Result<(), Fault>,
-    ) -> Result<(), Fault> {
+        mut found: impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+    ) -> Result<(), ObjectError> {
         while let Some((byte, rest)) = data.split_first() {
             match self.place {
                 Place::Element => {
@@ -139,7 +139,7 @@
                     self.place = Place::Frame;
                     self.feed_frame(*byte, &mut found)?;
                 }
-                _ => return Err(Fault::Garbled),
+                _ => return Err(ObjectError::Malformed),
             }
             data = rest;
         }
@@ -150,8 +150,8 @@
     fn feed_element<'a>(
         &mut self,
         data: &'a [u8],
-        found: &mut impl FnMut(Part) -> Result<(), Fault>,
-    ) -> Result<&'a [u8], Fault> {
+        found: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+    ) -> Result<&'a [u8], ObjectError> {
         // An element stands within the object and its array.
         let outside = 2;
         let mut end = None;
@@ -163,8 +163,8 @@
             }
         }
         let (part, rest) = data.split_at(end.unwrap_or(data.len()));
-        if self.element.len() + part.len() > ELEMENT_MOST {
-            return Err(Fault::ElementTooLong);
+        if self.element.len() + part.len() > MAX_ELEMENT_LEN {
+            return Err(ObjectError::ElementTooLong);
         }
         if end.is_none() {
             self.element.extend_from_slice(part);
@@ -172,10 +172,10 @@
         }
         self.place = Place::Behind;
         if self.element.is_empty() {
-            found(Part::Element(part))?;
+            found(ObjectPart::Element(part))?;
         } else {
             self.element.extend_from_slice(part);
-            found(Part::Element(&self.element))?;
+            found(ObjectPart::Element(&self.element))?;
             self.element.clear();
         }
         Ok(rest)
@@ -185,35 +185,35 @@
     fn feed_frame(
         &mut self,
         byte: u8,
-        found: &mut impl FnMut(Part) -> Result<(), Fault>,
-    ) -> Result<(), Fault> {
+        found: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+    ) -> Result<(), ObjectError> {
         let opens = byte == b'[' && !self.nesting.quoted && self.nesting.depth == 1 && self.is_named();
         self.nesting.take(byte)?;
         self.keep(byte)?;
         if opens {
             if std::mem::replace(&mut self.met, true) {
-                return Err(Fault::Garbled);
+                return Err(ObjectError::Malformed);
             }
             self.place = Place::First;
         } else if self.nesting.depth == 0 {
             if !std::mem::take(&mut self.met) {
-                return Err(Fault::Garbled);
+                return Err(ObjectError::Malformed);
             }
             self.place = Place::Between;
-            found(Part::Frame(&self.frame))?;
+            found(ObjectPart::Envelope(&self.frame))?;
             self.frame.clear();
         }
         Ok(())
     }
 
     /// Keeps a byte of the frame; of white space outside strings, one.
-    fn keep(&mut self, byte: u8) -> Result<(), Fault> {
+    fn keep(&mut self, byte: u8) -> Result<(), ObjectError> {
         let blank = |byte: u8| byte.is_ascii_whitespace();
         if blank(byte) && !self.nesting.quoted && self.frame.last().is_some_and(|last| blank(*last)) {
             return Ok(());
         }
-        if self.frame.len() >= FRAME_MOST {
-            return Err(Fault::FrameTooLong);
+        if self.frame.len() >= MAX_ENVELOPE_LEN {
+            return Err(ObjectError::EnvelopeTooLong);
         }
         self.frame.push(byte);
         Ok(())
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,8 +1,8 @@
 //! Discovery's list: the watch, a state machine fed the bytes of one open answer, and what its lines say.
 
-use crate::entry::{Entry, Words};
-use crate::http::{self, Bad, Chunks, HEAD_MOST, HEADERS_MOST, Length};
-use crate::json_stream::{Fault, Objects, Part};
+use crate::entry::{Entry, StringPool};
+use crate::http::{self, BodyLength, ChunkedDecoder, MAX_HEAD_LEN, MAX_HEADERS, MessageError};
+use crate::json_stream::{ObjectError, ObjectPart, ObjectStream};
 use crate::services::{Service, Services};
 use martenramp::host::Nanos;
 use serde_json::Value;
@@ -10,22 +10,22 @@
 
 /// An empty line comes every 2 s while nothing changes; silence for more than one of them and a half is a break. What a
 /// silent watch misses counts as told 6 s after it fell silent: by then another one has to have spoken.
-pub const SILENCE: Nanos = 3_500_000_000;
+pub const SILENCE_TIMEOUT: Nanos = 3_500_000_000;
 /// A watch that was asked for and not answered so long is a break, too: discovery's agent answers at once, and a service
 /// that does not has most likely dropped the call.
-pub const UNANSWERED: Nanos = 2_000_000_000;
+pub const RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
 /// Where lists are pushed, asking costs discovery nothing, and a watch is asked for again within so long.
-pub const AGAIN_PUSHED: Nanos = 250_000_000;
+pub const MAX_PUSHED_RETRY_DELAY: Nanos = 250_000_000;
 /// How long until the watch is asked for again after a break: up to so much for each gateway of the fleet, within
 /// these bounds; a sixth of it the first time and half of it the second.
-pub const AGAIN_EACH: Nanos = 60_000_000;
-pub const AGAIN_LAST: std::ops::RangeInclusive<Nanos> = 1_000_000_000..=6_000_000_000;
+pub const RETRY_DELAY_PER_GATEWAY: Nanos = 60_000_000;
+pub const RETRY_DELAY_BOUNDS: std::ops::RangeInclusive<Nanos> = 1_000_000_000..=6_000_000_000;
 /// Whatever became of the calls before, a change counts as told so long after discovery had it and could be reached.
-pub const TOLD_WITHIN: Nanos = 6_000_000_000;
+pub const ANNOUNCED_WITHIN: Nanos = 6_000_000_000;
 /// Of that, the part that is left to the next call for its connection and its answer.
-pub const ANSWER_WITHIN: Nanos = 1_000_000_000;
+pub const RESPONSE_ALLOWANCE: Nanos = 1_000_000_000;
 /// What applies where no time is told in which new work must stop after a drain.
-pub const STOP_WITHIN: Nanos = 2_000_000_000;
+pub const DEFAULT_STOP_WITHIN: Nanos = 2_000_000_000;
 /// From the second list in a row on that can't be taken, the rest before the next call is at least so long, twice as long
 /// after each further one and up to the last, and drawn up to twice as long again. With the time that the watch takes to
 /// be answered it stays within the 6 s after which a change counts as told.
@@ -38,18 +38,18 @@
 
 /// One object of the list, read as far as it makes sense.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct ListUpdate {
     pub index: u64,
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub entries: Vec<Entry>,
     /// How many entries were left out since their names tell no service, and the first of these names.
-    pub untold: usize,
-    pub first_untold: Option<Box<str>>,
+    pub without_service: usize,
+    pub first_without_service: Option<Box<str>>,
 }
 
-impl Told {
+impl ListUpdate {
     /// Takes an entry in, unless it is of no service that is asked for here.
-    fn take(&mut self, mut entry: Entry, services: &Services) {
+    fn add_entry(&mut self, mut entry: Entry, services: &Services) {
         match services.of_server(&entry.name) {
             Service::Asked(number) => {
                 entry.service = number;
@@ -57,8 +57,8 @@
             }
             Service::NotAsked => {}
             Service::Untold => {
-                self.untold += 1;
-                self.first_untold.get_or_insert(entry.name);
+                self.without_service += 1;
+                self.first_without_service.get_or_insert(entry.name);
             }
         }
     }
@@ -70,21 +70,21 @@
     /// The version of the list held; 0 is none.
     pub index: u64,
     pub head_read: bool,
-    chunks: Chunks,
-    objects: Objects,
+    chunks: ChunkedDecoder,
+    objects: ObjectStream,
     staged: Staged,
     /// When it was asked for, and from its answer's head on, when that or some of its body came last.
-    pub heard: Nanos,
+    pub last_received: Nanos,
     /// When the object that is coming in began, or went on by an entry.
     began: Option<Nanos>,
     /// Breaks since a watch last told something, if only that nothing changed.
-    pub fails: u32,
+    pub failures: u32,
     /// When it was asked for.
     asked: Nanos,
     /// So many objects in a row could not be taken.
     untaken: u32,
     /// Bytes that the entries of one object may take.
-    pub entries_memory: usize,
+    pub entry_memory_limit: usize,
     /// Of other services no entry is held.
     services: Rc<Services>,
 }
@@ -93,38 +93,38 @@
     /// A watch for what comes after this version, in objects whose entries take at most so many bytes, where the deployment
     /// tells no services.
     pub fn new(index: u64, entries_memory: usize) -> Self {
-        Watch::of_services(index, entries_memory, Rc::default())
+        Watch::for_services(index, entries_memory, Rc::default())
     }
 
     /// The same for the servers of some services.
-    pub fn of_services(index: u64, entries_memory: usize, services: Rc<Services>) -> Self {
+    pub fn for_services(index: u64, entries_memory: usize, services: Rc<Services>) -> Self {
         Watch {
             index,
             head_read: false,
-            chunks: Chunks::default(),
-            objects: Objects::new(ENTRIES),
+            chunks: ChunkedDecoder::default(),
+            objects: ObjectStream::new(ENTRIES),
             staged: Staged::new(entries_memory, services.clone()),
-            heard: 0,
+            last_received: 0,
             began: None,
-            fails: 0,
+            failures: 0,
             asked: 0,
             untaken: 0,
-            entries_memory,
+            entry_memory_limit: entries_memory,
             services,
         }
     }
 
     /// Another watch for what comes after the same version.
-    pub fn anew(&self) -> Self {
-        Watch::of_services(self.index, self.entries_memory, self.services.clone())
+    pub fn successor(&self) -> Self {
+        Watch::for_services(self.index, self.entry_memory_limit, self.services.clone())
     }
 
     /// Starts over on a new connection: the message that asks for changes after the version held.
-    pub fn ask(&mut self, out: &mut Vec<u8>, now: Nanos) {
-        (self.head_read, self.chunks, self.heard) = (false, Chunks::default(), now);
+    pub fn write_request(&mut self, out: &mut Vec<u8>, now: Nanos) {
+        (self.head_read, self.chunks, self.last_received) = (false, ChunkedDecoder::default(), now);
         (self.began, self.asked) = (None, now);
-        self.objects = Objects::new(ENTRIES);
-        self.staged = Staged::new(self.entries_memory, self.services.clone());
+        self.objects = ObjectStream::new(ENTRIES);
+        self.staged = Staged::new(self.entry_memory_limit, self.services.clone());
         let from = self.index;
         let text = format!(
             "GET /api/targets?watch=1&from={from} HTTP/1.1\r\nHost: discovery\r\nAccept: */*\r\n\r\n"
@@ -134,26 +134,31 @@
 
     /// Whether it has said nothing for too long, or has not ended what it began to say: empty lines that go on behind half an
     /// object are no sign of life.
-    pub fn is_silent(&self, now: Nanos) -> bool {
-        now > self.alive_at() + if self.head_read { SILENCE } else { UNANSWERED }
+    pub fn is_unresponsive(&self, now: Nanos) -> bool {
+        now > self.alive_at() + if self.head_read { SILENCE_TIMEOUT } else { RESPONSE_TIMEOUT }
     }
 
     /// Until when nothing can have been missed: the last sign of life, or when the call at hand was made.
     fn alive_at(&self) -> Nanos {
-        self.began.unwrap_or(self.heard).min(self.heard)
+        self.began.unwrap_or(self.last_received).min(self.last_received)
     }
 
     /// Takes what came: how many bytes were used up, and the objects found, whatever white space stands in and between
     /// them. Entries are staged as they come, and told with the end of their object. An object that can't be taken ends
     /// the watch, and nothing of it is told; nor is anything of one that is cut short.
-    pub fn feed(&mut self, now: Nanos, input: &[u8], told: &mut Vec<Told>) -> Result<usize, &'static str> {
+    pub fn feed(
+        &mut self,
+        now: Nanos,
+        input: &[u8],
+        told: &mut Vec<ListUpdate>,
+    ) -> Result<usize, &'static str> {
         let mut at = 0;
         if !self.head_read {
             at = match self.feed_head(input)? {
                 Some(length) => length,
                 None => return Ok(0),
             };
-            self.heard = now;
+            self.last_received = now;
         }
         let Watch { objects, staged, .. } = self;
         let (mut fault, mut spoke, had) = (None, false, staged.parts);
@@ -164,35 +169,35 @@
             }
         });
         if spoke {
-            self.heard = now;
+            self.last_received = now;
         }
-        if spoke && fault.is_none() && !self.objects.is_inside() {
-            self.fails = 0;
+        if spoke && fault.is_none() && !self.objects.is_in_object() {
+            self.failures = 0;
         }
         let goes_on = staged.parts > had || self.began.is_none();
-        self.began = if goes_on { Some(now) } else { self.began }.filter(|_| self.objects.is_inside());
+        self.began = if goes_on { Some(now) } else { self.began }.filter(|_| self.objects.is_in_object());
         if let Some(fault) = fault {
             self.untaken = if now > self.asked + STOOD { 1 } else { self.untaken + 1 };
             return Err(fault.reason());
         }
-        at += used.map_err(|Bad(_, why)| why)?;
-        if self.chunks.is_over() { Err("watch-ended") } else { Ok(at) }
+        at += used.map_err(|MessageError(_, why)| why)?;
+        if self.chunks.is_complete() { Err("watch-ended") } else { Ok(at) }
     }
 
     /// Takes the answer's head: how long it is, once it is whole.
     fn feed_head(&mut self, input: &[u8]) -> Result<Option<usize>, &'static str> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let length = match head.parse(input) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if input.len() > HEAD_MOST => return Err("head-too-large"),
+            Ok(httparse::Status::Partial) if input.len() > MAX_HEAD_LEN => return Err("head-too-large"),
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err("bad-head"),
         };
         if head.code != Some(200) {
             return Err("watch-refused");
         }
-        if http::length(head.headers, Length::UntilClose) != Ok(Length::Chunked) {
+        if http::body_length(head.headers, BodyLength::UntilClose) != Ok(BodyLength::Chunked) {
             return Err("watch-not-chunked");
         }
         self.head_read = true;
@@ -203,7 +208,7 @@
     /// be taken. Guards against a list over a bound, or of another form, that is asked for, written and read again without
     /// end: the cause is at discovery and mostly lasts. One such object alone is taken for an accident. Harm: the first
     /// list that can be taken again comes up to 4 s later.
-    pub fn rest_untaken(&self, chance: &mut fastrand::Rng) -> Nanos {
+    pub fn invalid_list_delay(&self, chance: &mut fastrand::Rng) -> Nanos {
         let Some(more) = self.untaken.checked_sub(2) else { return 0 };
         let least = (UNTAKEN_REST << more.min(8)).min(UNTAKEN_REST_LAST);
         least + chance.u64(..least)
@@ -218,7 +223,7 @@
     /// told whether or not a watch is open: the rest is short. What a call that had no answer took counts as part of the
     /// rest, so that the next one is answered within [`TOLD_WITHIN`] of the first moment at which discovery can have been
     /// reached again.
-    pub fn again(
+    pub fn retry_delay(
         &mut self,
         now: Nanos,
         pushed: bool,
@@ -227,22 +232,24 @@
         chance: &mut fastrand::Rng,
     ) -> Nanos {
         if pushed {
-            self.fails += 1;
-            return chance.u64(..AGAIN_PUSHED.min(told / 8).max(1));
+            self.failures += 1;
+            return chance.u64(..MAX_PUSHED_RETRY_DELAY.min(told / 8).max(1));
         }
-        let last = (AGAIN_EACH * Nanos::from(gateways)).clamp(*AGAIN_LAST.start(), *AGAIN_LAST.end());
-        let rest = [(last / 6).min(told / 2), last / 2, last][self.fails.min(2) as usize];
-        let left = (TOLD_WITHIN - ANSWER_WITHIN).saturating_sub(now.saturating_sub(self.alive_at()));
-        self.fails += 1;
-        chance.u64(..rest.min(left.max(AGAIN_PUSHED)).max(1))
+        let last = (RETRY_DELAY_PER_GATEWAY * Nanos::from(gateways))
+            .clamp(*RETRY_DELAY_BOUNDS.start(), *RETRY_DELAY_BOUNDS.end());
+        let rest = [(last / 6).min(told / 2), last / 2, last][self.failures.min(2) as usize];
+        let left =
+            (ANNOUNCED_WITHIN - RESPONSE_ALLOWANCE).saturating_sub(now.saturating_sub(self.alive_at()));
+        self.failures += 1;
+        chance.u64(..rest.min(left.max(MAX_PUSHED_RETRY_DELAY)).max(1))
     }
 }
 
 /// An object that has not ended. Nothing of it counts before its end.
 #[derive(Debug)]
 struct Staged {
-    told: Told,
-    words: Words,
+    told: ListUpdate,
+    words: StringPool,
     services: Rc<Services>,
     /// Bytes that the entries may take.
     most: usize,
@@ -253,28 +260,36 @@
 
 impl Staged {
     fn new(most: usize, services: Rc<Services>) -> Self {
-        Staged { told: Told::default(), words: Words::default(), services, most, held: 0, parts: 0 }
+        Staged {
+            told: ListUpdate::default(),
+            words: StringPool::default(),
+            services,
+            most,
+            held: 0,
+            parts: 0,
+        }
     }
 
     /// Takes an entry, or the end of the object: all of it is told then.
-    fn take(&mut self, part: Part, told: &mut Vec<Told>) -> Result<(), Fault> {
+    fn take(&mut self, part: ObjectPart, told: &mut Vec<ListUpdate>) -> Result<(), ObjectError> {
         self.parts += 1;
         match part {
-            Part::Element(text) => {
+            ObjectPart::Element(text) => {
                 let mut from = serde_json::Deserializer::from_slice(text);
-                let entry = Entry::read(&mut from, &mut self.words).ok_or(Fault::Garbled)?;
-                let (memory, had) = (entry.memory(), self.told.entries.len());
-                self.told.take(entry, &self.services);
+                let entry =
+                    Entry::from_deserializer(&mut from, &mut self.words).ok_or(ObjectError::Malformed)?;
+                let (memory, had) = (entry.memory_size(), self.told.entries.len());
+                self.told.add_entry(entry, &self.services);
                 self.held += if self.told.entries.len() > had { memory } else { 0 };
                 if self.held > self.most {
-                    return Err(Fault::TooMany);
+                    return Err(ObjectError::ListTooLong);
                 }
             }
-            Part::Frame(text) => {
+            ObjectPart::Envelope(text) => {
                 let frame = serde_json::from_slice(text).ok().and_then(|frame| read_frame(&frame));
-                let (index, whole) = frame.ok_or(Fault::Garbled)?;
+                let (index, whole) = frame.ok_or(ObjectError::Malformed)?;
                 self.held = 0;
-                told.push(Told { index, whole, ..std::mem::take(&mut self.told) });
+                told.push(ListUpdate { index, is_snapshot: whole, ..std::mem::take(&mut self.told) });
             }
         }
         Ok(())
@@ -288,12 +303,15 @@
 }
 
 /// Reads an object of the list; an entry that makes no sense makes the whole object garbled.
-pub fn read(object: &Value, services: &Services) -> Option<Told> {
-    let mut told =
-        Told { index: object["index"].as_u64()?, whole: object["snapshot"].as_bool()?, ..Told::default() };
-    let mut words = Words::default();
+pub fn parse(object: &Value, services: &Services) -> Option<ListUpdate> {
+    let mut told = ListUpdate {
+        index: object["index"].as_u64()?,
+        is_snapshot: object["snapshot"].as_bool()?,
+        ..ListUpdate::default()
+    };
+    let mut words = StringPool::default();
     for entry in object[ENTRIES].as_array()? {
-        told.take(Entry::read(entry, &mut words)?, services);
+        told.add_entry(Entry::from_deserializer(entry, &mut words)?, services);
     }
     Some(told)
 }
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -20,9 +20,9 @@
 /// Guards against a full or forgotten log pipe: what it does not take is dropped line by line and counted,
 /// and the loop never stands still for it. Harm: lines are lost while the reader is slow.
 #[derive(Clone, Default)]
-pub struct Logs(Rc<RefCell<Waiting>>);
+pub struct LogBuffer(Rc<RefCell<Waiting>>);
 
-struct Line(Logs, RefCell<Vec<u8>>);
+struct Line(LogBuffer, RefCell<Vec<u8>>);
 
 impl Write for Line {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -37,7 +37,7 @@
     }
 }
 
-impl Logs {
+impl LogBuffer {
     pub fn logger(&self, name: &str) -> Logger {
         let line = Line(self.clone(), RefCell::default());
         let json = slog_json::Json::new(line).set_flush(true).add_default_keys().build();
@@ -58,7 +58,7 @@
     }
 
     /// Writes what standard error takes now; whatever it can't take stays or, if it is gone, goes.
-    pub fn drain(&self) {
+    pub fn write_pending(&self) {
         let mut waiting = self.0.borrow_mut();
         let out = rustix::stdio::stderr();
         while !waiting.bytes.is_empty() {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -3,7 +3,7 @@
 use gateway::config::Config;
 use gateway::driver::Driver;
 use gateway::gateway::{Gateway, ReadAgain};
-use gateway::logs::Logs;
+use gateway::logs::LogBuffer;
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
@@ -51,7 +51,7 @@
     let read = |path: std::ffi::OsString| {
         let shown = path.to_string_lossy().into_owned();
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
-        Config::read(&text, |name| std::env::var(name).ok()).map_err(|e| format!("{shown}: {e}"))
+        Config::parse(&text, |name| std::env::var(name).ok()).map_err(|e| format!("{shown}: {e}"))
     };
     let config = move || {
         let path = file.clone().or_else(|| std::env::var_os("LB_CONFIG"));
@@ -109,7 +109,7 @@
 }
 
 fn serve(mut config: Config, read_again: ReadAgain) -> Result<(), String> {
-    let logs = Logs::default();
+    let logs = LogBuffer::default();
     let log = logs.logger(&config.name);
     let listen = config.listen;
     let (driver, net, listen) = Driver::new(listen).map_err(|e| format!("can't listen at {listen}: {e}"))?;
@@ -117,6 +117,6 @@
     let mut gateway = Gateway::new(config, read_again, net, log);
     let ended = driver.run(&mut gateway, &logs).map_err(|e| e.to_string());
     gateway.log_end();
-    logs.drain();
+    logs.write_pending();
     ended
 }
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -10,15 +10,15 @@
 
 /// Zones and kinds by name.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct NameIds {
     zones: HashMap<Box<str>, u16>,
     kinds: Vec<String>,
 }
 
-impl Directory {
+impl NameIds {
     /// The zones and kinds that the settings name, numbered in this order.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
-        let mut directory = Directory { kinds, ..Directory::default() };
+        let mut directory = NameIds { kinds, ..NameIds::default() };
         zones.iter().for_each(|zone| _ = directory.zone(zone));
         directory
     }
@@ -37,7 +37,7 @@
     }
 
     /// What the module is told of an entry with this key; the server's number is filled in when it is taken.
-    pub fn listed(&mut self, key: u64, entry: &Entry) -> Listed {
+    pub fn to_listed(&mut self, key: u64, entry: &Entry) -> Listed {
         let kind = self.kinds.iter().position(|known| **known == *entry.kind);
         Listed {
             server: 0,
@@ -48,7 +48,7 @@
             cell: entry.cell,
             ready: entry.ready,
             weight: entry.weight,
-            came_up: entry.since_ms.saturating_mul(MS),
+            came_up: entry.started_ms.saturating_mul(MS),
         }
     }
 }
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,19 +1,19 @@
 //! Servers: who they are by name, the connections to each, and the state machine of one connection, which
 //! writes a call-out and reads its answer.
 
-use crate::clients::Rpc;
-use crate::driver::Ending;
-use crate::http::{self, BODY_MOST, Chunks, HEAD_MOST, HEADERS_MOST, Length};
+use crate::clients::RpcRequest;
+use crate::driver::ConnectionEnd;
+use crate::http::{self, BodyLength, ChunkedDecoder, MAX_BODY_LEN, MAX_HEAD_LEN, MAX_HEADERS};
 use martenramp::host::{End, Listed, Nanos};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Write;
 use std::net::SocketAddr;
 
 /// Of the told time after which a machine closes an idle connection, the part that one is used for.
-pub const IDLE_SHARE: f64 = 0.6;
+pub const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 /// What applies where no times are told.
-pub const IDLE: Nanos = 5_000_000_000;
-pub const DIAL: Nanos = 250_000_000;
+pub const DEFAULT_IDLE_TIMEOUT: Nanos = 5_000_000_000;
+pub const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
 
 /// Of the last reused connections so many are remembered, and what they show for so long.
 const REUSES: usize = 64;
@@ -24,16 +24,16 @@
 /// time-outs alike. Harm: by chance the limit comes down on a day when connections break whatever their rest; then
 /// more are opened.
 #[derive(Debug, Default)]
-pub struct Reuses {
+pub struct ReuseHistory {
     /// For how long each had rested, and whether it broke under its call-out.
     last: VecDeque<(Nanos, bool)>,
     limit: Option<(Nanos, Nanos)>,
 }
 
-impl Reuses {
+impl ReuseHistory {
     /// Once the longest-rested quarter broke more than twice as often as the others, what has rested so long is not
     /// used again for a while.
-    pub fn ended(&mut self, now: Nanos, rested: Nanos, broke: bool) {
+    pub fn record(&mut self, now: Nanos, rested: Nanos, broke: bool) {
         self.last.push_back((rested, broke));
         if self.last.len() < REUSES {
             return;
@@ -60,29 +60,29 @@
 pub struct Server {
     pub address: SocketAddr,
     /// The start of its life as the list stamps it, and when that was by this process's clock.
-    pub stamp: Nanos,
-    pub came_up: Nanos,
+    pub listed_start: Nanos,
+    pub started_at: Nanos,
     /// Whether new work may go there.
     pub ready: bool,
     /// Idle connections, the one used last at the end, and since when.
-    pub idle: Vec<(usize, Nanos)>,
-    pub open: usize,
-    pub listed: bool,
+    pub idle_connections: Vec<(usize, Nanos)>,
+    pub open_connections: usize,
+    pub is_listed: bool,
     /// What the module was told of it last.
-    pub told: Listed,
+    pub last_listed: Listed,
 }
 
 impl Server {
     fn new(told: &Listed, address: SocketAddr, stamp: Nanos) -> Self {
         Server {
             address,
-            stamp,
-            came_up: told.came_up,
+            listed_start: stamp,
+            started_at: told.came_up,
             ready: told.ready,
-            idle: Vec::new(),
-            open: 0,
-            listed: true,
-            told: told.clone(),
+            idle_connections: Vec::new(),
+            open_connections: 0,
+            is_listed: true,
+            last_listed: told.clone(),
         }
     }
 
@@ -93,12 +93,12 @@
                 == (two.service, two.key, two.zone, two.kind, two.cell)
                 && (one.ready, one.weight.to_bits()) == (two.ready, two.weight.to_bits())
         };
-        let is_same_life = self.stamp == listed.came_up;
-        self.listed && self.address == address && is_same_life && is_same(&self.told, listed)
+        let is_same_life = self.listed_start == listed.came_up;
+        self.is_listed && self.address == address && is_same_life && is_same(&self.last_listed, listed)
     }
 
     fn take_idle(&mut self) -> Vec<usize> {
-        std::mem::take(&mut self.idle).into_iter().map(|idle| idle.0).collect()
+        std::mem::take(&mut self.idle_connections).into_iter().map(|idle| idle.0).collect()
     }
 }
 
@@ -109,19 +109,19 @@
     pub by_number: BTreeMap<u32, Server>,
     /// Those that are not listed any more, and are held for their connections.
     left: BTreeSet<u32>,
-    pub reuses: Reuses,
+    pub reuse_history: ReuseHistory,
     last: u32,
 }
 
 impl Servers {
     /// Takes a listed server: its number, and the idle connections to what it was before: those to another address or an
     /// earlier life are of no more use.
-    pub fn list(&mut self, listed: &Listed, address: SocketAddr) -> (u32, Vec<usize>) {
-        self.list_started(listed, address, listed.came_up)
+    pub fn upsert(&mut self, listed: &Listed, address: SocketAddr) -> (u32, Vec<usize>) {
+        self.upsert_with_start(listed, address, listed.came_up)
     }
 
     /// The same where the start that the list stamps was at another time by this process's clock.
-    pub fn list_started(
+    pub fn upsert_with_start(
         &mut self,
         listed: &Listed,
         address: SocketAddr,
@@ -136,35 +136,35 @@
         let told = Listed { server: number, came_up, ..listed.clone() };
         let stamp = listed.came_up;
         let server = self.by_number.entry(number).or_insert_with(|| Server::new(&told, address, stamp));
-        let moved = server.address != address || server.stamp != stamp;
+        let moved = server.address != address || server.listed_start != stamp;
         let stale = if moved { server.take_idle() } else { Vec::new() };
-        (server.address, server.stamp, server.came_up) = (address, stamp, told.came_up);
-        (server.listed, server.ready) = (true, told.ready);
-        server.told = told;
+        (server.address, server.listed_start, server.started_at) = (address, stamp, told.came_up);
+        (server.is_listed, server.ready) = (true, told.ready);
+        server.last_listed = told;
         (number, stale)
     }
 
     /// Takes a server off the list: what the module is to be told, and the idle connections, which are of no more use.
-    pub fn take_off(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
+    pub fn delist(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
         let number = *self.numbers.get(&key)?;
         let server = self.by_number.get_mut(&number)?;
-        (server.listed, server.ready, server.told.ready) = (false, false, false);
+        (server.is_listed, server.ready, server.last_listed.ready) = (false, false, false);
         self.left.insert(number);
-        Some((server.told.clone(), server.take_idle()))
+        Some((server.last_listed.clone(), server.take_idle()))
     }
 
     /// The server with this key, listed or held for its connections.
-    pub fn held(&self, key: u64) -> Option<&Server> {
+    pub fn by_key(&self, key: u64) -> Option<&Server> {
         self.by_number.get(self.numbers.get(&key)?)
     }
 
     /// Drops those that are not listed any more and have no connection left.
-    pub fn forget(&mut self) {
+    pub fn remove_unused(&mut self) {
         let Servers { numbers, by_number, left, .. } = self;
         left.retain(|number| {
-            let over = by_number.get(number).is_none_or(|server| server.open == 0);
+            let over = by_number.get(number).is_none_or(|server| server.open_connections == 0);
             if over && let Some(server) = by_number.remove(number) {
-                numbers.remove(&server.told.key);
+                numbers.remove(&server.last_listed.key);
             }
             !over
         });
@@ -175,11 +175,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     pub rpc: u32,
-    pub nth: u16,
+    pub number: u16,
     /// When it was asked for, by when it has to be answered, and before when it has to be written.
-    pub sent: Nanos,
-    pub until: Nanos,
-    pub before: Nanos,
+    pub requested_at: Nanos,
+    pub deadline: Nanos,
+    pub write_by: Nanos,
 }
 
 /// Where a connection to a server stands.
@@ -187,82 +187,97 @@
 pub enum Stage {
     Idle,
     /// Asked for, not a byte of it written: the connection has to come up first, or the turn to end.
-    Asked(Attempt),
+    Requested(Attempt),
     /// Written, or being written.
-    Out(Attempt),
+    InFlight(Attempt),
 }
 
 /// One connection to a server.
 #[derive(Debug)]
-pub struct Link {
+pub struct ServerConnection {
     pub server: u32,
     /// The start of the server's life that it was opened to.
-    pub came_up: Nanos,
+    pub server_started_at: Nanos,
     pub stage: Stage,
-    pub up: bool,
-    pub used: u64,
+    pub is_connected: bool,
+    pub attempts: u64,
     /// For how long it had rested before the call-out at hand, if it was used before.
-    pub rested: Option<Nanos>,
-    chunks: Option<(Chunks, Vec<u8>, usize)>,
+    pub idle_for: Option<Nanos>,
+    chunks: Option<(ChunkedDecoder, Vec<u8>, usize)>,
 }
 
 /// A whole answer: what it means, and the length of its message in the buffer.
 #[derive(Debug, PartialEq)]
-pub struct Answer {
-    pub how: End,
+pub struct Response {
+    pub end: End,
     pub status: u16,
     pub body: Body,
     /// The header lines in the buffer.
-    pub head: std::ops::Range<usize>,
-    pub length: usize,
+    pub header_lines: std::ops::Range<usize>,
+    pub message_length: usize,
     pub reusable: bool,
     pub settled: f64,
     /// The load report's text in the buffer.
-    pub load: Option<std::ops::Range<usize>>,
+    pub load_report: Option<std::ops::Range<usize>>,
 }
 
 /// Where the body is: in the read buffer, or taken out of its chunks.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Body {
-    Read(std::ops::Range<usize>),
-    Joined(Vec<u8>),
+    Buffered(std::ops::Range<usize>),
+    Decoded(Vec<u8>),
 }
 
-impl Link {
+impl ServerConnection {
     pub fn new(server: u32, came_up: Nanos) -> Self {
-        Link { server, came_up, stage: Stage::Idle, up: false, used: 0, rested: None, chunks: None }
+        ServerConnection {
+            server,
+            server_started_at: came_up,
+            stage: Stage::Idle,
+            is_connected: false,
+            attempts: 0,
+            idle_for: None,
+            chunks: None,
+        }
     }
 
     /// The attempt that is asked for or out here.
     pub fn attempt(&self) -> Option<Attempt> {
         match self.stage {
             Stage::Idle => None,
-            Stage::Asked(attempt) | Stage::Out(attempt) => Some(attempt),
+            Stage::Requested(attempt) | Stage::InFlight(attempt) => Some(attempt),
         }
     }
 
     pub fn attempt_mut(&mut self) -> Option<&mut Attempt> {
         match &mut self.stage {
             Stage::Idle => None,
-            Stage::Asked(attempt) | Stage::Out(attempt) => Some(attempt),
+            Stage::Requested(attempt) | Stage::InFlight(attempt) => Some(attempt),
         }
     }
 
     pub fn carries(&self, rpc: u32, nth: u16) -> bool {
-        self.attempt().is_some_and(|attempt| (attempt.rpc, attempt.nth) == (rpc, nth))
+        self.attempt().is_some_and(|attempt| (attempt.rpc, attempt.number) == (rpc, nth))
     }
 
     /// Writes the message of an attempt, with how long this gateway will wait.
-    pub fn write(&mut self, out: &mut Vec<u8>, attempt: Attempt, rpc: &Rpc, message: &[u8], wait: Nanos) {
-        self.stage = Stage::Out(attempt);
-        self.used += 1;
+    pub fn write_attempt(
+        &mut self,
+        out: &mut Vec<u8>,
+        attempt: Attempt,
+        rpc: &RpcRequest,
+        message: &[u8],
+        wait: Nanos,
+    ) {
+        self.stage = Stage::InFlight(attempt);
+        self.attempts += 1;
         self.chunks = None;
-        out.extend_from_slice(if rpc.get { b"GET " } else { b"POST " });
+        out.extend_from_slice(if rpc.is_get { b"GET " } else { b"POST " });
         out.extend_from_slice(&message[rpc.target.clone()]);
         out.extend_from_slice(b" HTTP/1.1\r\n");
-        http::pass_headers(out, &message[rpc.head.clone()], &[]);
+        http::forward_headers(out, &message[rpc.header_lines.clone()], &[]);
         let body = &message[rpc.body.clone()];
-        if !rpc.get || !body.is_empty() {
+        if !rpc.is_get || !body.is_empty() {
             let _ = write!(out, "Content-Length: {}\r\n", body.len());
         }
         let _ = write!(out, "X-Remaining-Ms: {}\r\n\r\n", wait / 1_000_000);
@@ -272,15 +287,19 @@
     /// Looks at all that the buffer holds; `ended` tells that no more will come, and how that was: an answer without a
     /// length is whole only once the connection was closed in good order. An error is an answer that can't be read, with
     /// a reason code.
-    pub fn look(&mut self, input: &[u8], ended: Option<Ending>) -> Result<Option<Answer>, &'static str> {
+    pub fn parse_response(
+        &mut self,
+        input: &[u8],
+        ended: Option<ConnectionEnd>,
+    ) -> Result<Option<Response>, &'static str> {
         let mut from = 0;
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            let rest = &input[from..input.len().min(HEAD_MOST)];
+            let rest = &input[from..input.len().min(MAX_HEAD_LEN)];
             let start = match head.parse(rest) {
                 Ok(httparse::Status::Complete(length)) => from + length,
-                Ok(httparse::Status::Partial) if input.len() >= HEAD_MOST => return Err("head-too-large"),
+                Ok(httparse::Status::Partial) if input.len() >= MAX_HEAD_LEN => return Err("head-too-large"),
                 Ok(httparse::Status::Partial) => return Ok(None),
                 Err(_) => return Err("bad-head"),
             };
@@ -296,59 +315,63 @@
     fn answer(
         &mut self,
         input: &[u8],
-        ended: Option<Ending>,
+        ended: Option<ConnectionEnd>,
         from: usize,
         start: usize,
         status: u16,
         head: &httparse::Response,
-    ) -> Result<Option<Answer>, &'static str> {
+    ) -> Result<Option<Response>, &'static str> {
         let line = input[from..start].iter().position(|byte| *byte == b'\n');
         let head_at = line.map_or(start, |end| from + end + 1);
         let bare = status == 204 || status == 304;
-        let length = if bare { Ok(Length::Fixed(0)) } else { http::length(head.headers, Length::UntilClose) };
+        let length = if bare {
+            Ok(BodyLength::Fixed(0))
+        } else {
+            http::body_length(head.headers, BodyLength::UntilClose)
+        };
         let (body, end) = match length.map_err(|bad| bad.1)? {
-            Length::Fixed(size) if size > BODY_MOST => return Err("body-too-large"),
-            Length::Fixed(size) if input.len() < start + size => return Ok(None),
-            Length::Fixed(size) => (Body::Read(start..start + size), start + size),
-            Length::UntilClose if input.len() > start + BODY_MOST => return Err("body-too-large"),
-            Length::UntilClose if ended != Some(Ending::Closed) => return Ok(None),
-            Length::UntilClose => (Body::Read(start..input.len()), input.len()),
-            Length::Chunked => {
+            BodyLength::Fixed(size) if size > MAX_BODY_LEN => return Err("body-too-large"),
+            BodyLength::Fixed(size) if input.len() < start + size => return Ok(None),
+            BodyLength::Fixed(size) => (Body::Buffered(start..start + size), start + size),
+            BodyLength::UntilClose if input.len() > start + MAX_BODY_LEN => return Err("body-too-large"),
+            BodyLength::UntilClose if ended != Some(ConnectionEnd::Closed) => return Ok(None),
+            BodyLength::UntilClose => (Body::Buffered(start..input.len()), input.len()),
+            BodyLength::Chunked => {
                 let (chunks, joined, at) =
-                    self.chunks.get_or_insert_with(|| (Chunks::default(), Vec::new(), start));
+                    self.chunks.get_or_insert_with(|| (ChunkedDecoder::default(), Vec::new(), start));
                 *at +=
                     chunks.feed(&input[*at..], |data| joined.extend_from_slice(data)).map_err(|bad| bad.1)?;
-                if joined.len() > BODY_MOST {
+                if joined.len() > MAX_BODY_LEN {
                     return Err("body-too-large");
-                } else if !chunks.is_over() {
+                } else if !chunks.is_complete() {
                     return Ok(None);
                 }
-                (Body::Joined(std::mem::take(joined)), *at)
+                (Body::Decoded(std::mem::take(joined)), *at)
             }
         };
-        let turned_away = http::text(head.headers, "x-turned-away") == Some("1");
+        let turned_away = http::header_text(head.headers, "x-turned-away") == Some("1");
         let how = match status {
             200 => End::Ok,
             503 | 504 if turned_away => End::Full,
             _ => End::Error,
         };
-        let settled = http::text(head.headers, "x-settled").and_then(|units| units.parse().ok());
-        let closes = head.version == Some(0) || http::lists(head.headers, "connection", "close");
-        Ok(Some(Answer {
-            how,
+        let settled = http::header_text(head.headers, "x-settled").and_then(|units| units.parse().ok());
+        let closes = head.version == Some(0) || http::header_has_token(head.headers, "connection", "close");
+        Ok(Some(Response {
+            end: how,
             status,
             body,
-            head: head_at..start,
-            length: end,
-            reusable: !closes && length != Ok(Length::UntilClose) && ended.is_none(),
+            header_lines: head_at..start,
+            message_length: end,
+            reusable: !closes && length != Ok(BodyLength::UntilClose) && ended.is_none(),
             settled: settled.filter(|units: &f64| units.is_finite() && *units >= 0.0).unwrap_or(0.0),
-            load: http::header(head.headers, "x-pressure").map(|load| http::place(input, load)),
+            load_report: http::header(head.headers, "x-pressure").map(|load| http::range_within(input, load)),
         }))
     }
 }
 
 /// The values of a load report in the order of `columns`; one that can't be read makes all of it untold.
-pub fn load(text: &[u8], columns: &[String]) -> Vec<f64> {
+pub fn parse_load_report(text: &[u8], columns: &[String]) -> Vec<f64> {
     let report: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
     columns.iter().map(|column| report[column.as_str()].as_f64()).collect::<Option<_>>().unwrap_or_default()
 }
--- a/crates/gateway/src/tcp_info.rs
+++ b/crates/gateway/src/tcp_info.rs
@@ -12,7 +12,7 @@
 
 /// How long ago data came in last, or the connection came up if none did; to some milliseconds. Nothing where the system
 /// does not tell, or knows no such connection.
-pub fn since_last_data(stream: &impl AsFd) -> Option<Nanos> {
+pub fn time_since_last_data(stream: &impl AsFd) -> Option<Nanos> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     let descriptor = stream.as_fd().as_raw_fd();
--- a/crates/gateway/tests/cuts.rs
+++ b/crates/gateway/tests/cuts.rs
@@ -1,12 +1,12 @@
 //! Bytes that come in any pieces, with an end or a reset at any of them: what comes of it is what came of the whole, or a
 //! clean failure. Seeded, so that each run plays the same cuts; a failure prints the round.
 
-use gateway::clients::{Client, Got};
+use gateway::clients::{Client, Parsed};
 use gateway::config::Config;
-use gateway::counter::{Call, Line};
-use gateway::driver::Ending;
-use gateway::list::{Told, Watch};
-use gateway::servers::{Answer, Link};
+use gateway::counter::{Call, CounterConnection};
+use gateway::driver::ConnectionEnd;
+use gateway::list::{ListUpdate, Watch};
+use gateway::servers::{Response, ServerConnection};
 use martenramp::host::End;
 use standins::scripted::{
     Peer, Program, SEC, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
@@ -14,7 +14,8 @@
 use std::net::SocketAddr;
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
-const ENDINGS: [Ending; 3] = [Ending::Closed, Ending::Reset, Ending::Failed("broken-pipe")];
+const ENDINGS: [ConnectionEnd; 3] =
+    [ConnectionEnd::Closed, ConnectionEnd::Reset, ConnectionEnd::Failed("broken-pipe")];
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -55,15 +56,17 @@
 }
 
 /// What one link makes of a text that comes in pieces, before an end of its connection and with it.
-fn looked(text: &str, pieces: &[usize], ended: Option<Ending>) -> Option<Answer> {
-    let mut link = Link::new(1, 0);
+fn looked(text: &str, pieces: &[usize], ended: Option<ConnectionEnd>) -> Option<Response> {
+    let mut link = ServerConnection::new(1, 0);
     for to in pieces {
-        let found = link.look(&text.as_bytes()[..*to], None).unwrap();
+        let found = link.parse_response(&text.as_bytes()[..*to], None).unwrap();
         if found.is_some() {
             return found;
         }
     }
-    ended.and_then(|ended| link.look(&text.as_bytes()[..*pieces.last().unwrap()], Some(ended)).unwrap())
+    ended.and_then(|ended| {
+        link.parse_response(&text.as_bytes()[..*pieces.last().unwrap()], Some(ended)).unwrap()
+    })
 }
 
 #[test]
@@ -71,10 +74,10 @@
     let mut chance = fastrand::Rng::with_seed(11);
     for round in 0..3_000 {
         let (text, told) = any_answer(&mut chance);
-        let whole = looked(&text, &[text.len()], Some(Ending::Closed));
+        let whole = looked(&text, &[text.len()], Some(ConnectionEnd::Closed));
         assert!(whole.is_some(), "{round}: {text:?}");
         let pieces = cuts(&mut chance, text.len());
-        let same = looked(&text, &pieces, Some(Ending::Closed));
+        let same = looked(&text, &pieces, Some(ConnectionEnd::Closed));
         assert_eq!(same, whole, "{round}: {pieces:?} of {text:?}");
         assert_eq!(
             looked(&text, &pieces, None).is_some(),
@@ -87,7 +90,7 @@
         for ended in ENDINGS {
             let got = looked(&text[..short], &pieces, Some(ended));
             assert!(
-                got.is_none() || !told && ended == Ending::Closed,
+                got.is_none() || !told && ended == ConnectionEnd::Closed,
                 "{round}: {ended:?} at {short} of {text:?}"
             );
         }
@@ -108,7 +111,7 @@
 }
 
 /// What a watch finds in a text that comes in pieces, and whether it broke off.
-fn told(text: &str, pieces: &[usize]) -> (Vec<Told>, Option<&'static str>) {
+fn told(text: &str, pieces: &[usize]) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut found, mut from) = (Watch::new(0, usize::MAX), Vec::new(), 0);
     for to in pieces {
         match watch.feed(SEC, &text.as_bytes()[from..*to], &mut found) {
@@ -159,17 +162,17 @@
         "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"1\",\"settings\":{}}}",
         settings("")
     );
-    let config = Config::read(&config, |_| None).unwrap();
+    let config = Config::parse(&config, |_| None).unwrap();
     for round in 0..2_000 {
         let method = *chance.choice(&["read", "submit", "verify"]).unwrap();
         let text = rpc(method, chance.u64(1..5000));
         let text = format!("{}{text}", "\r\n".repeat(chance.usize(..3)));
-        let whole = Client::default().look(&config, SEC, text.as_bytes());
-        assert!(matches!(whole, Ok(Got::Rpc(_))), "{round}: {text:?}");
+        let whole = Client::default().parse_message(&config, SEC, text.as_bytes());
+        assert!(matches!(whole, Ok(Parsed::Rpc(_))), "{round}: {text:?}");
         let mut client = Client::default();
         for to in cuts(&mut chance, text.len()) {
-            let got = client.look(&config, SEC, &text.as_bytes()[..to]);
-            let expected = if to == text.len() { whole.clone() } else { Ok(Got::Part) };
+            let got = client.parse_message(&config, SEC, &text.as_bytes()[..to]);
+            let expected = if to == text.len() { whole.clone() } else { Ok(Parsed::Incomplete) };
             assert_eq!(got, expected, "{round}: {to} of {text:?}");
         }
     }
@@ -183,15 +186,16 @@
         let said = ["$3\r\n7.5\r\n", "-BUSY later\r\n", "-ERR no such call\r\n", ":8\r\n", "$5\r\n1e-06\r\n"];
         let text: String = (0..calls).map(|_| *chance.choice(&said).unwrap()).collect();
         let fed = |pieces: &[usize]| {
-            let (mut line, mut out, mut ended, mut from) = (Line::default(), Vec::new(), Vec::new(), 0);
-            line.opened(&mut out, SEC);
+            let (mut line, mut out, mut ended, mut from) =
+                (CounterConnection::default(), Vec::new(), Vec::new(), 0);
+            line.connected(&mut out, SEC);
             for serial in 1..=calls {
-                line.call(&mut out, SEC, Call { serial, name: serial, add: 1.0, forget: SEC });
+                line.send_call(&mut out, SEC, Call { serial, name: serial, add: 1.0, ttl: SEC });
             }
             for to in pieces {
                 from += line.feed(SEC, &text.as_bytes()[from..*to], &mut ended).unwrap();
             }
-            (ended, line.broke())
+            (ended, line.disconnect())
         };
         let (whole, left) = fed(&[text.len()]);
         assert!(whole.len() == calls as usize && left.is_empty());
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Lists of servers of any length: taken in pieces within a bound on memory, whole or not at all.
 
 use gateway::changes::{Change, Changes, WORK_A_TURN};
-use gateway::json_stream::{DEPTH_MOST, ELEMENT_MOST, FRAME_MOST};
-use gateway::list::{self, Told, Watch};
-use gateway::name_ids::Directory;
+use gateway::json_stream::{MAX_DEPTH, MAX_ELEMENT_LEN, MAX_ENVELOPE_LEN};
+use gateway::list::{self, ListUpdate, Watch};
+use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
 use martenramp::subsetting;
@@ -23,7 +23,7 @@
 }
 
 /// What a watch with this much memory for entries makes of an object that comes in pieces of this length, and its fault.
-fn taken(object: &[u8], memory: usize, piece: usize) -> (Vec<Told>, Option<&'static str>) {
+fn taken(object: &[u8], memory: usize, piece: usize) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut told, mut buffer) = (Watch::new(0, memory), Vec::new(), Vec::new());
     let head = format!("{WATCH}{:x}\r\n", object.len());
     let bytes = [head.as_bytes(), object, b"\r\n"].concat();
@@ -38,9 +38,9 @@
 }
 
 /// The first object in these bytes, read as a whole; a fault behind its end is another matter.
-fn parsed(bytes: &[u8]) -> Option<Told> {
+fn parsed(bytes: &[u8]) -> Option<ListUpdate> {
     let first = serde_json::Deserializer::from_slice(bytes).into_iter::<serde_json::Value>().next()?;
-    list::read(&first.ok()?, &Services::default())
+    list::parse(&first.ok()?, &Services::default())
 }
 
 /// Keys in any order, with others that mean nothing here, and white space wherever it may stand.
@@ -107,8 +107,8 @@
 fn an_object_that_can_not_be_taken_says_why_and_nothing_of_it_is_told() {
     let good = entry("a", address(1), "ready");
     let of = |entries: &str| format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entries}]}}");
-    let (deep, long) = ("[".repeat(DEPTH_MOST), "x".repeat(ELEMENT_MOST));
-    let frame = "x".repeat(FRAME_MOST);
+    let (deep, long) = ("[".repeat(MAX_DEPTH), "x".repeat(MAX_ELEMENT_LEN));
+    let frame = "x".repeat(MAX_ENVELOPE_LEN);
     for (object, why) in [
         ("[1,2]".to_string(), "garbled-object"),
         ("{\"error\":\"no such page\"}".to_string(), "garbled-object"),
@@ -136,7 +136,7 @@
         }
     }
     // White space around the entries takes no memory, however much of it there is.
-    let blanks = " ".repeat(4 * FRAME_MOST);
+    let blanks = " ".repeat(4 * MAX_ENVELOPE_LEN);
     let padded = of(&good).replace(",\"endpoints\":[", &format!(",{blanks}\"endpoints\"{blanks}:[{blanks}"));
     assert_eq!(taken(padded.as_bytes(), AMPLE, 1000), (vec![parsed(padded.as_bytes()).unwrap()], None));
 }
@@ -164,7 +164,7 @@
 #[test]
 fn a_watch_that_goes_on_by_entries_is_alive_and_one_that_says_blanks_in_the_midst_of_an_object_is_not() {
     let (mut watch, mut told, mut out) = (Watch::new(0, AMPLE), Vec::new(), Vec::new());
-    watch.ask(&mut out, SEC);
+    watch.write_request(&mut out, SEC);
     watch.feed(SEC, WATCH.as_bytes(), &mut told).unwrap();
     let begin = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
     let piece = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -172,14 +172,14 @@
     for second in 2..30 {
         let one = entry(&format!("s{second}"), address(1), "ready") + if second == 29 { "]}" } else { "," };
         watch.feed(second * SEC, piece(&one).as_bytes(), &mut told).unwrap();
-        assert!(!watch.is_silent(second * SEC + SEC / 2));
+        assert!(!watch.is_unresponsive(second * SEC + SEC / 2));
     }
     assert_eq!(told[0].entries.len(), 28);
     watch.feed(30 * SEC, piece(begin).as_bytes(), &mut told).unwrap();
     for second in 31..34 {
         watch.feed(second * SEC, piece("\n").as_bytes(), &mut told).unwrap();
     }
-    assert!(watch.is_silent(33 * SEC + SEC / 2 + MS));
+    assert!(watch.is_unresponsive(33 * SEC + SEC / 2 + MS));
 }
 
 /// Asks `count` times at once for a watch whose first object can't be taken, each time `apart`: the least rests.
@@ -188,9 +188,9 @@
     let bad = format!("{WATCH}{}", chunk("[]"));
     (0..count as u64)
         .map(|call| {
-            watch.ask(&mut Vec::new(), call * 100 * SEC);
+            watch.write_request(&mut Vec::new(), call * 100 * SEC);
             watch.feed(call * 100 * SEC + apart, bad.as_bytes(), &mut Vec::new()).unwrap_err();
-            watch.rest_untaken(&mut chance)
+            watch.invalid_list_delay(&mut chance)
         })
         .collect()
 }
@@ -275,7 +275,7 @@
 #[derive(Default)]
 struct Held {
     servers: Servers,
-    directory: Directory,
+    directory: NameIds,
 }
 
 /// What bringing a list into force took.
@@ -293,11 +293,11 @@
 
 impl Held {
     fn ready(&self) -> usize {
-        self.servers.by_number.values().filter(|server| server.listed && server.ready).count()
+        self.servers.by_number.values().filter(|server| server.is_listed && server.ready).count()
     }
 
     /// Brings a list into force with so much work a turn.
-    fn take(&mut self, told: Told, work_a_turn: usize) -> Effort {
+    fn take(&mut self, told: ListUpdate, work_a_turn: usize) -> Effort {
         let mut changes = Changes::new(told);
         let mut effort = Effort { fewest_ready: usize::MAX, turns: 1, ..Effort::default() };
         let mut work = work_a_turn;
@@ -312,18 +312,18 @@
             effort.came.extend(batch.coming.iter().map(|change| change.listed.key));
             for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
                 match address {
-                    Some(address) => drop(self.servers.list(&listed, address)),
-                    None => drop(self.servers.take_off(listed.key)),
+                    Some(address) => drop(self.servers.upsert(&listed, address)),
+                    None => drop(self.servers.delist(listed.key)),
                 }
             }
-            self.servers.forget();
+            self.servers.remove_unused();
             effort.fewest_ready = effort.fewest_ready.min(self.ready());
         }
         effort
     }
 }
 
-fn told(whole: bool, names: impl Iterator<Item = String>, status: &str) -> Told {
+fn told(whole: bool, names: impl Iterator<Item = String>, status: &str) -> ListUpdate {
     let entries: Vec<String> = names.map(|name| entry(&name, address(1), status)).collect();
     parsed(list(1, whole, &entries).as_bytes()).unwrap()
 }
@@ -467,11 +467,11 @@
     let names = ["orders/1", "billing/1", "nameless", "catalog/1", "other"];
     let entries: Vec<String> = names.iter().map(|name| entry(name, address(1), "ready")).collect();
     let text = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
-    let (mut watch, mut told) = (Watch::of_services(0, AMPLE, two), Vec::new());
+    let (mut watch, mut told) = (Watch::for_services(0, AMPLE, two), Vec::new());
     watch.feed(SEC, text.as_bytes(), &mut told).unwrap();
     let taken: Vec<(&str, u32)> = told[0].entries.iter().map(|entry| (&*entry.name, entry.service)).collect();
     assert_eq!(taken, [("orders/1", 2), ("catalog/1", 1)]);
-    assert_eq!((told[0].untold, told[0].first_untold.as_deref()), (2, Some("nameless")));
+    assert_eq!((told[0].without_service, told[0].first_without_service.as_deref()), (2, Some("nameless")));
 }
 
 // ---- With the program itself.
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -1,13 +1,13 @@
 //! What is said on the connections, without a socket: state machines fed bytes, whole, in pieces and garbled.
 
-use gateway::clients::{self, Client, Got};
+use gateway::clients::{self, Client, Parsed};
 use gateway::config::Config;
-use gateway::counter::{Call, DEAD_AFTER, Line};
-use gateway::driver::Ending;
+use gateway::counter::{Call, CounterConnection, REPLY_TIMEOUT};
+use gateway::driver::ConnectionEnd;
 use gateway::guard::Effect;
-use gateway::http::{Bad, Chunks};
+use gateway::http::{ChunkedDecoder, MessageError};
 use gateway::list::Watch;
-use gateway::servers::{self, Attempt, Body, Link, Reuses, Servers};
+use gateway::servers::{self, Attempt, Body, ReuseHistory, ServerConnection, Servers};
 use martenramp::host::{End, Listed};
 use martenramp::subsetting;
 use standins::scripted::{MS, SEC, WATCH, chunk, entry, list, rpc, settings};
@@ -19,7 +19,7 @@
          \"limits\":{{\"sockets\":512}},\"settings\":{}}}",
         settings("")
     );
-    Config::read(&text, |_| None).unwrap()
+    Config::parse(&text, |_| None).unwrap()
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -29,11 +29,11 @@
 #[test]
 fn the_configuration_is_read_as_the_module_gets_it_on_the_wire() {
     let config = config();
-    assert_eq!((config.seed, config.sockets), (0x8c1f30d27a5be964, 512));
+    assert_eq!((config.seed, config.descriptor_limit), (0x8c1f30d27a5be964, 512));
     let get = |name: &str| config.settings[name].as_str();
     assert_eq!((get("classes.count"), get("classes.1.idempotency")), ("3", "guarded"));
     assert_eq!((get("tariffs.0.perSecond"), get("localities")), ("100.0", "a,b"));
-    assert_eq!(config.setting("ceilings.connIdle"), Some(15.0));
+    assert_eq!(config.positive_setting("ceilings.connIdle"), Some(15.0));
     let effects: Vec<Effect> = config.methods.iter().map(|method| method.effect).collect();
     let deduplicated = Effect::Deduplicated { window: 5_000_000_000, anywhere: true };
     assert_eq!(effects, [Effect::Idempotent, deduplicated, Effect::Once]);
@@ -44,18 +44,20 @@
     let (config, text) = (config(), rpc("submit", 480) + "GET /-/ready");
     let whole = text.len() - "GET /-/ready".len();
     for cut in 0..whole {
-        let got = Client::default().look(&config, SEC, &text.as_bytes()[..cut]);
-        assert_eq!(got, Ok(Got::Part), "{cut}");
+        let got = Client::default().parse_message(&config, SEC, &text.as_bytes()[..cut]);
+        assert_eq!(got, Ok(Parsed::Incomplete), "{cut}");
     }
-    let Ok(Got::Rpc(found)) = Client::default().look(&config, SEC, text.as_bytes()) else { panic!() };
+    let Ok(Parsed::Rpc(found)) = Client::default().parse_message(&config, SEC, text.as_bytes()) else {
+        panic!()
+    };
     assert_eq!((found.customer, found.remaining_ms, found.method, found.plan), (0xb4d65521, 480, 1, 0));
     assert_eq!((found.units, found.width, found.first, found.body.end), (2.0, 1, 0, whole));
-    assert!(&text[found.body.clone()] == "body" && !found.get && !found.close);
+    assert!(&text[found.body.clone()] == "body" && !found.is_get && !found.close);
     // Its time runs from the first byte, not from the last.
     let mut slow = Client::default();
-    slow.look(&config, SEC, &text.as_bytes()[..10]).unwrap();
-    slow.look(&config, 2 * SEC, text.as_bytes()).unwrap();
-    assert_eq!(slow.since, SEC);
+    slow.parse_message(&config, SEC, &text.as_bytes()[..10]).unwrap();
+    slow.parse_message(&config, 2 * SEC, text.as_bytes()).unwrap();
+    assert_eq!(slow.state_since, SEC);
 }
 
 #[test]
@@ -63,15 +65,15 @@
     let (config, mut client) = (config(), Client::default());
     let text = rpc("submit", 480).replace("X-Lane", "Expect: 100-continue\r\nX-Lane");
     let head = &text.as_bytes()[..text.len() - 4];
-    assert_eq!(client.look(&config, SEC, head), Ok(Got::Continue));
-    assert_eq!(client.look(&config, SEC, head), Ok(Got::Part));
-    assert!(matches!(client.look(&config, SEC, text.as_bytes()), Ok(Got::Rpc(_))));
+    assert_eq!(client.parse_message(&config, SEC, head), Ok(Parsed::Continue));
+    assert_eq!(client.parse_message(&config, SEC, head), Ok(Parsed::Incomplete));
+    assert!(matches!(client.parse_message(&config, SEC, text.as_bytes()), Ok(Parsed::Rpc(_))));
 }
 
 #[test]
 fn a_pushback_says_when_to_come_back_and_an_answer_where_it_ends() {
     let mut out = Vec::new();
-    clients::write_own(&mut out, 429, 250 * MS, true);
+    clients::write_response(&mut out, 429, 250 * MS, true);
     let text = String::from_utf8(out).unwrap();
     assert!(text.starts_with("HTTP/1.1 429 ") && text.contains("\r\nRetry-After: 0.250\r\n"));
     assert!(text.contains("\r\nConnection: close\r\n"));
@@ -81,17 +83,17 @@
 
 /// What a link makes of an answer that comes whole, and of one that the connection's end follows.
 fn looked(text: &str, ended: bool) -> Result<Option<(End, String, bool)>, &'static str> {
-    looked_at(text, ended.then_some(Ending::Closed))
+    looked_at(text, ended.then_some(ConnectionEnd::Closed))
 }
 
-fn looked_at(text: &str, ended: Option<Ending>) -> Result<Option<(End, String, bool)>, &'static str> {
-    let answer = Link::new(1, 0).look(text.as_bytes(), ended)?;
+fn looked_at(text: &str, ended: Option<ConnectionEnd>) -> Result<Option<(End, String, bool)>, &'static str> {
+    let answer = ServerConnection::new(1, 0).parse_response(text.as_bytes(), ended)?;
     Ok(answer.map(|answer| {
         let body = match &answer.body {
-            Body::Read(range) => text[range.clone()].to_string(),
-            Body::Joined(bytes) => String::from_utf8(bytes.clone()).unwrap(),
+            Body::Buffered(range) => text[range.clone()].to_string(),
+            Body::Decoded(bytes) => String::from_utf8(bytes.clone()).unwrap(),
         };
-        (answer.how, body, answer.reusable)
+        (answer.end, body, answer.reusable)
     }))
 }
 
@@ -129,7 +131,7 @@
     );
     assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", false), Ok(None), "its end is the connection's");
     assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", true), ok(End::Ok, "all", false));
-    for broken in [Ending::Reset, Ending::Failed("broken-pipe")] {
+    for broken in [ConnectionEnd::Reset, ConnectionEnd::Failed("broken-pipe")] {
         assert_eq!(looked_at("HTTP/1.1 200 OK\r\n\r\nall", Some(broken)), Ok(None), "{broken:?} is no end");
         let turned_away = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\n";
         assert_eq!(looked_at(turned_away, Some(broken)), Ok(None), "{broken:?}");
@@ -142,16 +144,20 @@
 fn a_chunked_answer_is_joined_wherever_its_bytes_are_cut() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Settled: 2.5\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n";
     for cut in 1..text.len() {
-        let mut link = Link::new(1, 0);
-        assert_eq!(link.look(&text.as_bytes()[..cut], None), Ok(None), "{cut}");
-        let answer = link.look(text.as_bytes(), None).unwrap().unwrap();
+        let mut link = ServerConnection::new(1, 0);
+        assert_eq!(link.parse_response(&text.as_bytes()[..cut], None), Ok(None), "{cut}");
+        let answer = link.parse_response(text.as_bytes(), None).unwrap().unwrap();
         assert_eq!(
-            (answer.body, answer.settled, answer.length),
-            (Body::Joined(b"abcde".to_vec()), 2.5, text.len())
+            (answer.body, answer.settled, answer.message_length),
+            (Body::Decoded(b"abcde".to_vec()), 2.5, text.len())
         );
     }
     for bad in ["x\r\n", "+3\r\nabc\r\n", "3\r\nabcd\r\n", "fffffffff\r\n"] {
-        assert_eq!(Chunks::default().feed(bad.as_bytes(), |_| {}), Err(Bad(400, "bad-chunk")), "{bad}");
+        assert_eq!(
+            ChunkedDecoder::default().feed(bad.as_bytes(), |_| {}),
+            Err(MessageError(400, "bad-chunk")),
+            "{bad}"
+        );
     }
 }
 
@@ -160,10 +166,12 @@
     let config = config();
     let text = rpc("submit", 480)
         .replace("X-Lane", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTraceparent: t\r\nX-Lane");
-    let Ok(Got::Rpc(found)) = Client::default().look(&config, SEC, text.as_bytes()) else { panic!() };
-    let (mut link, mut out) = (Link::new(1, 0), Vec::new());
-    let attempt = Attempt { rpc: 1, nth: 0, sent: SEC, until: 2 * SEC, before: u64::MAX };
-    link.write(&mut out, attempt, &found, text.as_bytes(), 300 * MS);
+    let Ok(Parsed::Rpc(found)) = Client::default().parse_message(&config, SEC, text.as_bytes()) else {
+        panic!()
+    };
+    let (mut link, mut out) = (ServerConnection::new(1, 0), Vec::new());
+    let attempt = Attempt { rpc: 1, number: 0, requested_at: SEC, deadline: 2 * SEC, write_by: u64::MAX };
+    link.write_attempt(&mut out, attempt, &found, text.as_bytes(), 300 * MS);
     let sent = String::from_utf8(out).unwrap();
     assert!(sent.starts_with("POST /api/00000000b4d65521?q=1 HTTP/1.1\r\nHost: service.internal\r\n"));
     assert!(sent.ends_with("Content-Length: 4\r\nX-Remaining-Ms: 300\r\n\r\nbody"));
@@ -180,7 +188,10 @@
 #[test]
 fn a_load_report_is_put_in_the_order_of_the_settings() {
     let columns = ["util".to_string(), "inflight".to_string(), "queue".to_string()];
-    assert_eq!(servers::load(b"{\"inflight\":7,\"util\":0.61,\"queue\":0}", &columns), [0.61, 7.0, 0.0]);
+    assert_eq!(
+        servers::parse_load_report(b"{\"inflight\":7,\"util\":0.61,\"queue\":0}", &columns),
+        [0.61, 7.0, 0.0]
+    );
     // What can't be read is untold, never nought.
     for spoilt in [
         "7",
@@ -188,7 +199,7 @@
         "{\"inflight\":\"x\",\"util\":0.61,\"queue\":0}",
         "{\"inflight\":",
     ] {
-        assert!(servers::load(spoilt.as_bytes(), &columns).is_empty(), "{spoilt}");
+        assert!(servers::parse_load_report(spoilt.as_bytes(), &columns).is_empty(), "{spoilt}");
     }
 }
 
@@ -197,37 +208,37 @@
     let mut all = Servers::default();
     let listed =
         |name, came_up| Listed { key: subsetting::key(name), came_up, ready: true, ..Listed::default() };
-    let (one, _) = all.list(&listed("a", 0), address(1));
-    let (two, _) = all.list(&listed("b", 0), address(1));
+    let (one, _) = all.upsert(&listed("a", 0), address(1));
+    let (two, _) = all.upsert(&listed("b", 0), address(1));
     assert!(one != two);
-    all.by_number.get_mut(&one).unwrap().idle.push((77, SEC));
-    assert_eq!(all.list(&listed("a", 0), address(1)), (one, vec![]));
-    assert_eq!(all.list(&listed("a", 0), address(2)), (one, vec![77]));
-    all.by_number.get_mut(&one).unwrap().idle.push((78, SEC));
-    assert_eq!(all.list(&listed("a", 9), address(2)), (one, vec![78]), "a new life at the same address");
-    all.by_number.get_mut(&one).unwrap().idle.push((79, SEC));
-    all.by_number.get_mut(&one).unwrap().open = 1;
-    let (off, idle) = all.take_off(subsetting::key("a")).unwrap();
+    all.by_number.get_mut(&one).unwrap().idle_connections.push((77, SEC));
+    assert_eq!(all.upsert(&listed("a", 0), address(1)), (one, vec![]));
+    assert_eq!(all.upsert(&listed("a", 0), address(2)), (one, vec![77]));
+    all.by_number.get_mut(&one).unwrap().idle_connections.push((78, SEC));
+    assert_eq!(all.upsert(&listed("a", 9), address(2)), (one, vec![78]), "a new life at the same address");
+    all.by_number.get_mut(&one).unwrap().idle_connections.push((79, SEC));
+    all.by_number.get_mut(&one).unwrap().open_connections = 1;
+    let (off, idle) = all.delist(subsetting::key("a")).unwrap();
     assert!((off.server, off.ready, idle) == (one, false, vec![79]));
-    all.forget();
-    assert!(!all.held(subsetting::key("a")).unwrap().listed, "held while a connection is open");
-    all.by_number.get_mut(&one).unwrap().open = 0;
-    all.forget();
+    all.remove_unused();
+    assert!(!all.by_key(subsetting::key("a")).unwrap().is_listed, "held while a connection is open");
+    all.by_number.get_mut(&one).unwrap().open_connections = 0;
+    all.remove_unused();
     assert!(
-        all.held(subsetting::key("a")).is_none()
-            && all.held(subsetting::key("b")).unwrap().told.server == two
+        all.by_key(subsetting::key("a")).is_none()
+            && all.by_key(subsetting::key("b")).unwrap().last_listed.server == two
     );
-    assert!(all.list(&listed("a", 9), address(2)).0 != one, "numbers are not used again");
+    assert!(all.upsert(&listed("a", 9), address(2)).0 != one, "numbers are not used again");
 }
 
 #[test]
 fn connections_that_break_after_a_rest_are_not_used_after_such_a_rest() {
-    let mut reuses = Reuses::default();
+    let mut reuses = ReuseHistory::default();
     // One in ten breaks whatever its rest: nothing follows from that.
-    (0..200).for_each(|one| reuses.ended(SEC, one % 20 * 10 * MS, one % 10 == 0));
+    (0..200).for_each(|one| reuses.record(SEC, one % 20 * 10 * MS, one % 10 == 0));
     assert!(reuses.allows(SEC, 190 * MS));
     // Most of those that rested for 0.15 s break.
-    (0..200).for_each(|one| reuses.ended(SEC, one % 20 * 10 * MS, one % 20 >= 15 && one % 2 == 0));
+    (0..200).for_each(|one| reuses.record(SEC, one % 20 * 10 * MS, one % 20 >= 15 && one % 2 == 0));
     assert!(!reuses.allows(SEC, 170 * MS) && reuses.allows(SEC, 100 * MS));
     assert!(reuses.allows(32 * SEC, 170 * MS), "which is tried again after a while");
 }
@@ -241,18 +252,21 @@
         let (mut watch, mut out) = (Watch::new(0, usize::MAX), Vec::new());
         let (mut told, mut buffer) = (Vec::new(), Vec::new());
         watch.index = 9;
-        watch.ask(&mut out, SEC);
+        watch.write_request(&mut out, SEC);
         assert!(out.starts_with(b"GET /api/targets?watch=1&from=9 HTTP/1.1\r\n"));
         for piece in text.as_bytes().chunks(step) {
             buffer.extend_from_slice(piece);
             let used = watch.feed(2 * SEC, &buffer, &mut told).unwrap();
             buffer.drain(..used);
         }
-        assert_eq!((told.len(), watch.heard), (2, 2 * SEC));
+        assert_eq!((told.len(), watch.last_received), (2, 2 * SEC));
         assert!(
-            told[0].whole && told[0].index == 41 && told[0].entries[0].ready && !told[0].entries[1].ready
+            told[0].is_snapshot
+                && told[0].index == 41
+                && told[0].entries[0].ready
+                && !told[0].entries[1].ready
         );
-        assert!(!told[1].whole && told[1].entries[0].gone);
+        assert!(!told[1].is_snapshot && told[1].entries[0].gone);
     }
 }
 
@@ -309,7 +323,7 @@
     let (mut chance, mut watches) = (fastrand::Rng::with_seed(7), Vec::new());
     watches.resize_with(100, || Watch::new(0, usize::MAX));
     let left = without_a_list(100, 15 * SEC, |caller, _, took| {
-        watches[caller as usize].again(took, false, 100, 2 * SEC, &mut chance)
+        watches[caller as usize].retry_delay(took, false, 100, 2 * SEC, &mut chance)
     });
     assert_eq!(left, 0);
 }
@@ -319,9 +333,9 @@
     let longest = |fleet: u32, fails: u32, took: u64| {
         let mut chance = fastrand::Rng::with_seed(7);
         let mut watch = Watch::new(0, usize::MAX);
-        watch.fails = fails;
+        watch.failures = fails;
         (0..1000)
-            .map(|_| (watch.fails, watch.again(took, false, fleet, 2 * SEC, &mut chance)).1)
+            .map(|_| (watch.failures, watch.retry_delay(took, false, fleet, 2 * SEC, &mut chance)).1)
             .max()
             .unwrap()
             / MS
@@ -335,35 +349,35 @@
     firsts.dedup();
     assert!(firsts.len() >= 9 && firsts.iter().all(|tenth| *tenth < 10), "spread over 1 s: {firsts:?}");
     let mut short = Watch::new(0, usize::MAX);
-    let rest = short.again(0, false, 100, 250 * MS, &mut fastrand::Rng::with_seed(1));
+    let rest = short.retry_delay(0, false, 100, 250 * MS, &mut fastrand::Rng::with_seed(1));
     assert!(rest < 125 * MS, "news of a drain is asked for within the time in which it must be heeded");
 }
 
 fn first_rest(seed: u64, fleet: u32) -> u64 {
-    Watch::new(0, usize::MAX).again(0, false, fleet, 2 * SEC, &mut fastrand::Rng::with_seed(seed))
+    Watch::new(0, usize::MAX).retry_delay(0, false, fleet, 2 * SEC, &mut fastrand::Rng::with_seed(seed))
 }
 
 fn call(serial: u64, name: u64) -> Call {
-    Call { serial, name, add: -2.5, forget: 1500 * MS + 1 }
+    Call { serial, name, add: -2.5, ttl: 1500 * MS + 1 }
 }
 
 #[test]
 fn the_counter_is_called_in_resp2_once_its_connection_stands() {
-    let (mut line, mut out) = (Line::default(), Vec::new());
-    line.call(&mut out, SEC, call(1, 77));
-    assert!(out.is_empty() && line.holds(1));
-    line.opened(&mut out, SEC);
+    let (mut line, mut out) = (CounterConnection::default(), Vec::new());
+    line.send_call(&mut out, SEC, call(1, 77));
+    assert!(out.is_empty() && line.has_call(1));
+    line.connected(&mut out, SEC);
     assert_eq!(out, b"*4\r\n$7\r\nINCRTTL\r\n$2\r\n77\r\n$4\r\n-2.5\r\n$4\r\n1501\r\n");
 }
 
 #[test]
 fn answers_of_the_counter_are_told_apart_and_late_ones_keep_their_place() {
-    let (mut line, mut out, mut ended) = (Line::default(), Vec::new(), Vec::new());
-    line.opened(&mut out, SEC);
-    (1..=5).for_each(|serial| line.call(&mut out, SEC, call(serial, serial)));
-    line.ping(&mut out, SEC);
-    assert_eq!(line.time_out(2), Some((call(2, 2), End::TimedOut)));
-    assert_eq!(line.time_out(2), None);
+    let (mut line, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
+    line.connected(&mut out, SEC);
+    (1..=5).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
+    line.send_ping(&mut out, SEC);
+    assert_eq!(line.time_out_call(2), Some((call(2, 2), End::TimedOut)));
+    assert_eq!(line.time_out_call(2), None);
     let text = b"$3\r\n7.5\r\n$4\r\n99.9\r\n-BUSY later\r\n-ERR no such call\r\n:8\r\n+PONG\r\n$2";
     let used = line.feed(SEC, text, &mut ended).unwrap();
     assert_eq!(used, text.len() - 2, "the last is not whole");
@@ -379,31 +393,31 @@
 #[test]
 fn a_counter_answer_without_a_number_was_added_and_ends_its_connection() {
     for spoilt in ["$3\r\nnan\r\n", "$-1\r\n", "+OK\r\n", "-\x7fx7\r\n", ":many\r\n", "$0\r\n\r\n"] {
-        let (mut line, mut out, mut ended) = (Line::default(), Vec::new(), Vec::new());
-        line.opened(&mut out, SEC);
-        (1..=2).for_each(|serial| line.call(&mut out, SEC, call(serial, serial)));
+        let (mut line, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
+        line.connected(&mut out, SEC);
+        (1..=2).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
         let fed = line.feed(SEC, format!("{spoilt}$1\r\n7\r\n").as_bytes(), &mut ended);
         assert_eq!(
             (fed, ended),
             (Err("answer-without-number"), vec![(call(1, 1), End::Error, 0.0)]),
             "{spoilt}"
         );
-        assert_eq!(line.broke(), [(call(2, 2), End::Reset)], "it may have been added");
+        assert_eq!(line.disconnect(), [(call(2, 2), End::Reset)], "it may have been added");
     }
 }
 
 #[test]
 fn calls_on_a_broken_connection_may_have_counted_only_if_they_were_written() {
-    let (mut line, mut out) = (Line::default(), Vec::new());
-    line.call(&mut out, SEC, call(1, 1));
-    assert_eq!(line.time_out(1), Some((call(1, 1), End::NoConnection)), "never written");
-    line.call(&mut out, SEC, call(2, 2));
-    assert_eq!(line.broke(), [(call(2, 2), End::NoConnection)]);
-    line.opened(&mut out, SEC);
-    line.call(&mut out, SEC, call(3, 3));
-    assert!(!line.is_dead(SEC + DEAD_AFTER) && line.is_dead(SEC + DEAD_AFTER + 1));
-    assert_eq!(line.broke(), [(call(3, 3), End::Reset)]);
-    assert!(!line.up && line.written.is_empty());
+    let (mut line, mut out) = (CounterConnection::default(), Vec::new());
+    line.send_call(&mut out, SEC, call(1, 1));
+    assert_eq!(line.time_out_call(1), Some((call(1, 1), End::NoConnection)), "never written");
+    line.send_call(&mut out, SEC, call(2, 2));
+    assert_eq!(line.disconnect(), [(call(2, 2), End::NoConnection)]);
+    line.connected(&mut out, SEC);
+    line.send_call(&mut out, SEC, call(3, 3));
+    assert!(!line.is_unresponsive(SEC + REPLY_TIMEOUT) && line.is_unresponsive(SEC + REPLY_TIMEOUT + 1));
+    assert_eq!(line.disconnect(), [(call(3, 3), End::Reset)]);
+    assert!(!line.is_connected && line.in_flight.is_empty());
 }
 
 #[test]
@@ -427,17 +441,19 @@
                 _ => bytes.extend_from_within(at..),
             }
         }
-        let _ = Client::default().look(&config, SEC, &bytes);
-        let mut link = Link::new(1, 0);
+        let _ = Client::default().parse_message(&config, SEC, &bytes);
+        let mut link = ServerConnection::new(1, 0);
         let cut = chance.usize(..=bytes.len());
-        let _ = link.look(&bytes[..cut], None).and_then(|_| link.look(&bytes, Some(Ending::Closed)));
+        let _ = link
+            .parse_response(&bytes[..cut], None)
+            .and_then(|_| link.parse_response(&bytes, Some(ConnectionEnd::Closed)));
         let _ = Watch::new(0, usize::MAX).feed(SEC, &bytes, &mut Vec::new());
-        let (mut line, mut out) = (Line::default(), Vec::new());
-        line.opened(&mut out, SEC);
-        (1..4).for_each(|serial| line.call(&mut out, SEC, call(serial, serial)));
+        let (mut line, mut out) = (CounterConnection::default(), Vec::new());
+        line.connected(&mut out, SEC);
+        (1..4).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
         let _ = line.feed(SEC, &bytes, &mut Vec::new());
-        let _ = Config::read(&String::from_utf8_lossy(&bytes), |_| None);
-        let _ = servers::load(&bytes, &["util".to_string()]);
+        let _ = Config::parse(&String::from_utf8_lossy(&bytes), |_| None);
+        let _ = servers::parse_load_report(&bytes, &["util".to_string()]);
     }
 }
 
@@ -455,7 +471,7 @@
         let text = format!(
             "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"1\",\"settings\":{settings}}}"
         );
-        Config::read(&text, |_| None).err()
+        Config::parse(&text, |_| None).err()
     };
     assert_eq!(read(&settings("")), None);
     for (from, to, why) in [
--- a/crates/gateway/tests/turns.rs
+++ b/crates/gateway/tests/turns.rs
@@ -1,7 +1,7 @@
 //! The driver's turns, with something else than the gateway to turn: what one connection can take of them.
 
 use gateway::driver::{Driver, EventHandler, Net};
-use gateway::logs::Logs;
+use gateway::logs::LogBuffer;
 use martenramp::host::Nanos;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -38,59 +38,59 @@
         std::thread::sleep(self.start_takes);
         self.due_at = now + self.start_takes.as_nanos() as Nanos + MS;
     }
-    fn woke(&mut self) {
-        self.first_late.get_or_insert(self.net.late);
+    fn turn_started(&mut self) {
+        self.first_late.get_or_insert(self.net.input_delay);
         self.turns += 1;
         self.turn.clear();
     }
-    fn heard(&mut self, _: &[u8]) {}
-    fn next_turn(&mut self) -> Option<Nanos> {
+    fn datagram_received(&mut self, _: &[u8]) {}
+    fn next_timer(&mut self) -> Option<Nanos> {
         Some(self.due_at)
     }
     fn stop(&mut self) {}
     fn reload(&mut self) {}
-    fn listens(&self) -> bool {
+    fn is_listening(&self) -> bool {
         true
     }
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.left == 0
     }
-    fn has_room(&mut self) -> bool {
+    fn can_accept(&mut self) -> bool {
         true
     }
-    fn client_input_most(&self) -> usize {
+    fn max_client_input(&self) -> usize {
         MOST
     }
     fn accepted(&mut self, _: usize) {}
-    fn accept_later(&mut self) {}
-    fn shed(&mut self) -> bool {
+    fn retry_accept_later(&mut self) {}
+    fn free_descriptor(&mut self) -> bool {
         false
     }
-    fn up(&mut self, _: usize) {}
-    fn wrote(&mut self, _: usize) {}
-    fn came(&mut self, id: usize) {
+    fn connected(&mut self, _: usize) {}
+    fn output_written(&mut self, _: usize) {}
+    fn input_received(&mut self, id: usize) {
         let got = self.net.input(id).len();
-        self.net.used(id, got);
+        self.net.consume(id, got);
         self.taken += got;
         let had = self.turn.entry(id).or_default();
         *had += got;
         self.most = self.most.max(*had);
         let flooded = self.flooded.entry(id).or_default();
         *flooded += got;
-        if *flooded == FLOOD || self.net.ended(id).is_some() {
+        if *flooded == FLOOD || self.net.connection_end(id).is_some() {
             self.flooded.remove(&id);
             self.net.close(id);
             self.left -= 1;
         }
     }
-    fn due(&mut self) -> bool {
+    fn run_due_timers(&mut self) -> bool {
         if self.net.now >= self.due_at {
             self.rings += 1;
             self.due_at = self.net.now + MS;
         }
         false
     }
-    fn settle(&mut self) {}
+    fn process_pending(&mut self) {}
     fn write_attempts(&mut self) {}
 }
 
@@ -121,7 +121,7 @@
         start_takes,
         first_late: None,
     };
-    driver.run(&mut taker, &Logs::default()).unwrap();
+    driver.run(&mut taker, &LogBuffer::default()).unwrap();
     floods.into_iter().for_each(|flood| flood.join().unwrap());
     taker
 }
--- a/crates/scale/src/deployment.rs
+++ b/crates/scale/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment that measurements are made in: its settings, and its servers as discovery lists them.
 
 use gateway::entry::Entry;
-use gateway::list::Told;
+use gateway::list::ListUpdate;
 use martenramp::host::{Nanos, Settings};
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
@@ -92,26 +92,26 @@
         ready: status == Status::Ready,
         gone: status == Status::Gone,
         weight: 1.0,
-        since_ms: 0,
+        started_ms: 0,
     }
 }
 
 /// The whole list of so many servers.
-pub fn whole_list(servers: usize) -> Told {
+pub fn whole_list(servers: usize) -> ListUpdate {
     let entries = (0..servers).map(|number| entry(number, Status::Ready)).collect();
-    Told { index: WHOLE_INDEX, whole: true, entries, ..Told::default() }
+    ListUpdate { index: WHOLE_INDEX, is_snapshot: true, entries, ..ListUpdate::default() }
 }
 
 /// A change of some servers.
-pub fn change(servers: impl IntoIterator<Item = usize>, status: Status) -> Told {
+pub fn change(servers: impl IntoIterator<Item = usize>, status: Status) -> ListUpdate {
     let entries = servers.into_iter().map(|number| entry(number, status)).collect();
-    Told { index: CHANGE_INDEX, whole: false, entries, ..Told::default() }
+    ListUpdate { index: CHANGE_INDEX, is_snapshot: false, entries, ..ListUpdate::default() }
 }
 
 /// A list or a change as discovery sends it: one JSON object on a line, as a chunk of the watch's answer.
-pub fn encode(told: &Told) -> Vec<u8> {
+pub fn encode(told: &ListUpdate) -> Vec<u8> {
     let entries: Vec<Value> = told.entries.iter().map(encode_entry).collect();
-    let object = json!({"index": told.index, "snapshot": told.whole, "endpoints": entries}).to_string();
+    let object = json!({"index": told.index, "snapshot": told.is_snapshot, "endpoints": entries}).to_string();
     format!("{:x}\r\n{object}\n\r\n", object.len() + 1).into_bytes()
 }
 
@@ -127,7 +127,7 @@
         zone: entry.zone.to_string(),
         status,
         weight: entry.weight,
-        since_ms: entry.since_ms,
+        since_ms: entry.started_ms,
     };
     listed.json(entry.address)
 }
--- a/crates/scale/src/hollow/agreeing.rs
+++ b/crates/scale/src/hollow/agreeing.rs
@@ -10,7 +10,7 @@
 use agreement::state::{Agreement, Decision, Mode, Offer};
 use agreement::version::Version;
 use gateway::entry::Entry;
-use gateway::list::Told;
+use gateway::list::ListUpdate;
 use martenramp::host::Settings;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -153,14 +153,14 @@
 
     /// What to make of a list: it is changed to what may be taken of it; servers released with it, or nothing where the
     /// whole list is passed over.
-    pub fn judge(&mut self, now: Nanos, told: &mut Told) -> Option<Vec<Entry>> {
+    pub fn judge(&mut self, now: Nanos, told: &mut ListUpdate) -> Option<Vec<Entry>> {
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
-            since: entry.since_ms.saturating_mul(MS),
+            since: entry.started_ms.saturating_mul(MS),
         };
         let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
-        let verdict = self.lists.apply(now, told.index, told.whole, &list);
+        let verdict = self.lists.apply(now, told.index, told.is_snapshot, &list);
         if verdict.is_empty {
             return None;
         }
@@ -168,7 +168,7 @@
             self.entries.insert(seen.key, entry.clone());
             entry.ready &= !verdict.held_back.contains(&seen.key);
         }
-        told.whole &= !verdict.is_older;
+        told.is_snapshot &= !verdict.is_older;
         Some(verdict.released.iter().filter_map(|key| self.entries.get(key).cloned()).collect())
     }
 
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -254,7 +254,7 @@
         if let Some((list, changes)) = known {
             let list = serde_json::from_str(&list)
                 .ok()
-                .and_then(|list| gateway::list::read(&list, &Services::default()));
+                .and_then(|list| gateway::list::parse(&list, &Services::default()));
             let read = |hollow: &mut HollowGateway| {
                 list.into_iter().for_each(|told| hollow.told(now, told));
                 hollow.ask_again_after(now)
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -6,9 +6,9 @@
 use super::discovery::number_of;
 use crate::replica::batches;
 use agreement::terms::Terms;
-use gateway::counter::{self, Call, Line};
-use gateway::list::{self, Told, Watch};
-use gateway::name_ids::Directory;
+use gateway::counter::{self, Call, CounterConnection};
+use gateway::list::{self, ListUpdate, Watch};
+use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use lab::gates::Wishes;
 use martenramp::brain::Brain;
@@ -97,10 +97,10 @@
     pub rpcs: BTreeMap<u32, OpenRpc>,
     pub call_outs: BTreeMap<(u32, u16), CallOut>,
     pub agreeing: Option<Agreeing>,
-    lines: [Line; counter::LINES],
+    lines: [CounterConnection; counter::CONNECTIONS],
     servers: Servers,
     names: BTreeMap<u32, u32>,
-    directory: Directory,
+    directory: NameIds,
     /// The emulation's numbers of servers, by the keys of their names.
     servers_by_key: BTreeMap<u64, u32>,
     /// Services of the deployment: a server's is told by its name.
@@ -129,7 +129,7 @@
         settings.insert("me".to_string(), start.number.to_string());
         settings.insert("zone".to_string(), start.zone.to_string());
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
-        let stop_within = number("rules.stopSendingWithin").map_or(list::STOP_WITHIN, super::nanos);
+        let stop_within = number("rules.stopSendingWithin").map_or(list::DEFAULT_STOP_WITHIN, super::nanos);
         let (pushed, fleet) = (
             settings.get("membershipMode").is_some_and(|mode| mode == "push"),
             number("balancers").map_or(1, |count| count as u32),
@@ -150,7 +150,7 @@
             lines: Default::default(),
             servers: Servers::default(),
             names: BTreeMap::new(),
-            directory: Directory::new(start.zones.to_vec(), Vec::new()),
+            directory: NameIds::new(start.zones.to_vec(), Vec::new()),
             servers_by_key: BTreeMap::new(),
             services: start.services,
             input: Vec::new(),
@@ -167,7 +167,7 @@
     /// The watch is asked for: the request's bytes.
     pub fn ask(&mut self, now: Nanos) -> Vec<u8> {
         let mut request = Vec::new();
-        self.watch.ask(&mut request, now);
+        self.watch.write_request(&mut request, now);
         self.watching = true;
         self.input.clear();
         request
@@ -176,7 +176,7 @@
     /// How long to rest before the watch is asked for again.
     pub fn ask_again_after(&mut self, now: Nanos) -> Nanos {
         self.watching = false;
-        self.watch.again(now, self.pushed, self.fleet, self.stop_within, &mut self.chance)
+        self.watch.retry_delay(now, self.pushed, self.fleet, self.stop_within, &mut self.chance)
     }
 
     /// Bytes of the watch came.
@@ -186,7 +186,7 @@
         let fed = self.watch.feed(now, &self.input, &mut told);
         self.input.drain(..fed.unwrap_or(0));
         if !told.is_empty() {
-            self.watch.fails = 0;
+            self.watch.failures = 0;
         }
         let entries = told.iter().map(|told| told.entries.len()).sum();
         told.into_iter().for_each(|told| self.told(now, told));
@@ -194,7 +194,7 @@
     }
 
     /// A list told by discovery, or held from before.
-    pub fn told(&mut self, now: Nanos, mut told: Told) {
+    pub fn told(&mut self, now: Nanos, mut told: ListUpdate) {
         self.watch.index = told.index;
         let more = match &mut self.agreeing {
             Some(agreeing) => agreeing.judge(now, &mut told),
@@ -204,12 +204,12 @@
         let index = told.index;
         self.list(now, told);
         if !more.is_empty() {
-            self.list(now, Told { index, entries: more, ..Told::default() });
+            self.list(now, ListUpdate { index, entries: more, ..ListUpdate::default() });
         }
     }
 
     /// As the program does, but all in one turn: servers get numbers, zones places, and the module hears it.
-    fn list(&mut self, now: Nanos, told: Told) {
+    fn list(&mut self, now: Nanos, told: ListUpdate) {
         let named = told.entries.iter();
         self.servers_by_key.extend(named.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
         for mut list in batches(told, &mut self.servers, &mut self.directory) {
@@ -220,11 +220,11 @@
             }
             self.brain.listed(now, false, &list);
         }
-        self.servers.forget();
+        self.servers.remove_unused();
         let left = &self.servers.by_number;
         self.names.retain(|number, _| left.contains_key(number));
         let servers = &self.servers;
-        self.servers_by_key.retain(|key, _| servers.held(*key).is_some());
+        self.servers_by_key.retain(|key, _| servers.by_key(*key).is_some());
     }
 
     /// The emulation's number of a server that this gateway calls by a number of its own.
@@ -269,15 +269,15 @@
     /// Writes a call on the line that the program would take.
     pub fn count(&mut self, now: Nanos, name: u64, add: f64, forget: Nanos) -> WrittenCall {
         self.last_call += 1;
-        let call = Call { serial: self.last_call, name, add, forget };
-        let carries = self.lines.iter().position(|line| line.carries(name));
-        let least = |line: &usize| self.lines[*line].written.len() + self.lines[*line].waiting.len();
-        let line = carries.or_else(|| (0..counter::LINES).min_by_key(least)).unwrap_or(0);
+        let call = Call { serial: self.last_call, name, add, ttl: forget };
+        let carries = self.lines.iter().position(|line| line.has_call_for(name));
+        let least = |line: &usize| self.lines[*line].in_flight.len() + self.lines[*line].waiting.len();
+        let line = carries.or_else(|| (0..counter::CONNECTIONS).min_by_key(least)).unwrap_or(0);
         let mut bytes = Vec::new();
-        if !self.lines[line].up {
-            self.lines[line].opened(&mut bytes, now);
+        if !self.lines[line].is_connected {
+            self.lines[line].connected(&mut bytes, now);
         }
-        self.lines[line].call(&mut bytes, now, call);
+        self.lines[line].send_call(&mut bytes, now, call);
         WrittenCall { line, serial: call.serial, bytes }
     }
 
@@ -285,7 +285,7 @@
     pub fn counter_came(&mut self, now: Nanos, line: usize, bytes: &[u8]) {
         let mut ended = Vec::new();
         if self.lines[line].feed(now, bytes, &mut ended).is_err() {
-            let broke = self.lines[line].broke();
+            let broke = self.lines[line].disconnect();
             ended.extend(broke.into_iter().map(|(call, how)| (call, how, 0.0)));
         }
         for (call, how, total) in ended {
@@ -295,7 +295,7 @@
 
     /// The time of a call is over.
     pub fn count_timed_out(&mut self, now: Nanos, line: usize, serial: u64) {
-        if let Some((call, how)) = self.lines[line].time_out(serial) {
+        if let Some((call, how)) = self.lines[line].time_out_call(serial) {
             self.brain.counted(&mut self.wishes, now, call.name, how, 0.0);
         }
     }
@@ -305,17 +305,19 @@
     pub fn sweep(&mut self, now: Nanos) -> SweepOutcome {
         let mut pings = Vec::new();
         for line in 0..self.lines.len() {
-            if self.lines[line].is_dead(now) {
-                for (call, how) in self.lines[line].broke() {
+            if self.lines[line].is_unresponsive(now) {
+                for (call, how) in self.lines[line].disconnect() {
                     self.brain.counted(&mut self.wishes, now, call.name, how, 0.0);
                 }
-            } else if self.lines[line].up && now > self.lines[line].wrote + counter::PING_EVERY {
+            } else if self.lines[line].is_connected
+                && now > self.lines[line].last_write + counter::PING_INTERVAL
+            {
                 let mut bytes = Vec::new();
-                self.lines[line].ping(&mut bytes, now);
+                self.lines[line].send_ping(&mut bytes, now);
                 pings.push(Ping { line, bytes });
             }
         }
-        SweepOutcome { pings, watch_is_silent: self.watching && self.watch.is_silent(now) }
+        SweepOutcome { pings, watch_is_silent: self.watching && self.watch.is_unresponsive(now) }
     }
 
     // ---- The agreement
@@ -339,7 +341,7 @@
         let held_back = agreeing.hear(now, bytes);
         if !held_back.is_empty() {
             let index = self.watch.index;
-            self.list(now, Told { index, entries: held_back, ..Told::default() });
+            self.list(now, ListUpdate { index, entries: held_back, ..ListUpdate::default() });
         }
     }
 }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -91,8 +91,8 @@
             rate,
             draws,
             last_rpc: 0,
-            count_wait: time("extra.countWait", gateway::counter::WAIT),
-            dial: time("ceilings.dialTimeout", gateway::servers::DIAL),
+            count_wait: time("extra.countWait", gateway::counter::DEFAULT_CALL_TIMEOUT),
+            dial: time("ceilings.dialTimeout", gateway::servers::DEFAULT_CONNECT_TIMEOUT),
             visits: whole_fleet.then(Vec::new),
         }
     }
