--- a/crates/scale/src/player.rs
+++ b/crates/scale/src/player.rs
@@ -6,7 +6,7 @@
 use crate::deployment::{START, Service};
 use crate::measure::Traffic;
 use crate::replica::Replica;
-use gateway::counter::{Call, Line};
+use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
 use martenramp::host::{Arrival, End, Ended, Host, Nanos};
 use std::collections::{HashMap, VecDeque};
@@ -69,7 +69,7 @@
     pub every: Nanos,
     pub served_in: Nanos,
     /// The line to the counter, what is written on it, and the totals that the emulated counter holds.
-    line: Line,
+    line: CounterConnection,
     written: Vec<u8>,
     totals: HashMap<u64, f64>,
     last_rpc: u32,
@@ -83,8 +83,8 @@
         let list = alloc::uncounted(|| crate::deployment::whole_list(servers));
         replica.take(START, &list);
         alloc::uncounted(|| drop(list));
-        let mut line = Line::default();
-        line.opened(&mut Vec::new(), START);
+        let mut line = CounterConnection::default();
+        line.connected(&mut Vec::new(), START);
         Ok(Player {
             replica,
             asked: Asked { now: START, ..Asked::default() },
@@ -164,7 +164,11 @@
             self.last_call += 1;
             let now = self.asked.now;
             self.written.clear();
-            self.line.call(&mut self.written, now, Call { serial: self.last_call, name, add, forget });
+            self.line.send_call(
+                &mut self.written,
+                now,
+                Call { serial: self.last_call, name, add, ttl: forget },
+            );
             self.traffic.sent.add(self.written.len());
             let total = alloc::uncounted(|| {
                 let total = self.totals.entry(name).or_insert(0.0);
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -4,8 +4,8 @@
 use crate::ScaleError;
 use crate::deployment::{START, Service, zones};
 use gateway::changes::{Change, Changes};
-use gateway::list::{Told, Watch};
-use gateway::name_ids::Directory;
+use gateway::list::{ListUpdate, Watch};
+use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use martenramp::brain::Brain;
 use martenramp::host::{Listed, Nanos};
@@ -18,12 +18,12 @@
 const ENTRIES_MEMORY: usize = (128 << 20) / 4;
 
 /// Reads the bytes of an answer, from its head on, as they come through a gateway's buffer.
-pub fn read_watch(bytes: &[u8]) -> Result<Vec<Told>, ScaleError> {
+pub fn read_watch(bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
     read_watch_within(ENTRIES_MEMORY, bytes)
 }
 
 /// The same where the entries of one object may take so many bytes.
-pub fn read_watch_within(entries_memory: usize, bytes: &[u8]) -> Result<Vec<Told>, ScaleError> {
+pub fn read_watch_within(entries_memory: usize, bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
     let mut watch = Watch::new(0, entries_memory);
     let mut told = Vec::new();
     feed(&mut watch, WATCH_HEAD, &mut told)?;
@@ -31,7 +31,7 @@
     Ok(told)
 }
 
-fn feed(watch: &mut Watch, bytes: &[u8], told: &mut Vec<Told>) -> Result<(), ScaleError> {
+fn feed(watch: &mut Watch, bytes: &[u8], told: &mut Vec<ListUpdate>) -> Result<(), ScaleError> {
     let mut rest = bytes;
     while !rest.is_empty() {
         let piece = &rest[..rest.len().min(BUFFER)];
@@ -52,7 +52,7 @@
 pub struct Replica {
     watch: Watch,
     servers: Servers,
-    directory: Directory,
+    directory: NameIds,
     pub brain: Brain,
 }
 
@@ -61,7 +61,7 @@
     pub fn new(service: &Service) -> Result<Replica, ScaleError> {
         let mut watch = Watch::new(0, ENTRIES_MEMORY);
         feed(&mut watch, WATCH_HEAD, &mut Vec::new())?;
-        let directory = Directory::new(zones(), Vec::new());
+        let directory = NameIds::new(zones(), Vec::new());
         Ok(Replica {
             watch,
             servers: Servers::default(),
@@ -79,16 +79,16 @@
     }
 
     /// Takes a list or a change, as the gateway does for its connections' sake and the module's, but all in one turn.
-    pub fn take(&mut self, now: Nanos, told: &Told) {
+    pub fn take(&mut self, now: Nanos, told: &ListUpdate) {
         for list in batches(told.clone(), &mut self.servers, &mut self.directory) {
             self.brain.listed(now, false, &list);
         }
-        self.servers.forget();
+        self.servers.remove_unused();
     }
 }
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
-pub fn batches(told: Told, servers: &mut Servers, directory: &mut Directory) -> Vec<Vec<Listed>> {
+pub fn batches(told: ListUpdate, servers: &mut Servers, directory: &mut NameIds) -> Vec<Vec<Listed>> {
     let mut changes = Changes::new(told);
     let mut lists = Vec::new();
     while !changes.is_done() {
@@ -103,9 +103,9 @@
 fn listed(change: Change, servers: &mut Servers) -> Option<Listed> {
     match change.address {
         Some(address) => {
-            let (server, _) = servers.list(&change.listed, address);
+            let (server, _) = servers.upsert(&change.listed, address);
             Some(Listed { server, ..change.listed })
         }
-        None => servers.take_off(change.listed.key).map(|(listed, _)| listed),
+        None => servers.delist(change.listed.key).map(|(listed, _)| listed),
     }
 }
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -8,7 +8,7 @@
 use crate::measure::{Operation, Traffic};
 use crate::player::{Asked, counter_answer};
 use crate::replica::Replica;
-use gateway::counter::{Call, Line};
+use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
 use martenramp::host::{Arrival, End, Ended, Nanos};
 use std::collections::HashMap;
@@ -209,7 +209,7 @@
         }
         for (name, add, forget) in asked.counts.drain(..) {
             self.calls += 1;
-            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, forget }));
+            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, ttl: forget }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
             self.traffic.received.add(counter_answer(*total).len());
@@ -220,9 +220,9 @@
 
 /// The bytes of a call, as the gateway's line to the counter writes it.
 fn call_bytes(call: Call) -> usize {
-    let mut line = Line::default();
+    let mut line = CounterConnection::default();
     let mut written = Vec::new();
-    line.opened(&mut written, 0);
-    line.call(&mut written, 0, call);
+    line.connected(&mut written, 0);
+    line.send_call(&mut written, 0, call);
     written.len()
 }
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -69,7 +69,7 @@
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(text.len());
-        let read = Config::read(&text, |_| None);
+        let read = Config::parse(&text, |_| None);
         let failed = |why| ScaleError::Measurement { what: "reading a configuration".to_string(), why };
         read.map(|_| traffic).map_err(failed)
     };
