--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -11,7 +11,7 @@
 use std::ops::Range;
 
 /// What an RPC may say it waits at most; longer is taken as a mistake.
-const REMAINING_MOST: u64 = 3_600_000;
+const MAX_REMAINING_MS: u64 = 3_600_000;
 /// A new connection's first message must be whole so soon after it was taken, and any other after its first byte;
 /// so long, too, may a client take to read its last answer.
 pub const MESSAGE_TIMEOUT: Nanos = 2_000_000_000;
@@ -23,7 +23,7 @@
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 /// So many times of reading are told apart of what lies in a buffer; what comes later counts as read with the last.
-const READS_MOST: usize = 64;
+const MAX_READ_TIMES: usize = 64;
 
 /// An RPC as it lies in the read buffer of its connection, which keeps it until it is answered.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -107,7 +107,7 @@
         if length == 0 {
             return; // nothing was read: the next byte's time is its own
         }
-        let is_full = self.read_times.len() >= READS_MOST;
+        let is_full = self.read_times.len() >= MAX_READ_TIMES;
         match self.read_times.back_mut() {
             Some(last) if last.0 >= length => {}
             Some(last) if is_full => last.0 = length,
@@ -206,7 +206,7 @@
     let txn = http::single_header(headers, "x-txn").ok_or(MessageError(400, "no-txn"))?;
     let remaining = http::single_header(headers, "x-remaining-ms").and_then(|ms| ms.parse().ok());
     let remaining_ms =
-        remaining.filter(|ms| *ms <= REMAINING_MOST).ok_or(MessageError(400, "bad-remaining"))?;
+        remaining.filter(|ms| *ms <= MAX_REMAINING_MS).ok_or(MessageError(400, "bad-remaining"))?;
     let metering = http::single_header(headers, "x-metering").ok_or(MessageError(400, "no-metering"))?;
     let (units, width, first) = parse_metering(metering).ok_or(MessageError(400, "bad-metering"))?;
     // Guards the customer's store, which others use too: one impossible amount would empty it for good.
@@ -220,7 +220,7 @@
     Ok(Parsed::Rpc(RpcRequest {
         is_get: get,
         target: http::range_within(input, target.as_bytes()),
-        header_lines: headers_at(&input[..start])..start,
+        header_lines: header_lines_start(&input[..start])..start,
         body: start..end,
         txn: http::range_within(input, txn.as_bytes()),
         method: number as u16,
@@ -235,7 +235,7 @@
 }
 
 /// Where the header lines begin: after the first line that is not empty.
-fn headers_at(head: &[u8]) -> usize {
+fn header_lines_start(head: &[u8]) -> usize {
     let blank = head.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     let line = head[blank..].iter().position(|byte| *byte == b'\n');
     line.map_or(head.len(), |end| blank + end + 1)
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -50,10 +50,10 @@
 }
 
 /// Who votes where the file names nobody: the first so many gateways.
-const VOTERS: u32 = 7;
+const DEFAULT_VOTERS: u32 = 7;
 /// How long a voter's word holds, and how far clocks are apart from true time at most, where the file does not say.
-const LEASE: f64 = 2.0;
-const CLOCK: f64 = 0.25;
+const DEFAULT_LEASE_SECONDS: f64 = 2.0;
+const DEFAULT_CLOCK_ERROR_SECONDS: f64 = 0.25;
 
 /// A method by its name.
 pub struct Method {
@@ -62,7 +62,7 @@
 }
 
 impl Method {
-    fn read(name: String, number: usize, settings: &Settings) -> Method {
+    fn from_settings(name: String, number: usize, settings: &Settings) -> Method {
         let told = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
         let window = told("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
         let effect = match told("idempotency") {
@@ -78,8 +78,8 @@
 }
 
 /// Where no limit is told: the usual one of a process.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: u64 = 1024;
+const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
+const DEFAULT_MEMORY_MB: u64 = 1024;
 
 impl Config {
     /// Reads the configuration's text; `env` looks up what it leaves out.
@@ -106,7 +106,7 @@
             return Err("'settings' is missing".to_string());
         };
         let settings = flatten(nested);
-        check(&settings)?;
+        validate(&settings)?;
         let names = |list: &str| -> Vec<String> {
             let entries = nested.get(list).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
             entries.iter().map(|entry| entry["name"].as_str().unwrap_or_default().to_string()).collect()
@@ -114,20 +114,21 @@
         let methods: Vec<Method> = names("classes")
             .into_iter()
             .enumerate()
-            .map(|(number, name)| Method::read(name, number, &settings))
+            .map(|(number, name)| Method::from_settings(name, number, &settings))
             .collect();
         let services = Services::read(&all["services"], &names("classes"))?;
         let plans = names("tariffs");
         if methods.is_empty() || plans.is_empty() {
             return Err("'settings' names no classes or no tariffs".to_string());
         }
-        let sockets = all["limits"]["sockets"].as_u64().map_or(SOCKETS, |most| most as usize);
-        let memory = all["limits"]["memory_mb"].as_u64().unwrap_or(MEMORY_MB) as usize;
+        let sockets =
+            all["limits"]["sockets"].as_u64().map_or(DEFAULT_DESCRIPTOR_LIMIT, |most| most as usize);
+        let memory = all["limits"]["memory_mb"].as_u64().unwrap_or(DEFAULT_MEMORY_MB) as usize;
         let memory = memory.saturating_mul(1 << 20);
         let known = Some(all["known"].clone()).filter(Value::is_object);
         let agreement = match &all["agreement"] {
             Value::Null => None,
-            told => Some(agreed(told, &all, &settings, &address)?),
+            told => Some(parse_agreement(told, &all, &settings, &address)?),
         };
         let name = told("name", "LB_NAME").unwrap_or_else(|_| listen.to_string());
         let mut config = Config {
@@ -147,11 +148,11 @@
             gateways: u32::MAX,
             agreement,
         };
-        config.bounds();
+        config.update_limits();
         Ok(config)
     }
 
-    fn bounds(&mut self) {
+    fn update_limits(&mut self) {
         self.max_units = self.positive_setting("extra.largest").unwrap_or(f64::MAX).min(counter::MAX_AMOUNT);
         self.gateways = self.positive_setting("balancers").map_or(u32::MAX, |count| count as u32);
     }
@@ -159,7 +160,7 @@
     /// Other settings hold from now on. What this process made of them at its start (limits, time-outs, names of zones) stays.
     pub fn apply_settings(&mut self, settings: Settings) {
         self.settings = settings;
-        self.bounds();
+        self.update_limits();
     }
 
     /// The longest deadline of a method.
@@ -188,10 +189,10 @@
 }
 
 /// What a method's effect and group may be; one that is not known could be repeated where it must not.
-const EFFECTS: [&str; 3] = ["free", "guarded", "single_shot"];
-const GROUPS: [&str; 3] = ["all", "zone", "cell"];
+const IDEMPOTENCY_VALUES: [&str; 3] = ["free", "guarded", "single_shot"];
+const GROUP_VALUES: [&str; 3] = ["all", "zone", "cell"];
 /// Times in seconds, by name and among the parts of each method; none is longer than a day.
-const TIMES: [&str; 7] = [
+const TIME_SETTINGS: [&str; 7] = [
     "ceilings.connIdle",
     "ceilings.dialTimeout",
     "ceilings.maxRetryAfter",
@@ -200,14 +201,14 @@
     "rules.fall",
     "rules.warmWithin",
 ];
-const METHOD_TIMES: [&str; 3] = ["onTime", "deadline", "window"];
-const DAY: f64 = 86_400.0;
+const METHOD_TIME_SETTINGS: [&str; 3] = ["onTime", "deadline", "window"];
+const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Amounts of each plan, in units or units a second.
-const PLAN_AMOUNTS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
+const PLAN_AMOUNT_SETTINGS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
 
 /// Refuses settings that make no sense, by the key that does not. Guards against a slip in a file that would have every RPC
 /// turned away, or repeat what must not run twice. What is left out takes its default.
-fn check(settings: &Settings) -> Result<(), String> {
+fn validate(settings: &Settings) -> Result<(), String> {
     let amount = |key: String, most: f64, what: &str| match settings.get(&key) {
         Some(told) if !told.parse().is_ok_and(|told: f64| (0.0..=most).contains(&told)) => {
             Err(format!("'{key}' is no {what}: {told:?}"))
@@ -223,16 +224,16 @@
     let count =
         |list: &str| settings.get(&format!("{list}.count")).and_then(|count| count.parse().ok()).unwrap_or(0);
     let time = "time from 0 to 86400 s";
-    TIMES.iter().try_for_each(|key| amount(key.to_string(), DAY, time))?;
+    TIME_SETTINGS.iter().try_for_each(|key| amount(key.to_string(), SECONDS_PER_DAY, time))?;
     for number in 0..count("classes") {
         let key = |name: &str| format!("classes.{number}.{name}");
-        METHOD_TIMES.iter().try_for_each(|name| amount(key(name), DAY, time))?;
-        word(key("idempotency"), &EFFECTS)?;
-        word(key("group"), &GROUPS)?;
+        METHOD_TIME_SETTINGS.iter().try_for_each(|name| amount(key(name), SECONDS_PER_DAY, time))?;
+        word(key("idempotency"), &IDEMPOTENCY_VALUES)?;
+        word(key("group"), &GROUP_VALUES)?;
     }
     for number in 0..count("tariffs") {
         let key = |name: &str| format!("tariffs.{number}.{name}");
-        PLAN_AMOUNTS
+        PLAN_AMOUNT_SETTINGS
             .iter()
             .try_for_each(|name| amount(key(name), counter::MAX_AMOUNT, "amount from 0 to 1e9"))?;
     }
@@ -240,7 +241,7 @@
 }
 
 /// Reads the `agreement` part of a configuration.
-fn agreed(
+fn parse_agreement(
     told: &Value,
     all: &Value,
     settings: &Settings,
@@ -267,7 +268,7 @@
         attempts: amount(&told["ground"], "attempts", usual.attempts)?,
     };
     let voters = match &told["voters"] {
-        Value::Null => (0..VOTERS.min(usual.gateways as u32)).collect(),
+        Value::Null => (0..DEFAULT_VOTERS.min(usual.gateways as u32)).collect(),
         Value::Array(list) => {
             let numbers =
                 list.iter().map(|number| number.as_u64().and_then(|number| u32::try_from(number).ok()));
@@ -276,7 +277,11 @@
         _ => return Err("'voters' is no list".to_string()),
     };
     let nanos = |name, default| Ok::<_, String>((amount(told, name, default)?.min(3600.0) * 1e9) as Nanos);
-    let terms = Terms { voters, lease: nanos("lease", LEASE)?, clock: nanos("clock", CLOCK)? };
+    let terms = Terms {
+        voters,
+        lease: nanos("lease", DEFAULT_LEASE_SECONDS)?,
+        clock: nanos("clock", DEFAULT_CLOCK_ERROR_SECONDS)?,
+    };
     let start = start_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far ahead")?;
     // A voter's word has to hold for a hearer whose clock is ahead of the voter's by twice the bound, until the next word.
     if terms.lease < 4 * terms.clock {
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -22,7 +22,7 @@
 /// The largest amount that a call may add.
 pub const MAX_AMOUNT: f64 = 1e9;
 /// An answer without an end in so many bytes is none.
-const ANSWER_MOST: usize = 512;
+const MAX_REPLY_LEN: usize = 512;
 
 /// A call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
         if !self.is_connected {
             return self.waiting.push_back(call);
         }
-        self.mark(now);
+        self.record_write(now);
         self.in_flight.push_back(Some(call));
         let (name, add) = (call.name.to_string(), call.add.to_string());
         let forget = call.ttl.div_ceil(1_000_000).max(1).to_string();
@@ -63,12 +63,12 @@
     }
 
     pub fn send_ping(&mut self, out: &mut Vec<u8>, now: Nanos) {
-        self.mark(now);
+        self.record_write(now);
         self.in_flight.push_back(None);
         out.extend_from_slice(b"*1\r\n$4\r\nPING\r\n");
     }
 
-    fn mark(&mut self, now: Nanos) {
+    fn record_write(&mut self, now: Nanos) {
         if self.in_flight.is_empty() {
             self.last_reply = now;
         }
@@ -87,22 +87,22 @@
         !self.in_flight.is_empty() && now > self.last_reply + REPLY_TIMEOUT
     }
 
-    fn out(&self) -> impl Iterator<Item = &Call> {
+    fn outstanding(&self) -> impl Iterator<Item = &Call> {
         self.in_flight.iter().flatten().chain(&self.waiting).filter(|call| call.serial != 0)
     }
 
     /// Whether no call is out here.
     pub fn is_drained(&self) -> bool {
-        self.out().next().is_none()
+        self.outstanding().next().is_none()
     }
 
     /// Whether a call for this name is out here.
     pub fn has_call_for(&self, name: u64) -> bool {
-        self.out().any(|call| call.name == name)
+        self.outstanding().any(|call| call.name == name)
     }
 
     pub fn has_call(&self, serial: u64) -> bool {
-        self.out().any(|call| call.serial == serial)
+        self.outstanding().any(|call| call.serial == serial)
     }
 
     /// The time of a call is over: how it ended, if it was still out. One not written was never added.
@@ -133,7 +133,7 @@
         ended: &mut Vec<(Call, End, f64)>,
     ) -> Result<usize, &'static str> {
         let mut at = 0;
-        while let Some((used, how, total)) = answer(&input[at..])? {
+        while let Some((used, how, total)) = parse_reply(&input[at..])? {
             at += used;
             self.last_reply = now;
             match self.in_flight.pop_front() {
@@ -154,9 +154,9 @@
 
 /// The first whole answer: its length, and how the call ended. Whatever is no number is no total, and an error
 /// that is not known may have added.
-fn answer(input: &[u8]) -> Result<Option<(usize, End, f64)>, &'static str> {
+fn parse_reply(input: &[u8]) -> Result<Option<(usize, End, f64)>, &'static str> {
     let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
-        return if input.len() > ANSWER_MOST { Err("answer-too-long") } else { Ok(None) };
+        return if input.len() > MAX_REPLY_LEN { Err("answer-too-long") } else { Ok(None) };
     };
     let line = std::str::from_utf8(&input[..end]).map_err(|_| "bad-answer")?;
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|total| total.is_finite());
@@ -172,7 +172,7 @@
         Some(b'$') if line == "$-1" => (end + 2, (End::Error, 0.0)),
         Some(b'$') => {
             let size: usize = line[1..].parse().map_err(|_| "bad-answer")?;
-            if size > ANSWER_MOST {
+            if size > MAX_REPLY_LEN {
                 return Err("answer-too-long");
             }
             let (from, to) = (end + 2, end + 2 + size);
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -18,23 +18,23 @@
 const DATAGRAMS: Token = Token(usize::MAX - 3);
 /// So many datagrams are read in a turn, so that a flood of them takes no more than its turn; and bytes of each, one more
 /// than any of ours has, which tells one that was cut.
-const DATAGRAMS_A_TURN: usize = 64;
-const DATAGRAM_MOST: usize = 257;
+const DATAGRAMS_PER_TURN: usize = 64;
+const DATAGRAM_BUFFER_LEN: usize = 257;
 /// An id is a place in the slab and a count of births, so that an event for a closed connection finds nobody.
-const PLACE_BITS: u32 = 20;
+const SLOT_BITS: u32 = 20;
 /// More events than there are connections: what is ready is looked at in one turn, so that nothing waits here for longer than
 /// a turn lasts.
-const EVENTS_A_TURN: usize = 4096;
+const EVENTS_PER_TURN: usize = 4096;
 /// How much is read at once; a buffer that grew beyond `KEPT` is given back once it is empty.
-const READ: usize = 4 << 10;
-const KEPT: usize = 16 << 10;
+const READ_SIZE: usize = 4 << 10;
+const MAX_KEPT_CAPACITY: usize = 16 << 10;
 /// How much is read and discarded of a connection that is about to be closed, and in one turn.
-const DISCARDS: usize = 4 << 20;
-const DISCARDS_A_TURN: usize = 64 << 10;
+const DISCARD_LIMIT: usize = 4 << 20;
+const DISCARD_LIMIT_PER_TURN: usize = 64 << 10;
 /// How long until accepting is tried again when no descriptor was left for it.
 pub const ACCEPT_RETRY_DELAY: Nanos = 10_000_000;
 /// Log lines that standard error did not take are offered again so often.
-const LOGS_AGAIN: Duration = Duration::from_millis(50);
+const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The module's clock: Unix time at the start plus monotonic time since, so that it never jumps.
 #[derive(Clone, Copy)]
@@ -90,33 +90,33 @@
     peer: Peer,
     stream: TcpStream,
     address: SocketAddr,
-    since: Nanos,
-    up: bool,
+    opened_at: Nanos,
+    is_connected: bool,
     input: Vec<u8>,
-    input_most: usize,
+    input_limit: usize,
     /// Bytes that its buffers take, as last accounted for.
-    held: usize,
+    accounted_bytes: usize,
     /// Reading stopped at `input_most` though there may be more.
     paused: bool,
     /// Nothing more is used: what comes is read and discarded, up to so many bytes.
-    discards: Option<usize>,
+    discard_left: Option<usize>,
     /// The other side has ended its sending, or the connection broke.
-    ended: Option<ConnectionEnd>,
-    out: Vec<u8>,
+    end: Option<ConnectionEnd>,
+    output: Vec<u8>,
     written: usize,
-    dirty: bool,
+    is_dirty: bool,
 }
 
 /// All connections.
 pub struct Net {
     registry: Registry,
     conns: Slab<Conn>,
-    births: usize,
+    generations: usize,
     dirty: Vec<usize>,
-    resumed: Vec<usize>,
+    to_resume: Vec<usize>,
     /// Where other gateways' datagrams come in; and whether more wait there than a turn has read.
     datagrams: Option<UdpSocket>,
-    more_datagrams: bool,
+    has_more_datagrams: bool,
     /// Bytes that the buffers of clients take.
     pub client_buffer_bytes: usize,
     pub now: Nanos,
@@ -126,11 +126,11 @@
 
 impl Net {
     fn get(&self, id: usize) -> Option<&Conn> {
-        self.conns.get(id & ((1 << PLACE_BITS) - 1)).filter(|conn| conn.id == id)
+        self.conns.get(id & ((1 << SLOT_BITS) - 1)).filter(|conn| conn.id == id)
     }
 
     fn get_mut(&mut self, id: usize) -> Option<&mut Conn> {
-        self.conns.get_mut(id & ((1 << PLACE_BITS) - 1)).filter(|conn| conn.id == id)
+        self.conns.get_mut(id & ((1 << SLOT_BITS) - 1)).filter(|conn| conn.id == id)
     }
 
     fn add(
@@ -141,25 +141,25 @@
         most: usize,
     ) -> io::Result<usize> {
         let entry = self.conns.vacant_entry();
-        self.births += 1;
-        let id = entry.key() | self.births << PLACE_BITS;
+        self.generations += 1;
+        let id = entry.key() | self.generations << SLOT_BITS;
         self.registry.register(&mut stream, Token(id), Interest::READABLE | Interest::WRITABLE)?;
         entry.insert(Conn {
             id,
             peer,
             stream,
             address,
-            since: self.now,
-            up: false,
+            opened_at: self.now,
+            is_connected: false,
             input: Vec::new(),
-            input_most: most,
-            held: 0,
+            input_limit: most,
+            accounted_bytes: 0,
             paused: false,
-            discards: None,
-            ended: None,
-            out: Vec::new(),
+            discard_left: None,
+            end: None,
+            output: Vec::new(),
             written: 0,
-            dirty: false,
+            is_dirty: false,
         });
         Ok(id)
     }
@@ -187,17 +187,17 @@
         }
     }
 
-    fn datagrams(&mut self) -> Vec<Vec<u8>> {
+    fn read_datagrams(&mut self) -> Vec<Vec<u8>> {
         let Some(socket) = &self.datagrams else { return Vec::new() };
         let mut came = Vec::new();
-        let mut bytes = [0; DATAGRAM_MOST];
-        self.more_datagrams = true;
+        let mut bytes = [0; DATAGRAM_BUFFER_LEN];
+        self.has_more_datagrams = true;
         // Tries are counted, so that errors that others' refusals leave on the socket end, too.
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..DATAGRAMS_PER_TURN {
             match socket.recv_from(&mut bytes) {
                 Ok((length, _)) => came.push(bytes[..length].to_vec()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.more_datagrams = false;
+                    self.has_more_datagrams = false;
                     break;
                 }
                 Err(_) => {}
@@ -215,7 +215,7 @@
     }
 
     pub fn opened_at(&self, id: usize) -> Nanos {
-        self.get(id).map_or(self.now, |conn| conn.since)
+        self.get(id).map_or(self.now, |conn| conn.opened_at)
     }
 
     /// For how long what came last on a connection has waited in the system, if that can tell.
@@ -225,11 +225,11 @@
 
     /// What is to be written; it goes out at the end of the round.
     pub fn output(&mut self, id: usize) -> Option<&mut Vec<u8>> {
-        let conn = self.conns.get_mut(id & ((1 << PLACE_BITS) - 1)).filter(|conn| conn.id == id)?;
-        if !std::mem::replace(&mut conn.dirty, true) {
+        let conn = self.conns.get_mut(id & ((1 << SLOT_BITS) - 1)).filter(|conn| conn.id == id)?;
+        if !std::mem::replace(&mut conn.is_dirty, true) {
             self.dirty.push(id);
         }
-        Some(&mut conn.out)
+        Some(&mut conn.output)
     }
 
     /// What has been read and not yet been used.
@@ -241,21 +241,21 @@
     pub fn input_and_output(&mut self, from: usize, to: usize) -> Option<(&[u8], &mut Vec<u8>)> {
         self.output(to)?;
         self.get(from)?;
-        let mask = (1 << PLACE_BITS) - 1;
+        let mask = (1 << SLOT_BITS) - 1;
         let (from, to) = self.conns.get2_mut(from & mask, to & mask)?;
-        Some((&from.input, &mut to.out))
+        Some((&from.input, &mut to.output))
     }
 
     pub fn consume(&mut self, id: usize, bytes: usize) {
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.drain(..bytes.min(conn.input.len()));
-        if conn.input.is_empty() && conn.input.capacity() > KEPT {
+        if conn.input.is_empty() && conn.input.capacity() > MAX_KEPT_CAPACITY {
             conn.input = Vec::new();
         }
         if std::mem::take(&mut conn.paused) {
-            self.resumed.push(id);
+            self.to_resume.push(id);
         }
-        self.account(id);
+        self.update_accounting(id);
     }
 
     /// Drops what was read beyond so many bytes, and reads on.
@@ -263,15 +263,15 @@
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.truncate(bytes);
         if std::mem::take(&mut conn.paused) {
-            self.resumed.push(id);
+            self.to_resume.push(id);
         }
-        self.account(id);
+        self.update_accounting(id);
     }
 
     /// Connections to be read once more in this turn. One may be named twice: by the turn before, and by an event of this
     /// one that filled its buffer again.
-    fn take_resumed(&mut self) -> Vec<usize> {
-        let mut resumed = std::mem::take(&mut self.resumed);
+    fn take_to_resume(&mut self) -> Vec<usize> {
+        let mut resumed = std::mem::take(&mut self.to_resume);
         resumed.sort_unstable();
         resumed.dedup();
         resumed
@@ -284,29 +284,29 @@
 
     /// Whether the other side can have got the last byte written to it.
     pub fn is_flushed(&self, id: usize) -> bool {
-        self.get(id).is_some_and(|conn| conn.up && conn.written == conn.out.len())
+        self.get(id).is_some_and(|conn| conn.is_connected && conn.written == conn.output.len())
     }
 
     /// Bytes that were put into its buffer and not yet handed to the system.
     pub fn unsent_bytes(&self, id: usize) -> usize {
-        self.get(id).map_or(0, |conn| conn.out.len() - conn.written)
+        self.get(id).map_or(0, |conn| conn.output.len() - conn.written)
     }
 
     pub fn connection_end(&self, id: usize) -> Option<ConnectionEnd> {
-        self.get(id).and_then(|conn| conn.ended)
+        self.get(id).and_then(|conn| conn.end)
     }
 
     /// What else comes on a connection is read and discarded, since closing over unread bytes resets the connection and
     /// may take the last answer with it. Guards against a client that sends on without end: it is read for
     /// [`DISCARDS`] bytes and then left unread. Harm: such a client may miss its answer.
     pub fn discard_input(&mut self, id: usize) {
-        if let Some(conn) = self.get_mut(id).filter(|conn| conn.discards.is_none()) {
-            (conn.discards, conn.input) = (Some(DISCARDS), Vec::new());
+        if let Some(conn) = self.get_mut(id).filter(|conn| conn.discard_left.is_none()) {
+            (conn.discard_left, conn.input) = (Some(DISCARD_LIMIT), Vec::new());
             if !std::mem::replace(&mut conn.paused, true) {
-                self.resumed.push(id);
+                self.to_resume.push(id);
             }
         }
-        self.account(id);
+        self.update_accounting(id);
     }
 
     /// Ends this side's sending.
@@ -318,106 +318,109 @@
 
     pub fn close(&mut self, id: usize) {
         if self.get(id).is_some() {
-            let mut conn = self.conns.remove(id & ((1 << PLACE_BITS) - 1));
-            self.client_buffer_bytes -= conn.held;
+            let mut conn = self.conns.remove(id & ((1 << SLOT_BITS) - 1));
+            self.client_buffer_bytes -= conn.accounted_bytes;
             let _ = self.registry.deregister(&mut conn.stream);
         }
     }
 
     /// Reads what has come, up to the buffer's bound.
     pub fn read(&mut self, id: usize, closes: bool) {
-        self.read_some(id, closes);
-        self.account(id);
+        self.read_input(id, closes);
+        self.update_accounting(id);
     }
 
-    fn read_some(&mut self, id: usize, closes: bool) {
+    fn read_input(&mut self, id: usize, closes: bool) {
         let Some(conn) = self.get_mut(id) else { return };
-        if let Some(left) = conn.discards {
-            return self.discard_some(id, left, closes);
+        if let Some(left) = conn.discard_left {
+            return self.read_and_discard(id, left, closes);
         }
-        while conn.ended.is_none() {
+        while conn.end.is_none() {
             let have = conn.input.len();
-            if have >= conn.input_most {
+            if have >= conn.input_limit {
                 conn.paused = true;
                 // A client that closes has gone, whatever it sent before; of a server's answer the rest is still to be read.
-                conn.ended = (closes && conn.peer == Peer::Client).then_some(ConnectionEnd::Closed);
+                conn.end = (closes && conn.peer == Peer::Client).then_some(ConnectionEnd::Closed);
                 return;
             }
-            let room = if have < 4 * READ { READ } else { 4 * READ }.min(conn.input_most - have);
+            let room =
+                if have < 4 * READ_SIZE { READ_SIZE } else { 4 * READ_SIZE }.min(conn.input_limit - have);
             conn.input.reserve_exact(room); // not twice what is needed
             conn.input.resize(have + room, 0);
             let got = conn.stream.read(&mut conn.input[have..]);
             conn.input.truncate(have + got.as_ref().map_or(0, |got| *got));
             match got {
-                Ok(0) => conn.ended = Some(ConnectionEnd::Closed),
+                Ok(0) => conn.end = Some(ConnectionEnd::Closed),
                 // A short read does not tell that the socket is empty, and no further event comes of what is left.
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) => conn.ended = Some(ending(&e)),
+                Err(e) => conn.end = Some(end_of_error(&e)),
             }
         }
     }
 
     /// Reads and discards a turn's worth.
-    fn discard_some(&mut self, id: usize, mut left: usize, closes: bool) {
+    fn read_and_discard(&mut self, id: usize, mut left: usize, closes: bool) {
         let Some(conn) = self.get_mut(id) else { return };
-        let mut bytes = [0; READ];
-        let mut turn = DISCARDS_A_TURN;
+        let mut bytes = [0; READ_SIZE];
+        let mut turn = DISCARD_LIMIT_PER_TURN;
         conn.paused = false;
-        while conn.ended.is_none() && left > 0 && turn > 0 {
+        while conn.end.is_none() && left > 0 && turn > 0 {
             match conn.stream.read(&mut bytes) {
-                Ok(0) => conn.ended = Some(ConnectionEnd::Closed),
+                Ok(0) => conn.end = Some(ConnectionEnd::Closed),
                 Ok(got) => (left, turn) = (left.saturating_sub(got), turn.saturating_sub(got)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) => conn.ended = Some(ending(&e)),
+                Err(e) => conn.end = Some(end_of_error(&e)),
             }
         }
-        conn.discards = Some(left);
+        conn.discard_left = Some(left);
         if left == 0 && closes {
-            conn.ended = conn.ended.or(Some(ConnectionEnd::Closed));
+            conn.end = conn.end.or(Some(ConnectionEnd::Closed));
         }
-        if turn == 0 && left > 0 && conn.ended.is_none() {
+        if turn == 0 && left > 0 && conn.end.is_none() {
             conn.paused = true;
-            self.resumed.push(id);
+            self.to_resume.push(id);
         }
     }
 
     /// Keeps `held` true; called whenever a buffer may have changed its size.
-    fn account(&mut self, id: usize) {
+    fn update_accounting(&mut self, id: usize) {
         let Some(conn) = self.get_mut(id).filter(|conn| conn.peer == Peer::Client) else { return };
-        let now = conn.input.capacity() + conn.out.capacity();
-        let was = std::mem::replace(&mut conn.held, now);
+        let now = conn.input.capacity() + conn.output.capacity();
+        let was = std::mem::replace(&mut conn.accounted_bytes, now);
         self.client_buffer_bytes = self.client_buffer_bytes + now - was;
     }
 
     fn write(&mut self, id: usize) {
-        self.account(id);
-        self.write_some(id);
-        self.account(id);
+        self.update_accounting(id);
+        self.write_output(id);
+        self.update_accounting(id);
     }
 
-    fn write_some(&mut self, id: usize) {
-        let Some(conn) = self.get_mut(id).filter(|conn| conn.up && conn.ended.is_none()) else { return };
-        while conn.written < conn.out.len() {
-            match conn.stream.write(&conn.out[conn.written..]) {
-                Ok(0) => return conn.ended = Some(ConnectionEnd::Failed("network-error")),
+    fn write_output(&mut self, id: usize) {
+        let Some(conn) = self.get_mut(id).filter(|conn| conn.is_connected && conn.end.is_none()) else {
+            return;
+        };
+        while conn.written < conn.output.len() {
+            match conn.stream.write(&conn.output[conn.written..]) {
+                Ok(0) => return conn.end = Some(ConnectionEnd::Failed("network-error")),
                 Ok(written) => conn.written += written,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) => return conn.ended = Some(ending(&e)),
+                Err(e) => return conn.end = Some(end_of_error(&e)),
             }
         }
-        (conn.written, conn.out) = (0, std::mem::take(&mut conn.out));
-        conn.out.clear();
-        if conn.out.capacity() > KEPT {
-            conn.out = Vec::new();
+        (conn.written, conn.output) = (0, std::mem::take(&mut conn.output));
+        conn.output.clear();
+        if conn.output.capacity() > MAX_KEPT_CAPACITY {
+            conn.output = Vec::new();
         }
     }
 }
 
-fn ending(e: &io::Error) -> ConnectionEnd {
+fn end_of_error(e: &io::Error) -> ConnectionEnd {
     ConnectionEnd::Failed(match e.kind() {
         ErrorKind::ConnectionReset => return ConnectionEnd::Reset,
         ErrorKind::ConnectionRefused => "refused",
@@ -479,11 +482,11 @@
     listener: Option<TcpListener>,
     signals: UnixStream,
     /// SIGHUP came; and SIGTERM or SIGINT.
-    hung_up: Arc<AtomicBool>,
-    told_to_stop: Arc<AtomicBool>,
+    reload_signal: Arc<AtomicBool>,
+    stop_signal: Arc<AtomicBool>,
     pub clock: Clock,
     /// Since when clients can connect, and their messages wait here.
-    listens_since: Nanos,
+    listening_since: Nanos,
 }
 
 impl Driver {
@@ -500,41 +503,54 @@
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         for (signal, flag) in [(SIGHUP, &hung_up), (SIGTERM, &told_to_stop), (SIGINT, &told_to_stop)] {
             signal_hook::flag::register(signal, flag.clone())?;
-            signal_hook::low_level::pipe::register(signal, end_of(&end)?)?;
+            signal_hook::low_level::pipe::register(signal, clone_descriptor(&end)?)?;
         }
         let registry = poll.registry().try_clone()?;
         let (conns, dirty, resumed) = (Slab::new(), Vec::new(), Vec::new());
         let net = Net {
             registry,
             conns,
-            births: 0,
+            generations: 0,
             dirty,
-            resumed,
+            to_resume: resumed,
             datagrams: None,
-            more_datagrams: false,
+            has_more_datagrams: false,
             client_buffer_bytes: 0,
             now: clock.now(),
             input_delay: 0,
         };
         let listener = Some(listener);
         let listens_since = net.now;
-        Ok((Driver { poll, listener, signals, hung_up, told_to_stop, clock, listens_since }, net, listen))
+        Ok((
+            Driver {
+                poll,
+                listener,
+                signals,
+                reload_signal: hung_up,
+                stop_signal: told_to_stop,
+                clock,
+                listening_since: listens_since,
+            },
+            net,
+            listen,
+        ))
     }
 
     /// Turns until the gateway is over.
     pub fn run(mut self, gateway: &mut impl EventHandler, logs: &LogBuffer) -> io::Result<()> {
-        let mut events = Events::with_capacity(EVENTS_A_TURN);
+        let mut events = Events::with_capacity(EVENTS_PER_TURN);
         gateway.start(self.clock.now());
         self.flush(gateway);
         // For how long the last turn lasted; before the first one, how long the start took.
-        let mut busy = self.clock.now() - self.listens_since;
+        let mut busy = self.clock.now() - self.listening_since;
         while !gateway.is_finished() {
             let now = self.clock.now();
             let due = gateway.next_timer();
             let next = due.map(|at| Duration::from_nanos(at.saturating_sub(now)));
             let net = gateway.net();
-            let more = (!net.resumed.is_empty() || net.more_datagrams).then_some(Duration::ZERO);
-            let wait = next.into_iter().chain((!logs.is_empty()).then_some(LOGS_AGAIN)).chain(more).min();
+            let more = (!net.to_resume.is_empty() || net.has_more_datagrams).then_some(Duration::ZERO);
+            let wait =
+                next.into_iter().chain((!logs.is_empty()).then_some(LOG_RETRY_INTERVAL)).chain(more).min();
             match self.poll.poll(&mut events, wait) {
                 // What came during a stop is found by the next poll, with the timers still overdue.
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -548,8 +564,8 @@
             net.now = woke;
             gateway.turn_started();
             // Guards against a signal whose byte in the pipe was lost, so that no event tells of it: the flag does.
-            let wake_lost = self.is_signalled() && !events.iter().any(|event| event.token() == SIGNALS);
-            let mut datagrams = gateway.net().more_datagrams;
+            let wake_lost = self.has_signal() && !events.iter().any(|event| event.token() == SIGNALS);
+            let mut datagrams = gateway.net().has_more_datagrams;
             for event in &events {
                 match event.token() {
                     LISTENER => drop(self.accept(gateway)),
@@ -557,11 +573,11 @@
                     SIGNALS => {
                         let mut some = [0; 64];
                         while self.signals.read(&mut some).is_ok_and(|got| got > 0) {}
-                        self.take_signals(gateway);
+                        self.handle_signals(gateway);
                     }
                     Token(id) => {
                         if event.is_writable() || event.is_error() {
-                            self.writable(gateway, id);
+                            self.handle_writable(gateway, id);
                         }
                         if event.is_readable() || event.is_read_closed() || event.is_error() {
                             gateway.net().read(id, event.is_read_closed() || event.is_error());
@@ -571,15 +587,15 @@
                 }
             }
             if wake_lost {
-                self.take_signals(gateway);
+                self.handle_signals(gateway);
             }
             if datagrams {
-                for bytes in gateway.net().datagrams() {
+                for bytes in gateway.net().read_datagrams() {
                     gateway.datagram_received(&bytes);
                 }
             }
             // Once a turn, so that a client that sends on without end has no more than its turn.
-            for id in gateway.net().take_resumed() {
+            for id in gateway.net().take_to_resume() {
                 gateway.net().read(id, false);
                 gateway.input_received(id);
             }
@@ -605,33 +621,33 @@
         while !self.accept(gateway) {
             let Some(listener) = &self.listener else { return };
             let Ok((mut stream, _)) = listener.accept() else { break };
-            turn_away(&mut stream, gateway.unavailable_response());
+            reject_connection(&mut stream, gateway.unavailable_response());
         }
         self.listener = None;
     }
 
-    fn is_signalled(&self) -> bool {
-        self.hung_up.load(Ordering::Relaxed) || self.told_to_stop.load(Ordering::Relaxed)
+    fn has_signal(&self) -> bool {
+        self.reload_signal.load(Ordering::Relaxed) || self.stop_signal.load(Ordering::Relaxed)
     }
 
-    fn take_signals(&mut self, gateway: &mut impl EventHandler) {
-        if self.hung_up.swap(false, Ordering::Relaxed) {
+    fn handle_signals(&mut self, gateway: &mut impl EventHandler) {
+        if self.reload_signal.swap(false, Ordering::Relaxed) {
             gateway.reload();
         }
-        if self.told_to_stop.swap(false, Ordering::Relaxed) {
+        if self.stop_signal.swap(false, Ordering::Relaxed) {
             gateway.stop();
         }
     }
 
-    fn writable(&mut self, gateway: &mut impl EventHandler, id: usize) {
+    fn handle_writable(&mut self, gateway: &mut impl EventHandler, id: usize) {
         let Some(conn) = gateway.net().get_mut(id) else { return };
-        if !conn.up {
+        if !conn.is_connected {
             match conn.stream.take_error() {
-                Ok(None) if conn.stream.peer_addr().is_ok() => conn.up = true,
+                Ok(None) if conn.stream.peer_addr().is_ok() => conn.is_connected = true,
                 Ok(None) => return, // not yet
-                Ok(Some(e)) | Err(e) => conn.ended = Some(ending(&e)),
+                Ok(Some(e)) | Err(e) => conn.end = Some(end_of_error(&e)),
             }
-            if conn.ended.is_none() {
+            if conn.end.is_none() {
                 gateway.connected(id);
             } else {
                 return gateway.input_received(id);
@@ -652,7 +668,7 @@
             }
             for id in dirty {
                 if let Some(conn) = gateway.net().get_mut(id) {
-                    conn.dirty = false;
+                    conn.is_dirty = false;
                 }
                 gateway.net().write(id);
                 gateway.output_written(id);
@@ -673,7 +689,7 @@
                     let most = gateway.max_client_input();
                     if let Ok(id) = gateway.net().add(stream, Peer::Client, address, most) {
                         if let Some(conn) = gateway.net().get_mut(id) {
-                            conn.up = true;
+                            conn.is_connected = true;
                         }
                         gateway.accepted(id);
                     }
@@ -699,8 +715,8 @@
 
 /// Answers what has come on a connection and ends it, in one go; nothing is said where nothing has come. All of it is read
 /// before, so that no unread byte makes a reset of the close.
-fn turn_away(stream: &mut TcpStream, refusal: &[u8]) {
-    let mut bytes = [0; READ];
+fn reject_connection(stream: &mut TcpStream, refusal: &[u8]) {
+    let mut bytes = [0; READ_SIZE];
     let mut came = false;
     while let Ok(got) = stream.read(&mut bytes) {
         came |= got > 0;
@@ -715,7 +731,7 @@
     let _ = stream.shutdown(std::net::Shutdown::Write);
 }
 
-fn end_of(stream: &UnixStream) -> io::Result<std::os::fd::OwnedFd> {
+fn clone_descriptor(stream: &UnixStream) -> io::Result<std::os::fd::OwnedFd> {
     use std::os::fd::AsFd;
     stream.as_fd().try_clone_to_owned()
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -8,11 +8,12 @@
 use std::rc::Rc;
 
 /// So many different words for zones and types are shared among the entries; further ones take their own memory.
-const WORDS_MOST: usize = 256;
+const MAX_POOLED_STRINGS: usize = 256;
 /// What an entry's name takes beyond its letters.
-const ALLOCATION: usize = 16;
+const ALLOCATION_OVERHEAD: usize = 16;
 /// What is gone need not have an address any more.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+const UNSPECIFIED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 /// One server as an object of the list names it.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,26 +35,26 @@
     /// Reads an entry; nothing where it makes no sense.
     pub fn from_deserializer<'a>(from: impl Deserializer<'a>, words: &mut StringPool) -> Option<Entry> {
         let fields = Fields::deserialize(from).ok()?;
-        let status = fields.status.text()?;
+        let status = fields.status.as_str()?;
         let gone = status == "gone";
-        let address = fields.address.text().and_then(|text| text.parse().ok());
+        let address = fields.address.as_str().and_then(|text| text.parse().ok());
         Some(Entry {
-            name: fields.name.text()?.into(),
-            address: address.or(gone.then_some(NOWHERE))?,
-            zone: words.shared(fields.zone.text().unwrap_or_default()),
-            kind: words.shared(fields.kind.text().unwrap_or_default()),
+            name: fields.name.as_str()?.into(),
+            address: address.or(gone.then_some(UNSPECIFIED_ADDRESS))?,
+            zone: words.intern(fields.zone.as_str().unwrap_or_default()),
+            kind: words.intern(fields.kind.as_str().unwrap_or_default()),
             service: 0,
-            cell: fields.group.whole().unwrap_or(0) as u16,
+            cell: fields.group.as_u64().unwrap_or(0) as u16,
             ready: status == "ready",
             gone,
-            weight: fields.weight.number().filter(|weight| weight.is_finite()).unwrap_or(1.0),
-            started_ms: fields.since_ms.number().unwrap_or(0.0) as u64,
+            weight: fields.weight.as_f64().filter(|weight| weight.is_finite()).unwrap_or(1.0),
+            started_ms: fields.since_ms.as_f64().unwrap_or(0.0) as u64,
         })
     }
 
     /// Bytes that it takes.
     pub fn memory_size(&self) -> usize {
-        size_of::<Entry>() + self.name.len() + ALLOCATION
+        size_of::<Entry>() + self.name.len() + ALLOCATION_OVERHEAD
     }
 }
 
@@ -62,12 +63,12 @@
 pub struct StringPool(Vec<Rc<str>>);
 
 impl StringPool {
-    fn shared(&mut self, word: &str) -> Rc<str> {
+    fn intern(&mut self, word: &str) -> Rc<str> {
         if let Some(known) = self.0.iter().find(|known| &***known == word) {
             return known.clone();
         }
         let new: Rc<str> = word.into();
-        if self.0.len() < WORDS_MOST {
+        if self.0.len() < MAX_POOLED_STRINGS {
             self.0.push(new.clone());
         }
         new
@@ -100,25 +101,25 @@
 #[derive(Default)]
 enum Field<'a> {
     Text(Cow<'a, str>),
-    Whole(u64),
-    Number(f64),
+    Integer(u64),
+    Float(f64),
     #[default]
     Other,
 }
 
 impl Field<'_> {
-    fn text(&self) -> Option<&str> {
+    fn as_str(&self) -> Option<&str> {
         if let Field::Text(text) = self { Some(text) } else { None }
     }
 
-    fn whole(&self) -> Option<u64> {
-        if let Field::Whole(number) = self { Some(*number) } else { None }
+    fn as_u64(&self) -> Option<u64> {
+        if let Field::Integer(number) = self { Some(*number) } else { None }
     }
 
-    fn number(&self) -> Option<f64> {
+    fn as_f64(&self) -> Option<f64> {
         match self {
-            Field::Whole(number) => Some(*number as f64),
-            Field::Number(number) => Some(*number),
+            Field::Integer(number) => Some(*number as f64),
+            Field::Float(number) => Some(*number),
             Field::Text(_) | Field::Other => None,
         }
     }
@@ -126,14 +127,14 @@
 
 impl<'de: 'a, 'a> Deserialize<'de> for Field<'a> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(AnyValue)
+        from.deserialize_any(FieldVisitor)
     }
 }
 
 /// Takes a value of any type for a [`Field`].
-struct AnyValue;
+struct FieldVisitor;
 
-impl<'de> Visitor<'de> for AnyValue {
+impl<'de> Visitor<'de> for FieldVisitor {
     type Value = Field<'de>;
 
     fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
@@ -149,15 +150,15 @@
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<Field<'de>, E> {
-        Ok(Field::Whole(number))
+        Ok(Field::Integer(number))
     }
 
     fn visit_i64<E>(self, number: i64) -> Result<Field<'de>, E> {
-        Ok(Field::Number(number as f64))
+        Ok(Field::Float(number as f64))
     }
 
     fn visit_f64<E>(self, number: f64) -> Result<Field<'de>, E> {
-        Ok(Field::Number(number))
+        Ok(Field::Float(number))
     }
 
     fn visit_bool<E>(self, _: bool) -> Result<Field<'de>, E> {
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -69,7 +69,7 @@
 }
 
 /// Headers that speak of one connection only, or that whoever passes a message on writes itself.
-const OWN: [&str; 10] = [
+const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -96,7 +96,7 @@
         .collect();
     for line in lines().filter(|line| !line.is_empty()) {
         let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
-        if !OWN.iter().chain(but).any(|own| named(line, own))
+        if !CONNECTION_HEADERS.iter().chain(but).any(|own| named(line, own))
             && !dropped.iter().any(|word| word.eq_ignore_ascii_case(name))
         {
             out.extend_from_slice(line);
@@ -115,40 +115,40 @@
 #[derive(Debug, Default)]
 pub struct ChunkedDecoder {
     /// Data bytes left of the chunk at hand.
-    left: usize,
-    step: Step,
+    chunk_left: usize,
+    state: ChunkState,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Step {
+enum ChunkState {
     #[default]
     Size,
     Data,
     DataEnd,
     Trailer,
-    Over,
+    Done,
 }
 
 impl ChunkedDecoder {
     pub fn is_complete(&self) -> bool {
-        self.step == Step::Over
+        self.state == ChunkState::Done
     }
 
     /// How many bytes of the input were used up; `data` gets what they held.
     pub fn feed(&mut self, input: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, MessageError> {
         let mut at = 0;
-        while self.step != Step::Over {
+        while self.state != ChunkState::Done {
             let rest = &input[at..];
-            match self.step {
-                Step::Data => {
-                    let now = rest.len().min(self.left);
+            match self.state {
+                ChunkState::Data => {
+                    let now = rest.len().min(self.chunk_left);
                     data(&rest[..now]);
-                    self.left -= now;
+                    self.chunk_left -= now;
                     at += now;
-                    if self.left > 0 {
+                    if self.chunk_left > 0 {
                         break;
                     }
-                    self.step = Step::DataEnd;
+                    self.state = ChunkState::DataEnd;
                 }
                 _ => {
                     let Some(end) = rest.iter().position(|byte| *byte == b'\n') else {
@@ -159,11 +159,11 @@
                     };
                     let line = rest[..end].strip_suffix(b"\r").unwrap_or(&rest[..end]);
                     at += end + 1;
-                    self.step = match self.step {
-                        Step::Size => self.size(line)?,
-                        Step::DataEnd if line.is_empty() => Step::Size,
-                        Step::Trailer if line.is_empty() => Step::Over,
-                        Step::Trailer => Step::Trailer,
+                    self.state = match self.state {
+                        ChunkState::Size => self.parse_size(line)?,
+                        ChunkState::DataEnd if line.is_empty() => ChunkState::Size,
+                        ChunkState::Trailer if line.is_empty() => ChunkState::Done,
+                        ChunkState::Trailer => ChunkState::Trailer,
                         _ => return Err(MessageError(400, "bad-chunk")),
                     };
                 }
@@ -172,12 +172,12 @@
         Ok(at)
     }
 
-    fn size(&mut self, line: &[u8]) -> Result<Step, MessageError> {
+    fn parse_size(&mut self, line: &[u8]) -> Result<ChunkState, MessageError> {
         let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
         let digits = std::str::from_utf8(digits).ok().filter(|digits| !digits.starts_with('+'));
         let size = digits.and_then(|digits| u32::from_str_radix(digits, 16).ok());
-        self.left = size.ok_or(MessageError(400, "bad-chunk"))? as usize;
-        Ok(if self.left == 0 { Step::Trailer } else { Step::Data })
+        self.chunk_left = size.ok_or(MessageError(400, "bad-chunk"))? as usize;
+        Ok(if self.chunk_left == 0 { ChunkState::Trailer } else { ChunkState::Data })
     }
 }
 
--- a/crates/gateway/src/json_stream.rs
+++ b/crates/gateway/src/json_stream.rs
@@ -44,14 +44,14 @@
 
 /// Where the next byte stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Place {
+enum Position {
     #[default]
     Between,
-    Frame,
+    Envelope,
     /// In the array, where an element may begin: as the first, behind a comma; or where only a comma or the end may come.
-    First,
-    Next,
-    Behind,
+    FirstElement,
+    NextElement,
+    AfterElement,
     Element,
 }
 
@@ -59,19 +59,19 @@
 #[derive(Debug, Default)]
 struct Nesting {
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
 }
 
 impl Nesting {
     /// Takes one byte. Strings hold no bare line ends: one tells of an object that was cut short.
-    fn take(&mut self, byte: u8) -> Result<(), ObjectError> {
+    fn feed(&mut self, byte: u8) -> Result<(), ObjectError> {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
-            b'\\' => self.escaped = self.quoted,
-            b'"' => self.quoted = !self.quoted,
-            _ if self.quoted && byte < b' ' => return Err(ObjectError::Malformed),
-            _ if self.quoted => {}
+            b'\\' => self.escaped = self.in_string,
+            b'"' => self.in_string = !self.in_string,
+            _ if self.in_string && byte < b' ' => return Err(ObjectError::Malformed),
+            _ if self.in_string => {}
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth = self.depth.checked_sub(1).ok_or(ObjectError::Malformed)?,
             _ => {}
@@ -84,32 +84,32 @@
 #[derive(Debug)]
 pub struct ObjectStream {
     /// The array's name as it is written, in quotes.
-    quoted_name: String,
-    place: Place,
+    quoted_key: String,
+    position: Position,
     nesting: Nesting,
     /// What has come so far of the object at hand without its elements, and of the element at hand.
-    frame: Vec<u8>,
+    envelope: Vec<u8>,
     element: Vec<u8>,
     /// The array has been met in this object.
-    met: bool,
+    array_seen: bool,
 }
 
 impl ObjectStream {
     /// For objects whose array stands under this name.
     pub fn new(name: &str) -> Self {
         ObjectStream {
-            quoted_name: format!("\"{name}\""),
-            place: Place::default(),
+            quoted_key: format!("\"{name}\""),
+            position: Position::default(),
             nesting: Nesting::default(),
-            frame: Vec::new(),
+            envelope: Vec::new(),
             element: Vec::new(),
-            met: false,
+            array_seen: false,
         }
     }
 
     /// Whether an object has begun and not ended.
     pub fn is_in_object(&self) -> bool {
-        self.place != Place::Between
+        self.position != Position::Between
     }
 
     /// Hands on each part that is whole. After a fault nothing more may be fed.
@@ -119,25 +119,25 @@
         mut found: impl FnMut(ObjectPart) -> Result<(), ObjectError>,
     ) -> Result<(), ObjectError> {
         while let Some((byte, rest)) = data.split_first() {
-            match self.place {
-                Place::Element => {
+            match self.position {
+                Position::Element => {
                     data = self.feed_element(data, &mut found)?;
                     continue;
                 }
-                Place::Frame => self.feed_frame(*byte, &mut found)?,
+                Position::Envelope => self.feed_envelope(*byte, &mut found)?,
                 _ if byte.is_ascii_whitespace() => {}
-                Place::Between if *byte == b'{' => {
-                    self.place = Place::Frame;
-                    self.feed_frame(*byte, &mut found)?;
+                Position::Between if *byte == b'{' => {
+                    self.position = Position::Envelope;
+                    self.feed_envelope(*byte, &mut found)?;
                 }
-                Place::First | Place::Next if *byte == b'{' => {
-                    self.place = Place::Element;
+                Position::FirstElement | Position::NextElement if *byte == b'{' => {
+                    self.position = Position::Element;
                     continue;
                 }
-                Place::Behind if *byte == b',' => self.place = Place::Next,
-                Place::First | Place::Behind if *byte == b']' => {
-                    self.place = Place::Frame;
-                    self.feed_frame(*byte, &mut found)?;
+                Position::AfterElement if *byte == b',' => self.position = Position::NextElement,
+                Position::FirstElement | Position::AfterElement if *byte == b']' => {
+                    self.position = Position::Envelope;
+                    self.feed_envelope(*byte, &mut found)?;
                 }
                 _ => return Err(ObjectError::Malformed),
             }
@@ -156,7 +156,7 @@
         let outside = 2;
         let mut end = None;
         for (at, byte) in data.iter().enumerate() {
-            self.nesting.take(*byte)?;
+            self.nesting.feed(*byte)?;
             if self.nesting.depth == outside {
                 end = Some(at + 1);
                 break;
@@ -170,7 +170,7 @@
             self.element.extend_from_slice(part);
             return Ok(rest);
         }
-        self.place = Place::Behind;
+        self.position = Position::AfterElement;
         if self.element.is_empty() {
             found(ObjectPart::Element(part))?;
         } else {
@@ -182,48 +182,49 @@
     }
 
     /// Takes a byte of what stands around the elements.
-    fn feed_frame(
+    fn feed_envelope(
         &mut self,
         byte: u8,
         found: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
     ) -> Result<(), ObjectError> {
-        let opens = byte == b'[' && !self.nesting.quoted && self.nesting.depth == 1 && self.is_named();
-        self.nesting.take(byte)?;
-        self.keep(byte)?;
+        let opens =
+            byte == b'[' && !self.nesting.in_string && self.nesting.depth == 1 && self.ends_with_array_key();
+        self.nesting.feed(byte)?;
+        self.push_envelope_byte(byte)?;
         if opens {
-            if std::mem::replace(&mut self.met, true) {
+            if std::mem::replace(&mut self.array_seen, true) {
                 return Err(ObjectError::Malformed);
             }
-            self.place = Place::First;
+            self.position = Position::FirstElement;
         } else if self.nesting.depth == 0 {
-            if !std::mem::take(&mut self.met) {
+            if !std::mem::take(&mut self.array_seen) {
                 return Err(ObjectError::Malformed);
             }
-            self.place = Place::Between;
-            found(ObjectPart::Envelope(&self.frame))?;
-            self.frame.clear();
+            self.position = Position::Between;
+            found(ObjectPart::Envelope(&self.envelope))?;
+            self.envelope.clear();
         }
         Ok(())
     }
 
     /// Keeps a byte of the frame; of white space outside strings, one.
-    fn keep(&mut self, byte: u8) -> Result<(), ObjectError> {
+    fn push_envelope_byte(&mut self, byte: u8) -> Result<(), ObjectError> {
         let blank = |byte: u8| byte.is_ascii_whitespace();
-        if blank(byte) && !self.nesting.quoted && self.frame.last().is_some_and(|last| blank(*last)) {
+        if blank(byte) && !self.nesting.in_string && self.envelope.last().is_some_and(|last| blank(*last)) {
             return Ok(());
         }
-        if self.frame.len() >= MAX_ENVELOPE_LEN {
+        if self.envelope.len() >= MAX_ENVELOPE_LEN {
             return Err(ObjectError::EnvelopeTooLong);
         }
-        self.frame.push(byte);
+        self.envelope.push(byte);
         Ok(())
     }
 
     /// Whether the key that the frame ends with is the array's. A quote inside a string has a backslash before it, so
     /// that a string that only ends like the key is none.
-    fn is_named(&self) -> bool {
-        let key = self.frame.trim_ascii_end().strip_suffix(b":").map(<[u8]>::trim_ascii_end);
-        let before = key.and_then(|key| key.strip_suffix(self.quoted_name.as_bytes()));
+    fn ends_with_array_key(&self) -> bool {
+        let key = self.envelope.trim_ascii_end().strip_suffix(b":").map(<[u8]>::trim_ascii_end);
+        let before = key.and_then(|key| key.strip_suffix(self.quoted_key.as_bytes()));
         before.is_some_and(|before| matches!(before.trim_ascii_end().last(), Some(b'{' | b',')))
     }
 }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -29,12 +29,12 @@
 /// From the second list in a row on that can't be taken, the rest before the next call is at least so long, twice as long
 /// after each further one and up to the last, and drawn up to twice as long again. With the time that the watch takes to
 /// be answered it stays within the 6 s after which a change counts as told.
-const UNTAKEN_REST: Nanos = 250_000_000;
-const UNTAKEN_REST_LAST: Nanos = 2_000_000_000;
+const INVALID_LIST_DELAY: Nanos = 250_000_000;
+const MAX_INVALID_LIST_DELAY: Nanos = 2_000_000_000;
 /// A watch that stood for so long before such a list came is no further one in a row.
-const STOOD: Nanos = 5_000_000_000;
+const STABLE_AFTER: Nanos = 5_000_000_000;
 /// The key under which an object holds its entries.
-const ENTRIES: &str = "endpoints";
+const ENTRIES_KEY: &str = "endpoints";
 
 /// One object of the list, read as far as it makes sense.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -72,17 +72,17 @@
     pub head_read: bool,
     chunks: ChunkedDecoder,
     objects: ObjectStream,
-    staged: Staged,
+    staged: StagedUpdate,
     /// When it was asked for, and from its answer's head on, when that or some of its body came last.
     pub last_received: Nanos,
     /// When the object that is coming in began, or went on by an entry.
-    began: Option<Nanos>,
+    object_progress_at: Option<Nanos>,
     /// Breaks since a watch last told something, if only that nothing changed.
     pub failures: u32,
     /// When it was asked for.
-    asked: Nanos,
+    requested_at: Nanos,
     /// So many objects in a row could not be taken.
-    untaken: u32,
+    invalid_in_a_row: u32,
     /// Bytes that the entries of one object may take.
     pub entry_memory_limit: usize,
     /// Of other services no entry is held.
@@ -102,13 +102,13 @@
             index,
             head_read: false,
             chunks: ChunkedDecoder::default(),
-            objects: ObjectStream::new(ENTRIES),
-            staged: Staged::new(entries_memory, services.clone()),
+            objects: ObjectStream::new(ENTRIES_KEY),
+            staged: StagedUpdate::new(entries_memory, services.clone()),
             last_received: 0,
-            began: None,
+            object_progress_at: None,
             failures: 0,
-            asked: 0,
-            untaken: 0,
+            requested_at: 0,
+            invalid_in_a_row: 0,
             entry_memory_limit: entries_memory,
             services,
         }
@@ -122,9 +122,9 @@
     /// Starts over on a new connection: the message that asks for changes after the version held.
     pub fn write_request(&mut self, out: &mut Vec<u8>, now: Nanos) {
         (self.head_read, self.chunks, self.last_received) = (false, ChunkedDecoder::default(), now);
-        (self.began, self.asked) = (None, now);
-        self.objects = ObjectStream::new(ENTRIES);
-        self.staged = Staged::new(self.entry_memory_limit, self.services.clone());
+        (self.object_progress_at, self.requested_at) = (None, now);
+        self.objects = ObjectStream::new(ENTRIES_KEY);
+        self.staged = StagedUpdate::new(self.entry_memory_limit, self.services.clone());
         let from = self.index;
         let text = format!(
             "GET /api/targets?watch=1&from={from} HTTP/1.1\r\nHost: discovery\r\nAccept: */*\r\n\r\n"
@@ -135,12 +135,12 @@
     /// Whether it has said nothing for too long, or has not ended what it began to say: empty lines that go on behind half an
     /// object are no sign of life.
     pub fn is_unresponsive(&self, now: Nanos) -> bool {
-        now > self.alive_at() + if self.head_read { SILENCE_TIMEOUT } else { RESPONSE_TIMEOUT }
+        now > self.last_alive_at() + if self.head_read { SILENCE_TIMEOUT } else { RESPONSE_TIMEOUT }
     }
 
     /// Until when nothing can have been missed: the last sign of life, or when the call at hand was made.
-    fn alive_at(&self) -> Nanos {
-        self.began.unwrap_or(self.last_received).min(self.last_received)
+    fn last_alive_at(&self) -> Nanos {
+        self.object_progress_at.unwrap_or(self.last_received).min(self.last_received)
     }
 
     /// Takes what came: how many bytes were used up, and the objects found, whatever white space stands in and between
@@ -161,11 +161,11 @@
             self.last_received = now;
         }
         let Watch { objects, staged, .. } = self;
-        let (mut fault, mut spoke, had) = (None, false, staged.parts);
+        let (mut fault, mut spoke, had) = (None, false, staged.parts_taken);
         let used = self.chunks.feed(&input[at..], |data| {
             spoke |= !data.is_empty();
             if fault.is_none() {
-                fault = objects.feed(data, |part| staged.take(part, told)).err();
+                fault = objects.feed(data, |part| staged.take_part(part, told)).err();
             }
         });
         if spoke {
@@ -174,10 +174,12 @@
         if spoke && fault.is_none() && !self.objects.is_in_object() {
             self.failures = 0;
         }
-        let goes_on = staged.parts > had || self.began.is_none();
-        self.began = if goes_on { Some(now) } else { self.began }.filter(|_| self.objects.is_in_object());
+        let goes_on = staged.parts_taken > had || self.object_progress_at.is_none();
+        self.object_progress_at =
+            if goes_on { Some(now) } else { self.object_progress_at }.filter(|_| self.objects.is_in_object());
         if let Some(fault) = fault {
-            self.untaken = if now > self.asked + STOOD { 1 } else { self.untaken + 1 };
+            self.invalid_in_a_row =
+                if now > self.requested_at + STABLE_AFTER { 1 } else { self.invalid_in_a_row + 1 };
             return Err(fault.reason());
         }
         at += used.map_err(|MessageError(_, why)| why)?;
@@ -209,8 +211,8 @@
     /// end: the cause is at discovery and mostly lasts. One such object alone is taken for an accident. Harm: the first
     /// list that can be taken again comes up to 4 s later.
     pub fn invalid_list_delay(&self, chance: &mut fastrand::Rng) -> Nanos {
-        let Some(more) = self.untaken.checked_sub(2) else { return 0 };
-        let least = (UNTAKEN_REST << more.min(8)).min(UNTAKEN_REST_LAST);
+        let Some(more) = self.invalid_in_a_row.checked_sub(2) else { return 0 };
+        let least = (INVALID_LIST_DELAY << more.min(8)).min(MAX_INVALID_LIST_DELAY);
         least + chance.u64(..least)
     }
 
@@ -239,7 +241,7 @@
             .clamp(*RETRY_DELAY_BOUNDS.start(), *RETRY_DELAY_BOUNDS.end());
         let rest = [(last / 6).min(told / 2), last / 2, last][self.failures.min(2) as usize];
         let left =
-            (ANNOUNCED_WITHIN - RESPONSE_ALLOWANCE).saturating_sub(now.saturating_sub(self.alive_at()));
+            (ANNOUNCED_WITHIN - RESPONSE_ALLOWANCE).saturating_sub(now.saturating_sub(self.last_alive_at()));
         self.failures += 1;
         chance.u64(..rest.min(left.max(MAX_PUSHED_RETRY_DELAY)).max(1))
     }
@@ -247,49 +249,49 @@
 
 /// An object that has not ended. Nothing of it counts before its end.
 #[derive(Debug)]
-struct Staged {
-    told: ListUpdate,
-    words: StringPool,
+struct StagedUpdate {
+    update: ListUpdate,
+    strings: StringPool,
     services: Rc<Services>,
     /// Bytes that the entries may take.
-    most: usize,
-    held: usize,
+    memory_limit: usize,
+    memory_used: usize,
     /// Parts of objects taken so far.
-    parts: u64,
+    parts_taken: u64,
 }
 
-impl Staged {
+impl StagedUpdate {
     fn new(most: usize, services: Rc<Services>) -> Self {
-        Staged {
-            told: ListUpdate::default(),
-            words: StringPool::default(),
+        StagedUpdate {
+            update: ListUpdate::default(),
+            strings: StringPool::default(),
             services,
-            most,
-            held: 0,
-            parts: 0,
+            memory_limit: most,
+            memory_used: 0,
+            parts_taken: 0,
         }
     }
 
     /// Takes an entry, or the end of the object: all of it is told then.
-    fn take(&mut self, part: ObjectPart, told: &mut Vec<ListUpdate>) -> Result<(), ObjectError> {
-        self.parts += 1;
+    fn take_part(&mut self, part: ObjectPart, told: &mut Vec<ListUpdate>) -> Result<(), ObjectError> {
+        self.parts_taken += 1;
         match part {
             ObjectPart::Element(text) => {
                 let mut from = serde_json::Deserializer::from_slice(text);
                 let entry =
-                    Entry::from_deserializer(&mut from, &mut self.words).ok_or(ObjectError::Malformed)?;
-                let (memory, had) = (entry.memory_size(), self.told.entries.len());
-                self.told.add_entry(entry, &self.services);
-                self.held += if self.told.entries.len() > had { memory } else { 0 };
-                if self.held > self.most {
+                    Entry::from_deserializer(&mut from, &mut self.strings).ok_or(ObjectError::Malformed)?;
+                let (memory, had) = (entry.memory_size(), self.update.entries.len());
+                self.update.add_entry(entry, &self.services);
+                self.memory_used += if self.update.entries.len() > had { memory } else { 0 };
+                if self.memory_used > self.memory_limit {
                     return Err(ObjectError::ListTooLong);
                 }
             }
             ObjectPart::Envelope(text) => {
-                let frame = serde_json::from_slice(text).ok().and_then(|frame| read_frame(&frame));
+                let frame = serde_json::from_slice(text).ok().and_then(|frame| parse_envelope(&frame));
                 let (index, whole) = frame.ok_or(ObjectError::Malformed)?;
-                self.held = 0;
-                told.push(ListUpdate { index, is_snapshot: whole, ..std::mem::take(&mut self.told) });
+                self.memory_used = 0;
+                told.push(ListUpdate { index, is_snapshot: whole, ..std::mem::take(&mut self.update) });
             }
         }
         Ok(())
@@ -297,8 +299,8 @@
 }
 
 /// Reads an object whose entries were taken out of it: its version, and whether it is a whole list.
-fn read_frame(object: &Value) -> Option<(u64, bool)> {
-    object[ENTRIES].as_array().filter(|left| left.is_empty())?;
+fn parse_envelope(object: &Value) -> Option<(u64, bool)> {
+    object[ENTRIES_KEY].as_array().filter(|left| left.is_empty())?;
     Some((object["index"].as_u64()?, object["snapshot"].as_bool()?))
 }
 
@@ -310,7 +312,7 @@
         ..ListUpdate::default()
     };
     let mut words = StringPool::default();
-    for entry in object[ENTRIES].as_array()? {
+    for entry in object[ENTRIES_KEY].as_array()? {
         told.add_entry(Entry::from_deserializer(entry, &mut words)?, services);
     }
     Some(told)
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -6,7 +6,7 @@
 
 const MS: Nanos = 1_000_000;
 /// So many names of zones are kept.
-const ZONES_MOST: usize = 1024;
+const MAX_ZONES: usize = 1024;
 
 /// Zones and kinds by name.
 #[derive(Debug, Default)]
@@ -19,17 +19,17 @@
     /// The zones and kinds that the settings name, numbered in this order.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         let mut directory = NameIds { kinds, ..NameIds::default() };
-        zones.iter().for_each(|zone| _ = directory.zone(zone));
+        zones.iter().for_each(|zone| _ = directory.zone_number(zone));
         directory
     }
 
     /// The number of a zone; those beyond what the settings name are told apart all the same.
-    fn zone(&mut self, name: &str) -> u16 {
+    fn zone_number(&mut self, name: &str) -> u16 {
         if let Some(number) = self.zones.get(name) {
             return *number;
         }
         let number = self.zones.len() as u16;
-        if self.zones.len() >= ZONES_MOST {
+        if self.zones.len() >= MAX_ZONES {
             return u16::MAX;
         }
         self.zones.insert(name.into(), number);
@@ -43,7 +43,7 @@
             server: 0,
             service: entry.service,
             key,
-            zone: if entry.gone { u16::MAX } else { self.zone(&entry.zone) },
+            zone: if entry.gone { u16::MAX } else { self.zone_number(&entry.zone) },
             kind: kind.map_or(u8::MAX, |at| at as u8),
             cell: entry.cell,
             ready: entry.ready,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -16,8 +16,8 @@
 pub const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
 
 /// Of the last reused connections so many are remembered, and what they show for so long.
-const REUSES: usize = 64;
-const REUSES_HOLD: Nanos = 30_000_000_000;
+const REUSE_SAMPLES: usize = 64;
+const REUSE_LIMIT_LIFETIME: Nanos = 30_000_000_000;
 
 /// Guards against servers, or what stands before them, that drop idle connections sooner than told, and say so only
 /// when the next call-out is written: the last reuses show from which rest on they break. Covers proxies and short
@@ -26,32 +26,32 @@
 #[derive(Debug, Default)]
 pub struct ReuseHistory {
     /// For how long each had rested, and whether it broke under its call-out.
-    last: VecDeque<(Nanos, bool)>,
-    limit: Option<(Nanos, Nanos)>,
+    samples: VecDeque<(Nanos, bool)>,
+    idle_limit: Option<(Nanos, Nanos)>,
 }
 
 impl ReuseHistory {
     /// Once the longest-rested quarter broke more than twice as often as the others, what has rested so long is not
     /// used again for a while.
     pub fn record(&mut self, now: Nanos, rested: Nanos, broke: bool) {
-        self.last.push_back((rested, broke));
-        if self.last.len() < REUSES {
+        self.samples.push_back((rested, broke));
+        if self.samples.len() < REUSE_SAMPLES {
             return;
         }
-        let mut sorted: Vec<(Nanos, bool)> = self.last.iter().copied().collect();
+        let mut sorted: Vec<(Nanos, bool)> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
         let broken = |some: &[(Nanos, bool)]| some.iter().filter(|one| one.1).count();
-        let (young, old) = sorted.split_at(REUSES * 3 / 4);
-        if broken(old) >= REUSES / 16 && 3 * broken(old) > 2 * broken(young) {
-            self.limit = Some((old[0].0, now));
-            self.last.clear();
+        let (young, old) = sorted.split_at(REUSE_SAMPLES * 3 / 4);
+        if broken(old) >= REUSE_SAMPLES / 16 && 3 * broken(old) > 2 * broken(young) {
+            self.idle_limit = Some((old[0].0, now));
+            self.samples.clear();
         } else {
-            self.last.pop_front();
+            self.samples.pop_front();
         }
     }
 
     pub fn allows(&self, now: Nanos, rested: Nanos) -> bool {
-        self.limit.is_none_or(|(limit, since)| rested < limit || now > since + REUSES_HOLD)
+        self.idle_limit.is_none_or(|(limit, since)| rested < limit || now > since + REUSE_LIMIT_LIFETIME)
     }
 }
 
@@ -97,7 +97,7 @@
         self.is_listed && self.address == address && is_same_life && is_same(&self.last_listed, listed)
     }
 
-    fn take_idle(&mut self) -> Vec<usize> {
+    fn take_idle_connections(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.idle_connections).into_iter().map(|idle| idle.0).collect()
     }
 }
@@ -105,12 +105,12 @@
 /// All servers, by the key of their names and by number.
 #[derive(Debug, Default)]
 pub struct Servers {
-    numbers: BTreeMap<u64, u32>,
+    numbers_by_key: BTreeMap<u64, u32>,
     pub by_number: BTreeMap<u32, Server>,
     /// Those that are not listed any more, and are held for their connections.
-    left: BTreeSet<u32>,
+    delisted: BTreeSet<u32>,
     pub reuse_history: ReuseHistory,
-    last: u32,
+    last_number: u32,
 }
 
 impl Servers {
@@ -127,17 +127,17 @@
         address: SocketAddr,
         came_up: Nanos,
     ) -> (u32, Vec<usize>) {
-        let last = &mut self.last;
-        let number = *self.numbers.entry(listed.key).or_insert_with(|| {
+        let last = &mut self.last_number;
+        let number = *self.numbers_by_key.entry(listed.key).or_insert_with(|| {
             *last += 1;
             *last
         });
-        self.left.remove(&number);
+        self.delisted.remove(&number);
         let told = Listed { server: number, came_up, ..listed.clone() };
         let stamp = listed.came_up;
         let server = self.by_number.entry(number).or_insert_with(|| Server::new(&told, address, stamp));
         let moved = server.address != address || server.listed_start != stamp;
-        let stale = if moved { server.take_idle() } else { Vec::new() };
+        let stale = if moved { server.take_idle_connections() } else { Vec::new() };
         (server.address, server.listed_start, server.started_at) = (address, stamp, told.came_up);
         (server.is_listed, server.ready) = (true, told.ready);
         server.last_listed = told;
@@ -146,21 +146,21 @@
 
     /// Takes a server off the list: what the module is to be told, and the idle connections, which are of no more use.
     pub fn delist(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
-        let number = *self.numbers.get(&key)?;
+        let number = *self.numbers_by_key.get(&key)?;
         let server = self.by_number.get_mut(&number)?;
         (server.is_listed, server.ready, server.last_listed.ready) = (false, false, false);
-        self.left.insert(number);
-        Some((server.last_listed.clone(), server.take_idle()))
+        self.delisted.insert(number);
+        Some((server.last_listed.clone(), server.take_idle_connections()))
     }
 
     /// The server with this key, listed or held for its connections.
     pub fn by_key(&self, key: u64) -> Option<&Server> {
-        self.by_number.get(self.numbers.get(&key)?)
+        self.by_number.get(self.numbers_by_key.get(&key)?)
     }
 
     /// Drops those that are not listed any more and have no connection left.
     pub fn remove_unused(&mut self) {
-        let Servers { numbers, by_number, left, .. } = self;
+        let Servers { numbers_by_key: numbers, by_number, delisted: left, .. } = self;
         left.retain(|number| {
             let over = by_number.get(number).is_none_or(|server| server.open_connections == 0);
             if over && let Some(server) = by_number.remove(number) {
@@ -306,13 +306,13 @@
             // An interim answer says nothing; what it announces follows, within the bound of one head.
             match head.code.unwrap_or(0) {
                 100..200 => from = start,
-                status => return self.answer(input, ended, from, start, status, &head),
+                status => return self.finish_response(input, ended, from, start, status, &head),
             }
         }
     }
 
     /// The answer whose head stands at `from` and whose body begins at `start`.
-    fn answer(
+    fn finish_response(
         &mut self,
         input: &[u8],
         ended: Option<ConnectionEnd>,
