--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -457,7 +457,9 @@
                 }
             }
             Some(Peer::Discovery) if *watch_on == Some(id) => {
-                drop(net.output(id).map(|out| watch.write_request(out, now)))
+                if let Some(out) = net.output(id) {
+                    watch.write_request(out, now);
+                }
             }
             Some(Peer::Counter(line)) => drop(net.output(id).map(|out| lines[line].connected(out, now))),
             _ => {}
