--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: a state machine for one connection, fed bytes, that finds RPCs in them; and the answers written back.
+//! Client connections: a state machine that finds RPCs in the bytes of one connection, and the
+//! writing of responses.
 
 use crate::config::Config;
 use crate::guard::Effect;
@@ -10,87 +11,96 @@
 use std::io::Write;
 use std::ops::Range;
 
-/// What an RPC may say it waits at most; longer is taken as a mistake.
+/// Largest `X-Remaining-Ms` of an RPC that is accepted; a larger value is taken as a mistake.
 const MAX_REMAINING_MS: u64 = 3_600_000;
-/// A new connection's first message must be whole so soon after it was taken, and any other after its first byte;
-/// so long, too, may a client take to read its last answer.
+/// Time within which a new connection's first message must be complete, counted from the accept,
+/// and every other message, counted from its first byte. Also how long a client may take to read
+/// the last response on its connection.
 pub const MESSAGE_TIMEOUT: Nanos = 2_000_000_000;
-/// A connection without an RPC for this long is closed; clients open another when they need it.
+/// Connections without an RPC for this long are closed; clients open another when they need one.
 pub const IDLE_TIMEOUT: Nanos = 10_000_000_000;
 
-/// What is answered to whoever there is no room for, before it is looked at.
+/// Response to clients for which there is no room; their messages are not parsed.
 pub const UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// So many times of reading are told apart of what lies in a buffer; what comes later counts as read with the last.
+/// How many reads of one buffer are recorded with their times; bytes of later reads count as read
+/// with the last of them.
 const MAX_READ_TIMES: usize = 64;
 
-/// An RPC as it lies in the read buffer of its connection, which keeps it until it is answered.
+/// A parsed RPC request. The ranges refer to the read buffer of its connection, which keeps the
+/// bytes until the response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RpcRequest {
     pub is_get: bool,
     pub target: Range<usize>,
-    /// The header lines.
+    /// The header lines without the request line.
     pub header_lines: Range<usize>,
     pub body: Range<usize>,
-    /// Its id.
+    /// The RPC's id.
     pub txn: Range<usize>,
     pub method: u16,
     pub plan: u16,
     pub customer: u64,
     pub remaining_ms: u64,
     pub units: f64,
+    /// How many gateways the customer's RPCs come in through, and the number of the first of them.
     pub width: u32,
     pub first: u32,
-    /// The client wants the connection closed after the answer.
+    /// The connection closes after the response.
     pub close: bool,
 }
 
-/// What the bytes so far amount to.
+/// What the bytes in the buffer amount to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Parsed {
-    /// Nothing whole yet.
+    /// No complete message yet.
     Incomplete,
-    /// The client asks before it sends a body whether it may.
+    /// The client sent `Expect: 100-continue` and waits for permission to send the body.
     Continue,
     Rpc(RpcRequest),
-    /// A question about the gateway itself: whether it is ready, and its length in the buffer.
+    /// A readiness or health request for the gateway itself, with its length in the buffer.
     Ready(usize),
     Healthy(usize),
 }
 
-/// One client's connection.
+/// A client's connection.
 #[derive(Debug, Default)]
 pub struct Client {
-    /// Where it stands. Changed by [`Client::shift`] alone.
+    /// The connection's phase; changed only by [`Client::set_phase`].
     pub phase: Phase,
-    /// When the first byte of the message that is coming in was read; between messages, when the last answer was out; while
-    /// one is being written, when some of it went last; at the end, when this side's sending ended.
+    /// When the current state began: in the middle of a message, when its first byte was parsed;
+    /// between messages, when the last response was fully written; during a response, when some of
+    /// it was last written; while closing, when this side shut down its sending.
     pub state_since: Nanos,
-    /// When the first byte of the message at hand was read, which may lie before the answer to the one ahead of it.
+    /// When the current message's first byte was received, which may be before the response to the
+    /// previous message.
     pub message_received_at: Nanos,
-    /// Up to which byte the buffer was filled by when, in order.
+    /// Pairs of a buffer length and the time at which the buffer had been filled up to it, in
+    /// order.
     pub read_times: VecDeque<(usize, Nanos)>,
-    /// Part of a message is in the buffer, and so many bytes of it have been looked at.
+    /// The buffer holds part of a message, of which this many bytes have been parsed.
     pub partial: bool,
     pub parsed_bytes: usize,
     pub continue_sent: bool,
-    /// It sent more than one message before its answer, and what was too much of it is dropped.
+    /// The client sent further messages before its response, and what exceeded the buffer was
+    /// dropped.
     pub sent_excess: bool,
-    /// Taken beyond the clients' part of the descriptors, only to push back what it brings.
+    /// Accepted beyond the clients' share of descriptors, only to reject its requests.
     pub over_limit: bool,
+    /// Number of responses on this connection.
     pub served: u64,
 }
 
 impl Client {
-    /// Every change of where it stands goes through here.
+    /// Every phase change goes through here.
     pub fn set_phase(&mut self, to: Phase, now: Nanos) {
         debug_assert!(self.phase.may_become(&to), "{:?} to {to:?}", self.phase);
         self.phase = to;
         self.state_since = now;
     }
 
-    /// What it is doing, if no answer is owed on it.
+    /// Returns what the connection is doing if no response is owed on it.
     pub fn idle_state(&self) -> Option<Idle> {
         match self.phase {
             Phase::Reading if self.partial => Some(Idle::Paused(self.state_since)),
@@ -101,11 +111,12 @@
         }
     }
 
-    /// Notes that the buffer holds so many bytes by this time. Guards against counting the time of a message that came
-    /// behind another from that one's answer. Harm: of more than [`READS_MOST`] pieces the last count as read too early.
+    /// Records that the buffer holds `length` bytes at this time, so that a message that arrived
+    /// behind another is not timed from that one's response. Trade-off: with more than
+    /// [`MAX_READ_TIMES`] reads the last ones count as received too early.
     pub fn record_read(&mut self, length: usize, now: Nanos) {
         if length == 0 {
-            return; // nothing was read: the next byte's time is its own
+            return; // no bytes were read: the next byte gets its own time
         }
         let is_full = self.read_times.len() >= MAX_READ_TIMES;
         match self.read_times.back_mut() {
@@ -115,13 +126,13 @@
         }
     }
 
-    /// So many bytes at the buffer's front are used.
+    /// Removes this many bytes from the front of the recorded reads.
     pub fn consume(&mut self, bytes: usize) {
         self.read_times.iter_mut().for_each(|read| read.0 = read.0.saturating_sub(bytes));
         self.read_times.retain(|read| read.0 > 0);
     }
 
-    /// Looks at all that the buffer holds; called while no RPC is at hand.
+    /// Parses the whole buffer; called while no RPC is being handled.
     pub fn parse_message(
         &mut self,
         config: &Config,
@@ -133,17 +144,18 @@
             self.message_received_at = self.read_times.front().map_or(now, |read| read.1);
         }
         self.parsed_bytes = input.len();
-        let got = parse(config, input)?;
-        if got == Parsed::Continue && std::mem::replace(&mut self.continue_sent, true) {
+        let parsed = parse(config, input)?;
+        if parsed == Parsed::Continue && std::mem::replace(&mut self.continue_sent, true) {
             return Ok(Parsed::Incomplete);
         }
-        if !matches!(got, Parsed::Incomplete | Parsed::Continue) {
+        if !matches!(parsed, Parsed::Incomplete | Parsed::Continue) {
             (self.partial, self.continue_sent) = (false, false);
         }
-        Ok(got)
+        Ok(parsed)
     }
 }
 
+/// Parses the first message in the buffer.
 fn parse(config: &Config, input: &[u8]) -> Result<Parsed, MessageError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -175,7 +187,7 @@
         };
     }
     let (headers, version) = (&*head.headers, head.version.unwrap_or(0));
-    let get = match method {
+    let is_get = match method {
         "GET" => true,
         "POST" => false,
         _ => return Err(MessageError(405, "bad-method")),
@@ -185,23 +197,25 @@
     let customer =
         hex.and_then(|hex| u64::from_str_radix(hex, 16).ok()).filter(|customer| *customer < 1 << 33);
     let customer = customer.ok_or(MessageError(404, "unknown-path"))?;
-    let lane = http::single_header(headers, "x-lane").ok_or(MessageError(400, "no-method"))?;
+    let method_name = http::single_header(headers, "x-lane").ok_or(MessageError(400, "no-method"))?;
     let number = config
         .methods
         .iter()
-        .position(|known| known.name == lane)
+        .position(|known| known.name == method_name)
         .ok_or(MessageError(400, "unknown-method"))?;
     let effect = config.methods[number].effect;
-    if get != (effect == Effect::Idempotent) {
-        return Err(MessageError(405, "bad-method")); // one that is not idempotent must never look so, nor the reverse
+    if is_get != (effect == Effect::Idempotent) {
+        // A method that is not idempotent must not be sent as a GET, nor an idempotent one as a POST.
+        return Err(MessageError(405, "bad-method"));
     }
-    let contract = http::single_header(headers, "x-contract").ok_or(MessageError(400, "no-plan"))?;
+    let plan_name = http::single_header(headers, "x-contract").ok_or(MessageError(400, "no-plan"))?;
     let plan =
-        config.plans.iter().position(|known| known == contract).ok_or(MessageError(400, "unknown-plan"))?;
+        config.plans.iter().position(|known| known == plan_name).ok_or(MessageError(400, "unknown-plan"))?;
     if matches!(effect, Effect::Deduplicated { .. })
         && http::single_header(headers, "idempotency-key").is_none()
     {
-        return Err(MessageError(400, "no-idempotency-key")); // without it a repeat could not be known as one
+        // Without the key the server can't recognise a repeat.
+        return Err(MessageError(400, "no-idempotency-key"));
     }
     let txn = http::single_header(headers, "x-txn").ok_or(MessageError(400, "no-txn"))?;
     let remaining = http::single_header(headers, "x-remaining-ms").and_then(|ms| ms.parse().ok());
@@ -209,16 +223,17 @@
         remaining.filter(|ms| *ms <= MAX_REMAINING_MS).ok_or(MessageError(400, "bad-remaining"))?;
     let metering = http::single_header(headers, "x-metering").ok_or(MessageError(400, "no-metering"))?;
     let (units, width, first) = parse_metering(metering).ok_or(MessageError(400, "bad-metering"))?;
-    // Guards the customer's store, which others use too: one impossible amount would empty it for good.
+    // Protects the customer's quota, which is shared with others: one absurd amount would use it up
+    // for good.
     if units > config.max_units || width > config.gateways || first >= config.gateways {
         return Err(MessageError(400, "bad-metering"));
     }
     if input.len() < end {
-        let asks = http::header_has_token(headers, "expect", "100-continue");
-        return Ok(if asks { Parsed::Continue } else { Parsed::Incomplete });
+        let expects_continue = http::header_has_token(headers, "expect", "100-continue");
+        return Ok(if expects_continue { Parsed::Continue } else { Parsed::Incomplete });
     }
     Ok(Parsed::Rpc(RpcRequest {
-        is_get: get,
+        is_get,
         target: http::range_within(input, target.as_bytes()),
         header_lines: header_lines_start(&input[..start])..start,
         body: start..end,
@@ -234,59 +249,62 @@
     }))
 }
 
-/// Where the header lines begin: after the first line that is not empty.
+/// Returns the offset of the first header line, behind the request line and any empty lines before
+/// it.
 fn header_lines_start(head: &[u8]) -> usize {
     let blank = head.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-    let line = head[blank..].iter().position(|byte| *byte == b'\n');
-    line.map_or(head.len(), |end| blank + end + 1)
+    let line_end = head[blank..].iter().position(|byte| *byte == b'\n');
+    line_end.map_or(head.len(), |end| blank + end + 1)
 }
 
-/// `units=2,spread=3,first=1`, each told once; what is not known is passed over.
+/// Parses `units=2,spread=3,first=1`; each key must occur once, and unknown keys are ignored.
 fn parse_metering(text: &str) -> Option<(f64, u32, u32)> {
-    let told = |name: &str| {
-        let mut named =
+    let unique_value = |name: &str| {
+        let mut matching =
             text.split(',').filter_map(|part| part.split_once('=')).filter(|part| part.0.trim() == name);
-        let value = named.next().map(|part| part.1.trim());
-        value.filter(|_| named.next().is_none())
+        let value = matching.next().map(|part| part.1.trim());
+        value.filter(|_| matching.next().is_none())
     };
-    let units = told("units")?.parse().ok().filter(|units: &f64| units.is_finite() && *units > 0.0)?;
-    let width = told("spread")?.parse().ok().filter(|width| *width > 0)?;
-    Some((units, width, told("first")?.parse().ok()?))
+    let units =
+        unique_value("units")?.parse().ok().filter(|units: &f64| units.is_finite() && *units > 0.0)?;
+    let width = unique_value("spread")?.parse().ok().filter(|width| *width > 0)?;
+    Some((units, width, unique_value("first")?.parse().ok()?))
 }
 
-/// The head of an answer with a body of this length; `lines` are header lines to pass on.
+/// Writes the head of a response whose body has this length. `lines` are header lines to forward;
+/// `retry_after` of 0 writes no `Retry-After` header.
 pub fn write_response_head(
     out: &mut Vec<u8>,
     status: u16,
     length: usize,
     lines: &[u8],
-    come_back: Nanos,
+    retry_after: Nanos,
     close: bool,
 ) {
     let _ = write!(out, "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", http::reason_phrase(status));
     http::forward_headers(out, lines, &["x-pressure", "x-settled", "x-turned-away"]);
-    if come_back > 0 {
-        let _ = write!(out, "Retry-After: {:.3}\r\n", come_back as f64 / 1e9);
+    if retry_after > 0 {
+        let _ = write!(out, "Retry-After: {:.3}\r\n", retry_after as f64 / 1e9);
     }
     out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
 }
 
-/// An answer of the gateway's own.
-pub fn write_response(out: &mut Vec<u8>, status: u16, come_back: Nanos, close: bool) {
-    write_response_with_headers(out, status, "", come_back, close);
+/// Writes a response that the gateway itself gives.
+pub fn write_response(out: &mut Vec<u8>, status: u16, retry_after: Nanos, close: bool) {
+    write_response_with_headers(out, status, "", retry_after, close);
 }
 
-/// The same with further header lines, each with its end.
+/// Like [`write_response`], with further header lines, each ended by a line feed.
 pub fn write_response_with_headers(
     out: &mut Vec<u8>,
     status: u16,
     lines: &str,
-    come_back: Nanos,
+    retry_after: Nanos,
     close: bool,
 ) {
     let body = http::reason_phrase(status);
     let lines = format!("Content-Type: text/plain\n{lines}");
-    write_response_head(out, status, body.len() + 1, lines.as_bytes(), come_back, close);
+    write_response_head(out, status, body.len() + 1, lines.as_bytes(), retry_after, close);
     out.extend_from_slice(body.as_bytes());
     out.push(b'\n');
 }
