--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! What a gateway is told at its start: the configuration file, and the environment for what it leaves out.
+//! The gateway's start-up configuration, read from a file, with environment variables for what the
+//! file leaves out.
 
 use crate::counter;
 use crate::guard::Effect;
@@ -18,44 +19,46 @@
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Limit on the file descriptors that the process may hold.
     pub descriptor_limit: usize,
-    /// Memory that it may take.
+    /// Limit on the memory that the process may take, in bytes.
     pub memory_limit: usize,
-    /// The list of servers as this gateway last had it, in discovery's form.
+    /// The last list of servers that this gateway held, in discovery's format.
     pub initial_list: Option<Value>,
-    /// As the module gets them: path=value, names and units untouched.
+    /// Flattened to path=value pairs for the decision module; names and units are unchanged.
     pub settings: Settings,
     pub methods: Vec<Method>,
     pub plans: Vec<String>,
     pub services: Rc<Services>,
-    /// The most units that one RPC may take, and how many gateways there are.
+    /// The largest number of units that one RPC may take, and the number of gateways.
     pub max_units: f64,
     pub gateways: u32,
-    /// Settings with a version, if this file tells one.
+    /// Present if the settings have a version.
     pub agreement: Option<AgreementConfig>,
 }
 
-/// The version that the settings are, and how gateways agree on it.
+/// The version of the settings, and how gateways agree on it.
 pub struct AgreementConfig {
     pub version: Version,
     pub terms: Terms,
-    /// Where other gateways' datagrams come in, and where this one sends what all of them are to hear.
+    /// Address on which datagrams from other gateways are received, and address to which this one
+    /// sends datagrams for all of them.
     pub listen: SocketAddr,
     pub peers: SocketAddr,
-    /// For drills: this gateway's clock is taken to be so far ahead, nanoseconds.
+    /// For drills: offset added to this gateway's clock, in nanoseconds.
     pub clock_offset: i64,
-    /// The operators' word that nothing has to be remembered.
+    /// Set by the operators when there is no earlier state to recover.
     pub fresh: bool,
 }
 
-/// Who votes where the file names nobody: the first so many gateways.
+/// Number of voters if the file names none: the gateways with the lowest numbers.
 const DEFAULT_VOTERS: u32 = 7;
-/// How long a voter's word holds, and how far clocks are apart from true time at most, where the file does not say.
+/// Default lease of a voter's message, and default bound on each clock's distance from true time,
+/// in seconds.
 const DEFAULT_LEASE_SECONDS: f64 = 2.0;
 const DEFAULT_CLOCK_ERROR_SECONDS: f64 = 0.25;
 
-/// A method by its name.
+/// A method's name and how often it may run.
 pub struct Method {
     pub name: String,
     pub effect: Effect,
@@ -63,13 +66,13 @@
 
 impl Method {
     fn from_settings(name: String, number: usize, settings: &Settings) -> Method {
-        let told = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
-        let window = told("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
-        let effect = match told("idempotency") {
+        let value = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
+        let window = value("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
+        let effect = match value("idempotency") {
             Some("free") => Effect::Idempotent,
             Some("guarded") => Effect::Deduplicated {
                 window: (f64::max(window, 0.0) * 1e9) as Nanos,
-                anywhere: told("group") == Some("all"),
+                anywhere: value("group") == Some("all"),
             },
             _ => Effect::Once,
         };
@@ -77,32 +80,31 @@
     }
 }
 
-/// Where no limit is told: the usual one of a process.
+/// Defaults for `limits.sockets`, the usual limit of a process, and `limits.memory_mb`.
 const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
 const DEFAULT_MEMORY_MB: u64 = 1024;
 
 impl Config {
-    /// Reads the configuration's text; `env` looks up what it leaves out.
+    /// Parses the configuration; `env` looks up values that the file leaves out.
     pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let all: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
-        let told = |name: &str, variable: &str| {
-            let value = all[name].as_str().map(str::to_string).or_else(|| env(variable));
+        let document: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
+        let text_or_env = |name: &str, variable: &str| {
+            let value = document[name].as_str().map(str::to_string).or_else(|| env(variable));
             value.ok_or_else(|| format!("'{name}' is missing"))
         };
         let address = |name: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| format!("'{name}' is no address: {text:?}"))
+            text.parse::<SocketAddr>().map_err(|_| format!("'{name}' is not an address: {text:?}"))
         };
-        let listen = address("listen", &told("listen", "LB_LISTEN")?)?;
-        let discovery = address("discovery", &told("discovery", "LB_DISCOVERY")?)?;
-        let counter = all["counter"].as_str().map(|text| address("counter", text)).transpose()?;
-        let seed = match &all["seed"] {
-            Value::String(hex) => {
-                u64::from_str_radix(hex, 16).map_err(|_| format!("'seed' is no hex: {hex:?}"))?
-            }
-            Value::Number(number) => number.as_u64().ok_or("'seed' is no whole number")?,
+        let listen = address("listen", &text_or_env("listen", "LB_LISTEN")?)?;
+        let discovery = address("discovery", &text_or_env("discovery", "LB_DISCOVERY")?)?;
+        let counter = document["counter"].as_str().map(|text| address("counter", text)).transpose()?;
+        let seed = match &document["seed"] {
+            Value::String(hex) => u64::from_str_radix(hex, 16)
+                .map_err(|_| format!("'seed' is not a hexadecimal number: {hex:?}"))?,
+            Value::Number(number) => number.as_u64().ok_or("'seed' is not a 64-bit unsigned integer")?,
             _ => return Err("'seed' is missing".to_string()),
         };
-        let Some(nested) = all["settings"].as_object() else {
+        let Some(nested) = document["settings"].as_object() else {
             return Err("'settings' is missing".to_string());
         };
         let settings = flatten(nested);
@@ -116,30 +118,30 @@
             .enumerate()
             .map(|(number, name)| Method::from_settings(name, number, &settings))
             .collect();
-        let services = Services::read(&all["services"], &names("classes"))?;
+        let services = Services::read(&document["services"], &names("classes"))?;
         let plans = names("tariffs");
         if methods.is_empty() || plans.is_empty() {
-            return Err("'settings' names no classes or no tariffs".to_string());
+            return Err("'settings' has no classes or no tariffs".to_string());
         }
-        let sockets =
-            all["limits"]["sockets"].as_u64().map_or(DEFAULT_DESCRIPTOR_LIMIT, |most| most as usize);
-        let memory = all["limits"]["memory_mb"].as_u64().unwrap_or(DEFAULT_MEMORY_MB) as usize;
-        let memory = memory.saturating_mul(1 << 20);
-        let known = Some(all["known"].clone()).filter(Value::is_object);
-        let agreement = match &all["agreement"] {
+        let descriptor_limit =
+            document["limits"]["sockets"].as_u64().map_or(DEFAULT_DESCRIPTOR_LIMIT, |most| most as usize);
+        let memory_limit = document["limits"]["memory_mb"].as_u64().unwrap_or(DEFAULT_MEMORY_MB) as usize;
+        let memory_limit = memory_limit.saturating_mul(1 << 20);
+        let initial_list = Some(document["known"].clone()).filter(Value::is_object);
+        let agreement = match &document["agreement"] {
             Value::Null => None,
-            told => Some(parse_agreement(told, &all, &settings, &address)?),
+            section => Some(parse_agreement(section, &document, &settings, &address)?),
         };
-        let name = told("name", "LB_NAME").unwrap_or_else(|_| listen.to_string());
+        let name = text_or_env("name", "LB_NAME").unwrap_or_else(|_| listen.to_string());
         let mut config = Config {
             name,
             listen,
             discovery,
             counter,
             seed,
-            descriptor_limit: sockets,
-            memory_limit: memory,
-            initial_list: known,
+            descriptor_limit,
+            memory_limit,
+            initial_list,
             settings,
             methods,
             plans,
@@ -157,41 +159,44 @@
         self.gateways = self.positive_setting("balancers").map_or(u32::MAX, |count| count as u32);
     }
 
-    /// Other settings hold from now on. What this process made of them at its start (limits, time-outs, names of zones) stays.
+    /// Applies other settings from now on. What the process derived from them at its start stays:
+    /// limits, time-outs and the names of zones.
     pub fn apply_settings(&mut self, settings: Settings) {
         self.settings = settings;
         self.update_limits();
     }
 
-    /// The longest deadline of a method.
+    /// Returns the longest deadline of all methods.
     pub fn longest_deadline(&self) -> Nanos {
-        let told = |number| self.positive_setting(&format!("classes.{number}.deadline"));
+        let deadline = |number| self.positive_setting(&format!("classes.{number}.deadline"));
         let nanos = |secs: f64| (secs * 1e9) as Nanos;
-        longest_deadline((0..self.methods.len()).map(|number| told(number).map(nanos)))
+        longest_deadline((0..self.methods.len()).map(|number| deadline(number).map(nanos)))
     }
 
-    /// The shortest deadline of a method; the longest that counts where none is told.
+    /// Returns the shortest deadline of all methods, or [`Config::longest_deadline`] if none has
+    /// one.
     pub fn shortest_deadline(&self) -> Nanos {
-        let told = (0..self.methods.len())
+        let deadlines = (0..self.methods.len())
             .filter_map(|number| self.positive_setting(&format!("classes.{number}.deadline")));
-        told.map(|secs| (secs * 1e9) as Nanos).min().unwrap_or_else(|| self.longest_deadline())
+        deadlines.map(|secs| (secs * 1e9) as Nanos).min().unwrap_or_else(|| self.longest_deadline())
     }
 
     pub fn positive_setting(&self, name: &str) -> Option<f64> {
         self.settings.get(name)?.parse().ok().filter(|value: &f64| value.is_finite() && *value > 0.0)
     }
 
-    /// The entries of a list of plain names, such as the zones.
+    /// Returns the entries of a setting that is a list of names, such as the zones.
     pub fn setting_list(&self, name: &str) -> Vec<String> {
         let joined = self.settings.get(name).map_or("", String::as_str);
         joined.split(',').filter(|entry| !entry.is_empty()).map(str::to_string).collect()
     }
 }
 
-/// What a method's effect and group may be; one that is not known could be repeated where it must not.
+/// Allowed values of a method's idempotency and group. An unknown value is rejected, as a method
+/// might otherwise be repeated that must not be.
 const IDEMPOTENCY_VALUES: [&str; 3] = ["free", "guarded", "single_shot"];
 const GROUP_VALUES: [&str; 3] = ["all", "zone", "cell"];
-/// Times in seconds, by name and among the parts of each method; none is longer than a day.
+/// Settings that are times in seconds, global and per method; none may exceed a day.
 const TIME_SETTINGS: [&str; 7] = [
     "ceilings.connIdle",
     "ceilings.dialTimeout",
@@ -203,100 +208,105 @@
 ];
 const METHOD_TIME_SETTINGS: [&str; 3] = ["onTime", "deadline", "window"];
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Amounts of each plan, in units or units a second.
+/// Settings of each plan that are amounts, in units or units per second.
 const PLAN_AMOUNT_SETTINGS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
 
-/// Refuses settings that make no sense, by the key that does not. Guards against a slip in a file that would have every RPC
-/// turned away, or repeat what must not run twice. What is left out takes its default.
+/// Rejects invalid settings with an error that names the key. This catches a mistake in a file that
+/// would get every RPC rejected, or get an RPC repeated that must not run twice. Missing settings
+/// take their defaults.
 fn validate(settings: &Settings) -> Result<(), String> {
-    let amount = |key: String, most: f64, what: &str| match settings.get(&key) {
-        Some(told) if !told.parse().is_ok_and(|told: f64| (0.0..=most).contains(&told)) => {
-            Err(format!("'{key}' is no {what}: {told:?}"))
+    let check_amount = |key: String, most: f64, what: &str| match settings.get(&key) {
+        Some(value) if !value.parse().is_ok_and(|value: f64| (0.0..=most).contains(&value)) => {
+            Err(format!("'{key}' is not {what}: {value:?}"))
         }
         _ => Ok(()),
     };
-    let word = |key: String, known: &[&str]| match settings.get(&key) {
-        Some(told) if !known.contains(&told.as_str()) => {
-            Err(format!("'{key}' is none of {}: {told:?}", known.join(", ")))
+    let check_keyword = |key: String, known: &[&str]| match settings.get(&key) {
+        Some(value) if !known.contains(&value.as_str()) => {
+            Err(format!("'{key}' is not one of {}: {value:?}", known.join(", ")))
         }
         _ => Ok(()),
     };
     let count =
         |list: &str| settings.get(&format!("{list}.count")).and_then(|count| count.parse().ok()).unwrap_or(0);
-    let time = "time from 0 to 86400 s";
-    TIME_SETTINGS.iter().try_for_each(|key| amount(key.to_string(), SECONDS_PER_DAY, time))?;
+    let time = "a time from 0 to 86400 s";
+    TIME_SETTINGS.iter().try_for_each(|key| check_amount(key.to_string(), SECONDS_PER_DAY, time))?;
     for number in 0..count("classes") {
         let key = |name: &str| format!("classes.{number}.{name}");
-        METHOD_TIME_SETTINGS.iter().try_for_each(|name| amount(key(name), SECONDS_PER_DAY, time))?;
-        word(key("idempotency"), &IDEMPOTENCY_VALUES)?;
-        word(key("group"), &GROUP_VALUES)?;
+        METHOD_TIME_SETTINGS.iter().try_for_each(|name| check_amount(key(name), SECONDS_PER_DAY, time))?;
+        check_keyword(key("idempotency"), &IDEMPOTENCY_VALUES)?;
+        check_keyword(key("group"), &GROUP_VALUES)?;
     }
     for number in 0..count("tariffs") {
         let key = |name: &str| format!("tariffs.{number}.{name}");
         PLAN_AMOUNT_SETTINGS
             .iter()
-            .try_for_each(|name| amount(key(name), counter::MAX_AMOUNT, "amount from 0 to 1e9"))?;
+            .try_for_each(|name| check_amount(key(name), counter::MAX_AMOUNT, "an amount from 0 to 1e9"))?;
     }
     Ok(())
 }
 
-/// Reads the `agreement` part of a configuration.
+/// Parses the `agreement` section of the configuration.
 fn parse_agreement(
-    told: &Value,
-    all: &Value,
+    section: &Value,
+    document: &Value,
     settings: &Settings,
     address: &impl Fn(&str, &str) -> Result<SocketAddr, String>,
 ) -> Result<AgreementConfig, String> {
-    let known = ["version", "starts_ms", "ground", "voters", "lease", "clock", "clock_off_ms", "fresh"];
-    let unknown = told.as_object().into_iter().flatten().find(|(name, _)| !known.contains(&name.as_str()));
-    if let Some((name, _)) = unknown {
-        return Err(format!("'agreement' knows no '{name}'"));
+    let known_keys = ["version", "starts_ms", "ground", "voters", "lease", "clock", "clock_off_ms", "fresh"];
+    let unknown_key =
+        section.as_object().into_iter().flatten().find(|(name, _)| !known_keys.contains(&name.as_str()));
+    if let Some((name, _)) = unknown_key {
+        return Err(format!("'agreement' has an unknown key '{name}'"));
     }
-    let number = told["version"].as_u64().ok_or("'agreement' tells no whole 'version'")?;
-    let start_ms = match &told["starts_ms"] {
+    let number = section["version"].as_u64().ok_or("'agreement' has no integer 'version'")?;
+    let starts_ms = match &section["starts_ms"] {
         Value::Null => 0,
-        start => start.as_u64().ok_or("'starts_ms' is no Unix time in whole milliseconds")?,
+        start => start.as_u64().ok_or("'starts_ms' is not a Unix time in whole milliseconds")?,
     };
-    let amount = |of: &Value, name: &str, default: f64| match &of[name] {
+    let amount = |parent: &Value, name: &str, default: f64| match &parent[name] {
         Value::Null => Ok(default),
-        told => told.as_f64().filter(|told| *told > 0.0).ok_or(format!("'{name}' is no amount above 0")),
+        value => {
+            value.as_f64().filter(|number| *number > 0.0).ok_or(format!("'{name}' is not a number above 0"))
+        }
     };
-    let usual = Fallback::of(settings);
-    let ground = Fallback {
-        quota: amount(&told["ground"], "quota", usual.quota)?,
-        gateways: amount(&told["ground"], "gateways", usual.gateways)?,
-        attempts: amount(&told["ground"], "attempts", usual.attempts)?,
+    let defaults = Fallback::of(settings);
+    let fallback = Fallback {
+        quota: amount(&section["ground"], "quota", defaults.quota)?,
+        gateways: amount(&section["ground"], "gateways", defaults.gateways)?,
+        attempts: amount(&section["ground"], "attempts", defaults.attempts)?,
     };
-    let voters = match &told["voters"] {
-        Value::Null => (0..DEFAULT_VOTERS.min(usual.gateways as u32)).collect(),
+    let voters = match &section["voters"] {
+        Value::Null => (0..DEFAULT_VOTERS.min(defaults.gateways as u32)).collect(),
         Value::Array(list) => {
             let numbers =
                 list.iter().map(|number| number.as_u64().and_then(|number| u32::try_from(number).ok()));
-            numbers.collect::<Option<_>>().ok_or("'voters' are no numbers of gateways")?
+            numbers.collect::<Option<_>>().ok_or("'voters' has entries that are not gateway numbers")?
         }
-        _ => return Err("'voters' is no list".to_string()),
+        _ => return Err("'voters' is not an array".to_string()),
     };
-    let nanos = |name, default| Ok::<_, String>((amount(told, name, default)?.min(3600.0) * 1e9) as Nanos);
+    let nanos = |name, default| Ok::<_, String>((amount(section, name, default)?.min(3600.0) * 1e9) as Nanos);
     let terms = Terms {
         voters,
         lease: nanos("lease", DEFAULT_LEASE_SECONDS)?,
         clock: nanos("clock", DEFAULT_CLOCK_ERROR_SECONDS)?,
     };
-    let start = start_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far ahead")?;
-    // A voter's word has to hold for a hearer whose clock is ahead of the voter's by twice the bound, until the next word.
+    let start = starts_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far in the future")?;
+    // A voter's message has to stay valid until the next one arrives, also at a receiver whose
+    // clock is ahead of the voter's by twice the bound.
     if terms.lease < 4 * terms.clock {
-        return Err("'lease' is below four times 'clock'".to_string());
+        return Err("'lease' is less than four times 'clock'".to_string());
     }
-    let version = Version { number, start, fallback: ground, settings: settings.clone() };
+    let version = Version { number, start, fallback, settings: settings.clone() };
     if let Some(fault) = version.faults().first() {
         return Err(format!("'agreement': {fault}"));
     }
-    let text = |name: &str| all[name].as_str().ok_or(format!("'agreement' needs '{name}'"));
+    let text = |name: &str| document[name].as_str().ok_or(format!("'agreement' requires '{name}'"));
     let listen = address("peer_listen", text("peer_listen")?)?;
-    let all = address("peers_all", text("peers_all")?)?;
-    let clock_off = told["clock_off_ms"].as_i64().unwrap_or(0).saturating_mul(1_000_000);
-    let fresh = told["fresh"].as_bool().unwrap_or(false);
-    Ok(AgreementConfig { version, terms, listen, peers: all, clock_offset: clock_off, fresh })
+    let peers = address("peers_all", text("peers_all")?)?;
+    let clock_offset = section["clock_off_ms"].as_i64().unwrap_or(0).saturating_mul(1_000_000);
+    let fresh = section["fresh"].as_bool().unwrap_or(false);
+    Ok(AgreementConfig { version, terms, listen, peers, clock_offset, fresh })
 }
 
 pub use martenramp::settings::flatten;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: `martenramp serve`, `check-config`, `lab`, `version`.
+//! Command line of the gateway: `martenramp serve`, `check-config`, `lab` and `version`.
 
 use gateway::config::Config;
 use gateway::driver::Driver;
@@ -11,56 +11,57 @@
 martenramp: an admission gateway for a service sold by plan
 
 usage: martenramp serve [--config FILE]          run the gateway until SIGTERM;
-                                                 SIGHUP makes it read FILE again
-       martenramp check-config [--config FILE]   read the configuration and say what it holds;
-              --against OLD                      and what changes from OLD, what of it contradicts, and
-                                                 whether it may follow while gateways run on OLD
-       martenramp lab run|sweep|report ...           the project's own emulator; see `martenramp lab --help`
+                                                 SIGHUP reloads FILE
+       martenramp check-config [--config FILE]   check the configuration and print a summary;
+              --against OLD                      also print the changes from OLD, mark those that
+                                                 contradict it, and check whether FILE may be rolled
+                                                 out while gateways run on OLD
+       martenramp lab run|sweep|report ...       the project's emulator; see `martenramp lab --help`
        martenramp version
 
-FILE is $LB_CONFIG unless given; $LB_NAME, $LB_LISTEN and $LB_DISCOVERY tell what it leaves out.
+FILE defaults to $LB_CONFIG; $LB_NAME, $LB_LISTEN and $LB_DISCOVERY supply what FILE leaves out.
 ";
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("martenramp: {why}");
+        Err(error) => {
+            eprintln!("martenramp: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run() -> Result<(), String> {
-    let mut words = std::env::args_os().skip(1);
-    if words.next().is_some_and(|word| word == "lab") {
-        return lab::cli::main(words.collect());
+    let mut raw_args = std::env::args_os().skip(1);
+    if raw_args.next().is_some_and(|arg| arg == "lab") {
+        return lab::cli::main(raw_args.collect());
     }
-    let (mut command, mut file, mut against) = (None, None, None);
+    let (mut command, mut config_file, mut against) = (None, None, None);
     let mut args = lexopt::Parser::from_env();
     while let Some(arg) = args.next().map_err(|e| e.to_string())? {
         match arg {
             Short('h') | Long("help") => command = Some("help".to_string()),
             Short('V') | Long("version") => command = Some("version".to_string()),
-            Long("config") => file = Some(args.value().map_err(|e| e.to_string())?),
+            Long("config") => config_file = Some(args.value().map_err(|e| e.to_string())?),
             Long("against") => against = Some(args.value().map_err(|e| e.to_string())?),
-            Value(word) if command.is_none() => command = Some(word.to_string_lossy().into_owned()),
+            Value(name) if command.is_none() => command = Some(name.to_string_lossy().into_owned()),
             arg => return Err(arg.unexpected().to_string()),
         }
     }
-    let read = |path: std::ffi::OsString| {
-        let shown = path.to_string_lossy().into_owned();
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
-        Config::parse(&text, |name| std::env::var(name).ok()).map_err(|e| format!("{shown}: {e}"))
+    let read_file = |path: std::ffi::OsString| {
+        let display_path = path.to_string_lossy().into_owned();
+        let text = std::fs::read_to_string(&path).map_err(|e| format!("{display_path}: {e}"))?;
+        Config::parse(&text, |name| std::env::var(name).ok()).map_err(|e| format!("{display_path}: {e}"))
     };
-    let config = move || {
-        let path = file.clone().or_else(|| std::env::var_os("LB_CONFIG"));
-        read(path.ok_or("no configuration: set LB_CONFIG")?)
+    let load_config = move || {
+        let path = config_file.clone().or_else(|| std::env::var_os("LB_CONFIG"));
+        read_file(path.ok_or("no configuration: set LB_CONFIG")?)
     };
     match command.as_deref() {
-        Some("serve") => serve(config()?, Box::new(config)),
+        Some("serve") => serve(load_config()?, Box::new(load_config)),
         Some("check-config") => {
-            let config = config()?;
+            let config = load_config()?;
             println!("{}: listens at {}, discovery at {}", config.name, config.listen, config.discovery);
             println!(
                 "{} methods, {} plans, {} settings",
@@ -69,7 +70,7 @@
                 config.settings.len()
             );
             match against {
-                Some(old) => compare(&read(old)?, &config),
+                Some(old) => compare(&read_file(old)?, &config),
                 None => Ok(()),
             }
         }
@@ -86,23 +87,24 @@
     }
 }
 
-/// Says what changes from one configuration to the next; an error if the next may not follow while gateways run.
+/// Prints the changes from one configuration to the next; fails if the next one may not be rolled
+/// out while gateways run on the old one.
 fn compare(old: &Config, new: &Config) -> Result<(), String> {
     for change in agreement::rules::changes(&old.settings, &new.settings) {
-        let shown = |value: Option<String>| value.unwrap_or_else(|| "nothing".to_string());
+        let or_nothing = |value: Option<String>| value.unwrap_or_else(|| "nothing".to_string());
         let mark = if change.contradicts { "contradicts" } else { "harmless" };
-        println!("{mark:11} {}: {} to {}", change.name, shown(change.old), shown(change.new));
+        println!("{mark:11} {}: {} to {}", change.name, or_nothing(change.old), or_nothing(change.new));
     }
     let (Some(old), Some(new)) = (&old.agreement, &new.agreement) else {
         return Err(
-            "no 'agreement' in one of the two: restart all gateways to change between them".to_string()
+            "one of the two has no 'agreement': restart all gateways to change between them".to_string()
         );
     };
-    let why = agreement::rules::objections(&old.version, &new.version);
+    let objections = agreement::rules::objections(&old.version, &new.version);
     let (number, after) = (new.version.number, old.version.number);
-    if !why.is_empty() {
-        let why = why.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n  ");
-        return Err(format!("version {number} may not follow {after} while gateways run:\n  {why}"));
+    if !objections.is_empty() {
+        let objections = objections.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n  ");
+        return Err(format!("version {number} may not follow {after} while gateways run:\n  {objections}"));
     }
     println!("version {number} may follow {after}");
     Ok(())
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -475,27 +475,43 @@
     };
     assert_eq!(read(&settings("")), None);
     for (from, to, why) in [
-        ("\"free\"", "\"maybe\"", "'classes.0.idempotency' is none of free, guarded, single_shot: \"maybe\""),
-        ("\"group\":\"all\"", "\"group\":\"some\"", "'classes.1.group' is none of all, zone, cell: \"some\""),
-        ("\"window\":5.0", "\"window\":-5.0", "'classes.1.window' is no time from 0 to 86400 s: \"-5.0\""),
+        (
+            "\"free\"",
+            "\"maybe\"",
+            "'classes.0.idempotency' is not one of free, guarded, single_shot: \"maybe\"",
+        ),
+        (
+            "\"group\":\"all\"",
+            "\"group\":\"some\"",
+            "'classes.1.group' is not one of all, zone, cell: \"some\"",
+        ),
+        ("\"window\":5.0", "\"window\":-5.0", "'classes.1.window' is not a time from 0 to 86400 s: \"-5.0\""),
         (
             "\"onTime\":0.8",
             "\"onTime\":1e9",
-            "'classes.2.onTime' is no time from 0 to 86400 s: \"1000000000.0\"",
+            "'classes.2.onTime' is not a time from 0 to 86400 s: \"1000000000.0\"",
         ),
         (
             "\"deadline\":3.0",
             "\"deadline\":\"soon\"",
-            "'classes.0.deadline' is no time from 0 to 86400 s: \"soon\"",
+            "'classes.0.deadline' is not a time from 0 to 86400 s: \"soon\"",
+        ),
+        (
+            "\"connIdle\":15.0",
+            "\"connIdle\":-1",
+            "'ceilings.connIdle' is not a time from 0 to 86400 s: \"-1\"",
         ),
-        ("\"connIdle\":15.0", "\"connIdle\":-1", "'ceilings.connIdle' is no time from 0 to 86400 s: \"-1\""),
         ("\"dialTimeout\":0.25", "\"dialTimeout\":1e400", "not JSON: "),
         (
             "\"perSecond\":100.0",
             "\"perSecond\":-1.0",
-            "'tariffs.0.perSecond' is no amount from 0 to 1e9: \"-1.0\"",
+            "'tariffs.0.perSecond' is not an amount from 0 to 1e9: \"-1.0\"",
+        ),
+        (
+            "\"depth\":100.0",
+            "\"depth\":1e300",
+            "'tariffs.0.depth' is not an amount from 0 to 1e9: \"1e+300\"",
         ),
-        ("\"depth\":100.0", "\"depth\":1e300", "'tariffs.0.depth' is no amount from 0 to 1e9: \"1e+300\""),
     ] {
         let changed = settings("").replacen(from, to, 1);
         assert_ne!(changed, settings(""));
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -421,7 +421,7 @@
     for (text, told) in [
         ("{", "not JSON"),
         ("{\"listen\":\"127.0.0.1:0\"}", "'discovery' is missing"),
-        ("{\"listen\":\"here\",\"discovery\":\"127.0.0.1:1\"}", "'listen' is no address"),
+        ("{\"listen\":\"here\",\"discovery\":\"127.0.0.1:1\"}", "'listen' is not an address"),
         (
             "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\"}",
             "'settings' is missing",
