--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,53 +1,56 @@
-//! The shared counter: RESP2 on a few connections, a state machine for each, fed bytes. Calls are written one
-//! after another and answered in that order; calls for one name share a connection, so that its answers keep
-//! their order.
+//! Client of the shared counter: RESP2 on a few connections, with one state machine per connection
+//! that is fed bytes. Calls are pipelined and answered in order. Outstanding calls for one name
+//! share a connection, so that their replies keep their order.
 
 use martenramp::host::{End, Nanos};
 use std::collections::VecDeque;
 use std::io::Write;
 
-/// Connections kept; the counter holds 32 from one gateway, an earlier life's among them for a while.
+/// Number of connections. The counter accepts 32 from one gateway, which for a while include those
+/// of its previous incarnation.
 pub const CONNECTIONS: usize = 4;
-/// A connection is asked for a sign of life so often while nothing else is written: the counter closes idle
-/// ones after 10 s or less.
+/// Interval of PINGs on a connection without other traffic; the counter closes idle connections
+/// after 10 s or less.
 pub const PING_INTERVAL: Nanos = 2_000_000_000;
-/// With no answer at all for so long while calls are out, a connection is given up.
+/// A connection is given up if calls are outstanding and no reply has come for this long.
 pub const REPLY_TIMEOUT: Nanos = 1_000_000_000;
-/// How long until a connection that failed is opened again.
+/// Delay before a failed connection is opened again.
 pub const RECONNECT_DELAY: Nanos = 100_000_000;
-/// Once the counter has moved, the old connections are closed when all they carry is over, or after so long.
+/// After the counter's address changed, the old connections are closed once they carry no more
+/// calls, or after this time.
 pub const DRAIN_TIMEOUT: Nanos = 1_000_000_000;
-/// What a call may take where no time is told.
+/// Time limit of a call if the settings give none.
 pub const DEFAULT_CALL_TIMEOUT: Nanos = 50_000_000;
-/// The largest amount that a call may add.
+/// The largest amount that one call may add.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// An answer without an end in so many bytes is none.
+/// A longer reply without a line end is invalid.
 const MAX_REPLY_LEN: usize = 512;
 
-/// A call to the counter.
+/// A call to the counter: adds an amount to the total of a name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
     pub serial: u64,
     pub name: u64,
     pub add: f64,
+    /// Time to live that the call sets on the total.
     pub ttl: Nanos,
 }
 
-/// One connection.
+/// One connection to the counter.
 #[derive(Debug, Default)]
 pub struct CounterConnection {
     pub is_connected: bool,
-    /// Calls that wait for the connection to come up.
+    /// Calls queued until the connection is established.
     pub waiting: VecDeque<Call>,
-    /// Calls written, oldest first; nothing is a PING, and a call of serial 0 has timed out.
+    /// Calls that were written, oldest first. `None` is a PING; a call with serial 0 has timed out.
     pub in_flight: VecDeque<Option<Call>>,
-    /// When something was last written with nothing else out, or last answered.
+    /// When the last reply came, or when something was written while nothing else was outstanding.
     pub last_reply: Nanos,
     pub last_write: Nanos,
 }
 
 impl CounterConnection {
-    /// Writes the call, or keeps it until the connection is up.
+    /// Writes the call, or queues it until the connection is established.
     pub fn send_call(&mut self, out: &mut Vec<u8>, now: Nanos, call: Call) {
         if !self.is_connected {
             return self.waiting.push_back(call);
@@ -55,10 +58,10 @@
         self.record_write(now);
         self.in_flight.push_back(Some(call));
         let (name, add) = (call.name.to_string(), call.add.to_string());
-        let forget = call.ttl.div_ceil(1_000_000).max(1).to_string();
+        let ttl = call.ttl.div_ceil(1_000_000).max(1).to_string();
         let _ = write!(out, "*4\r\n$7\r\nINCRTTL\r\n");
-        for word in [name, add, forget] {
-            let _ = write!(out, "${}\r\n{word}\r\n", word.len());
+        for argument in [name, add, ttl] {
+            let _ = write!(out, "${}\r\n{argument}\r\n", argument.len());
         }
     }
 
@@ -75,7 +78,7 @@
         self.last_write = now;
     }
 
-    /// The connection is up: what waited is written.
+    /// The connection is established: writes the queued calls.
     pub fn connected(&mut self, out: &mut Vec<u8>, now: Nanos) {
         (self.is_connected, self.last_reply, self.last_write) = (true, now, now);
         for call in std::mem::take(&mut self.waiting) {
@@ -91,12 +94,12 @@
         self.in_flight.iter().flatten().chain(&self.waiting).filter(|call| call.serial != 0)
     }
 
-    /// Whether no call is out here.
+    /// Whether no call is outstanding on this connection.
     pub fn is_drained(&self) -> bool {
         self.outstanding().next().is_none()
     }
 
-    /// Whether a call for this name is out here.
+    /// Whether a call for this name is outstanding on this connection.
     pub fn has_call_for(&self, name: u64) -> bool {
         self.outstanding().any(|call| call.name == name)
     }
@@ -105,87 +108,90 @@
         self.outstanding().any(|call| call.serial == serial)
     }
 
-    /// The time of a call is over: how it ended, if it was still out. One not written was never added.
+    /// Ends a call whose time limit has passed, and returns how it ended if it was still
+    /// outstanding. A call that was not written has not been added.
     pub fn time_out_call(&mut self, serial: u64) -> Option<(Call, End)> {
-        if let Some(at) = self.waiting.iter().position(|call| call.serial == serial) {
-            return self.waiting.remove(at).map(|call| (call, End::NoConnection));
+        if let Some(position) = self.waiting.iter().position(|call| call.serial == serial) {
+            return self.waiting.remove(position).map(|call| (call, End::NoConnection));
         }
         let call = self.in_flight.iter_mut().flatten().find(|call| call.serial == serial)?;
-        let ended = *call;
-        call.serial = 0; // its answer is still to come, and is passed over then
-        Some((ended, End::TimedOut))
+        let timed_out = *call;
+        call.serial = 0; // its reply is still to come and will be ignored
+        Some((timed_out, End::TimedOut))
     }
 
-    /// The connection is gone: all that was out on it, and how it ended.
+    /// The connection is lost: returns all calls that were outstanding on it and how each ended.
     pub fn disconnect(&mut self) -> Vec<(Call, End)> {
         self.is_connected = false;
         let waiting = std::mem::take(&mut self.waiting).into_iter().map(|call| (call, End::NoConnection));
-        let written =
+        let in_flight =
             std::mem::take(&mut self.in_flight).into_iter().flatten().map(|call| (call, End::Reset));
-        written.chain(waiting).filter(|ended| ended.0.serial != 0).collect()
+        in_flight.chain(waiting).filter(|ended| ended.0.serial != 0).collect()
     }
 
-    /// Takes answers: how many bytes were used up, and the calls that ended with how and the total.
+    /// Parses replies. Returns the number of bytes consumed and appends the calls that ended, each
+    /// with its result and total.
     pub fn feed(
         &mut self,
         now: Nanos,
         input: &[u8],
         ended: &mut Vec<(Call, End, f64)>,
     ) -> Result<usize, &'static str> {
-        let mut at = 0;
-        while let Some((used, how, total)) = parse_reply(&input[at..])? {
-            at += used;
+        let mut consumed = 0;
+        while let Some((length, result, total)) = parse_reply(&input[consumed..])? {
+            consumed += length;
             self.last_reply = now;
             match self.in_flight.pop_front() {
-                // Guards against a spoilt answer: it may have added, and what follows on the connection means
-                // nothing. Harm: the other calls out here count as added too.
-                Some(Some(call)) if how == End::Error => {
-                    ended.extend((call.serial != 0).then_some((call, how, total)));
+                // After an invalid reply the amount may have been added, and the rest of the stream
+                // can't be trusted. Trade-off: the other outstanding calls on this connection count
+                // as added too.
+                Some(Some(call)) if result == End::Error => {
+                    ended.extend((call.serial != 0).then_some((call, result, total)));
                     return Err("answer-without-number");
                 }
-                Some(Some(call)) if call.serial != 0 => ended.push((call, how, total)),
+                Some(Some(call)) if call.serial != 0 => ended.push((call, result, total)),
                 Some(_) => {}
                 None => return Err("answer-without-call"),
             }
         }
-        Ok(at)
+        Ok(consumed)
     }
 }
 
-/// The first whole answer: its length, and how the call ended. Whatever is no number is no total, and an error
-/// that is not known may have added.
+/// Parses the first complete reply and returns its length and how the call ended. A reply that is
+/// not a number gives no total, and after an unknown error the amount may have been added.
 fn parse_reply(input: &[u8]) -> Result<Option<(usize, End, f64)>, &'static str> {
     let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
         return if input.len() > MAX_REPLY_LEN { Err("answer-too-long") } else { Ok(None) };
     };
     let line = std::str::from_utf8(&input[..end]).map_err(|_| "bad-answer")?;
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|total| total.is_finite());
-    let done = |total: Option<f64>| match total {
+    let numeric_result = |total: Option<f64>| match total {
         Some(total) => (End::Ok, total),
         None => (End::Error, 0.0),
     };
-    let (used, (how, total)) = match line.as_bytes().first() {
+    let (length, (result, total)) = match line.as_bytes().first() {
         Some(b'-') if line.starts_with("-BUSY") => (end + 2, (End::Full, 0.0)),
-        Some(b'-') if line.starts_with("-ERR") => (end + 2, (End::NotSent, 0.0)), // no such call: nothing was added
+        Some(b'-') if line.starts_with("-ERR") => (end + 2, (End::NotSent, 0.0)), // unknown command: nothing was added
         Some(b'-' | b'+') => (end + 2, (End::Error, 0.0)),
-        Some(b':') => (end + 2, done(number(&line[1..]))),
+        Some(b':') => (end + 2, numeric_result(number(&line[1..]))),
         Some(b'$') if line == "$-1" => (end + 2, (End::Error, 0.0)),
         Some(b'$') => {
             let size: usize = line[1..].parse().map_err(|_| "bad-answer")?;
             if size > MAX_REPLY_LEN {
                 return Err("answer-too-long");
             }
-            let (from, to) = (end + 2, end + 2 + size);
-            if input.len() < to + 2 {
+            let (start, stop) = (end + 2, end + 2 + size);
+            if input.len() < stop + 2 {
                 return Ok(None);
             }
-            if &input[to..to + 2] != b"\r\n" {
+            if &input[stop..stop + 2] != b"\r\n" {
                 return Err("bad-answer");
             }
-            let text = std::str::from_utf8(&input[from..to]).map_err(|_| "bad-answer")?;
-            (to + 2, done(number(text)))
+            let text = std::str::from_utf8(&input[start..stop]).map_err(|_| "bad-answer")?;
+            (stop + 2, numeric_result(number(text)))
         }
         _ => return Err("bad-answer"),
     };
-    Ok(Some((used, how, total)))
+    Ok(Some((length, result, total)))
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,5 +1,6 @@
-//! Sockets only: one mio poll that reads into each connection's buffer and writes what waits for it.
-//! It knows who a connection belongs to, and nothing of what is said on it.
+//! The socket layer: one mio poll loop that reads into each connection's buffer and writes out
+//! pending output. It knows which kind of peer a connection has, but not the protocol spoken on it.
+//! One iteration of the loop is called a turn.
 
 use crate::logs::LogBuffer;
 use crate::tcp_info;
@@ -16,27 +17,30 @@
 const LISTENER: Token = Token(usize::MAX - 1);
 const SIGNALS: Token = Token(usize::MAX - 2);
 const DATAGRAMS: Token = Token(usize::MAX - 3);
-/// So many datagrams are read in a turn, so that a flood of them takes no more than its turn; and bytes of each, one more
-/// than any of ours has, which tells one that was cut.
+/// Datagrams read per turn, so that a flood of them can't hold up the loop, and the size of the
+/// receive buffer: one byte more than the largest valid datagram, which makes truncated ones
+/// detectable.
 const DATAGRAMS_PER_TURN: usize = 64;
 const DATAGRAM_BUFFER_LEN: usize = 257;
-/// An id is a place in the slab and a count of births, so that an event for a closed connection finds nobody.
+/// A connection id combines a slab index and a generation, so that events for closed connections
+/// are not mistaken for another connection's.
 const SLOT_BITS: u32 = 20;
-/// More events than there are connections: what is ready is looked at in one turn, so that nothing waits here for longer than
-/// a turn lasts.
+/// Larger than the number of connections, so that one turn handles everything that is ready and no
+/// event waits for longer than a turn.
 const EVENTS_PER_TURN: usize = 4096;
-/// How much is read at once; a buffer that grew beyond `KEPT` is given back once it is empty.
+/// Size of one read. A buffer that grew beyond `MAX_KEPT_CAPACITY` is freed once it is empty.
 const READ_SIZE: usize = 4 << 10;
 const MAX_KEPT_CAPACITY: usize = 16 << 10;
-/// How much is read and discarded of a connection that is about to be closed, and in one turn.
+/// How much is read and discarded from a connection that is about to close, in total and per turn.
 const DISCARD_LIMIT: usize = 4 << 20;
 const DISCARD_LIMIT_PER_TURN: usize = 64 << 10;
-/// How long until accepting is tried again when no descriptor was left for it.
+/// Delay before accepting again after running out of descriptors.
 pub const ACCEPT_RETRY_DELAY: Nanos = 10_000_000;
-/// Log lines that standard error did not take are offered again so often.
+/// Interval at which log lines that standard error did not take are tried again.
 const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The module's clock: Unix time at the start plus monotonic time since, so that it never jumps.
+/// The decision module's clock: Unix time at the start plus the monotonic time since, so that it
+/// never jumps.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix: Nanos,
@@ -54,7 +58,7 @@
     }
 }
 
-/// Who is at the other end.
+/// The kind of peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
     Client,
@@ -63,14 +67,15 @@
     Counter(usize),
 }
 
-/// How a connection ended. What it carried may only be taken as whole where it was [`Ending::Closed`].
+/// How a connection ended. Data without an explicit length is complete only after
+/// [`ConnectionEnd::Closed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The other side ended its sending in good order, and all that it sent has been read.
+    /// The peer shut down its sending in an orderly way, and everything it sent has been read.
     Closed,
-    /// The other side reset it: what it sent last may be missing.
+    /// The peer reset the connection; its last bytes may be missing.
     Reset,
-    /// It never came up, or reading or writing failed, for this reason.
+    /// The connection was never established, or reading or writing failed; with the reason code.
     Failed(&'static str),
 }
 
@@ -94,16 +99,18 @@
     is_connected: bool,
     input: Vec<u8>,
     input_limit: usize,
-    /// Bytes that its buffers take, as last accounted for.
+    /// Capacity of its buffers, as last included in [`Net::client_buffer_bytes`].
     accounted_bytes: usize,
-    /// Reading stopped at `input_most` though there may be more.
+    /// Reading stopped because the buffer is full; there may be more to read.
     paused: bool,
-    /// Nothing more is used: what comes is read and discarded, up to so many bytes.
+    /// If set, input is no longer used: it is read and discarded, up to this many bytes.
     discard_left: Option<usize>,
-    /// The other side has ended its sending, or the connection broke.
+    /// Set once the peer has shut down its sending or the connection has failed.
     end: Option<ConnectionEnd>,
     output: Vec<u8>,
+    /// How much of `output` has been written.
     written: usize,
+    /// Listed in [`Net::dirty`].
     is_dirty: bool,
 }
 
@@ -111,16 +118,20 @@
 pub struct Net {
     registry: Registry,
     conns: Slab<Conn>,
+    /// Number of connections so far.
     generations: usize,
+    /// Connections with output to write in this turn.
     dirty: Vec<usize>,
+    /// Connections whose reading was paused and that are to be read again.
     to_resume: Vec<usize>,
-    /// Where other gateways' datagrams come in; and whether more wait there than a turn has read.
+    /// Socket for other gateways' datagrams, and whether it has more of them than a turn reads.
     datagrams: Option<UdpSocket>,
     has_more_datagrams: bool,
-    /// Bytes that the buffers of clients take.
+    /// Total capacity of the buffers of client connections, in bytes.
     pub client_buffer_bytes: usize,
+    /// Time of the current turn.
     pub now: Nanos,
-    /// For how long what is read now may have waited here unread.
+    /// How long the input of this turn may have waited unread.
     pub input_delay: Nanos,
 }
 
@@ -138,7 +149,7 @@
         mut stream: TcpStream,
         peer: Peer,
         address: SocketAddr,
-        most: usize,
+        input_limit: usize,
     ) -> io::Result<usize> {
         let entry = self.conns.vacant_entry();
         self.generations += 1;
@@ -152,7 +163,7 @@
             opened_at: self.now,
             is_connected: false,
             input: Vec::new(),
-            input_limit: most,
+            input_limit,
             accounted_bytes: 0,
             paused: false,
             discard_left: None,
@@ -164,23 +175,26 @@
         Ok(id)
     }
 
-    /// Begins a connection; `EventHandler::up` tells when it stands. At most `most` bytes wait in its buffer.
-    pub fn connect(&mut self, address: SocketAddr, peer: Peer, most: usize) -> io::Result<usize> {
+    /// Opens a connection; `EventHandler::connected` reports when it is established. At most
+    /// `input_limit` bytes of input are buffered.
+    pub fn connect(&mut self, address: SocketAddr, peer: Peer, input_limit: usize) -> io::Result<usize> {
         let stream = TcpStream::connect(address)?;
         let _ = stream.set_nodelay(true);
-        self.add(stream, peer, address, most)
+        self.add(stream, peer, address, input_limit)
     }
 
-    /// Takes datagrams in from here on; the address is told back, since the system picks the port where it is given as 0.
-    pub fn open_datagrams(&mut self, at: SocketAddr) -> io::Result<SocketAddr> {
-        let mut socket = UdpSocket::bind(at)?;
+    /// Binds the datagram socket and returns its address, since port 0 lets the system choose the
+    /// port.
+    pub fn open_datagrams(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
+        let mut socket = UdpSocket::bind(address)?;
         self.registry.register(&mut socket, DATAGRAMS, Interest::READABLE)?;
-        let at = socket.local_addr()?;
+        let address = socket.local_addr()?;
         self.datagrams = Some(socket);
-        Ok(at)
+        Ok(address)
     }
 
-    /// Sends a datagram; one that finds no room is lost, as on any network.
+    /// Sends a datagram. If the socket buffer is full the datagram is lost, as it could be on the
+    /// network.
     pub fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.datagrams {
             let _ = socket.send_to(bytes, to);
@@ -189,13 +203,14 @@
 
     fn read_datagrams(&mut self) -> Vec<Vec<u8>> {
         let Some(socket) = &self.datagrams else { return Vec::new() };
-        let mut came = Vec::new();
-        let mut bytes = [0; DATAGRAM_BUFFER_LEN];
+        let mut received = Vec::new();
+        let mut buffer = [0; DATAGRAM_BUFFER_LEN];
         self.has_more_datagrams = true;
-        // Tries are counted, so that errors that others' refusals leave on the socket end, too.
+        // Attempts are counted rather than datagrams, so that the loop also ends if ICMP errors
+        // from other hosts keep coming up on the socket.
         for _ in 0..DATAGRAMS_PER_TURN {
-            match socket.recv_from(&mut bytes) {
-                Ok((length, _)) => came.push(bytes[..length].to_vec()),
+            match socket.recv_from(&mut buffer) {
+                Ok((length, _)) => received.push(buffer[..length].to_vec()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.has_more_datagrams = false;
                     break;
@@ -203,7 +218,7 @@
                 Err(_) => {}
             }
         }
-        came
+        received
     }
 
     pub fn peer(&self, id: usize) -> Option<Peer> {
@@ -218,12 +233,12 @@
         self.get(id).map_or(self.now, |conn| conn.opened_at)
     }
 
-    /// For how long what came last on a connection has waited in the system, if that can tell.
+    /// Returns how long ago the last data arrived on a connection, if the system can tell.
     pub fn last_input_age(&self, id: usize) -> Option<Nanos> {
         tcp_info::time_since_last_data(&self.get(id)?.stream)
     }
 
-    /// What is to be written; it goes out at the end of the round.
+    /// Returns the output buffer of a connection; it is written at the end of the turn.
     pub fn output(&mut self, id: usize) -> Option<&mut Vec<u8>> {
         let conn = self.conns.get_mut(id & ((1 << SLOT_BITS) - 1)).filter(|conn| conn.id == id)?;
         if !std::mem::replace(&mut conn.is_dirty, true) {
@@ -232,12 +247,12 @@
         Some(&mut conn.output)
     }
 
-    /// What has been read and not yet been used.
+    /// Returns the bytes that have been read and not yet consumed.
     pub fn input(&self, id: usize) -> &[u8] {
         self.get(id).map_or(&[], |conn| &conn.input)
     }
 
-    /// The buffer of one connection beside what is to be written to another.
+    /// Returns the input buffer of one connection and the output buffer of another.
     pub fn input_and_output(&mut self, from: usize, to: usize) -> Option<(&[u8], &mut Vec<u8>)> {
         self.output(to)?;
         self.get(from)?;
@@ -246,6 +261,7 @@
         Some((&from.input, &mut to.output))
     }
 
+    /// Removes consumed bytes from the input buffer.
     pub fn consume(&mut self, id: usize, bytes: usize) {
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.drain(..bytes.min(conn.input.len()));
@@ -258,7 +274,7 @@
         self.update_accounting(id);
     }
 
-    /// Drops what was read beyond so many bytes, and reads on.
+    /// Drops input beyond this many bytes and continues to read.
     pub fn truncate_input(&mut self, id: usize, bytes: usize) {
         let Some(conn) = self.get_mut(id) else { return };
         conn.input.truncate(bytes);
@@ -268,26 +284,27 @@
         self.update_accounting(id);
     }
 
-    /// Connections to be read once more in this turn. One may be named twice: by the turn before, and by an event of this
-    /// one that filled its buffer again.
+    /// Returns the connections to read once more in this turn. A connection may have been added
+    /// twice: in the previous turn, and by an event of this turn that filled its buffer again.
     fn take_to_resume(&mut self) -> Vec<usize> {
-        let mut resumed = std::mem::take(&mut self.to_resume);
-        resumed.sort_unstable();
-        resumed.dedup();
-        resumed
+        let mut ids = std::mem::take(&mut self.to_resume);
+        ids.sort_unstable();
+        ids.dedup();
+        ids
     }
 
-    /// Whether its buffer is full, so that its end could not be seen.
+    /// Whether the input buffer is full, in which case the end of the connection may not have been
+    /// seen.
     pub fn is_input_full(&self, id: usize) -> bool {
         self.get(id).is_some_and(|conn| conn.paused)
     }
 
-    /// Whether the other side can have got the last byte written to it.
+    /// Whether all output has been handed to the system.
     pub fn is_flushed(&self, id: usize) -> bool {
         self.get(id).is_some_and(|conn| conn.is_connected && conn.written == conn.output.len())
     }
 
-    /// Bytes that were put into its buffer and not yet handed to the system.
+    /// Returns the number of output bytes not yet handed to the system.
     pub fn unsent_bytes(&self, id: usize) -> usize {
         self.get(id).map_or(0, |conn| conn.output.len() - conn.written)
     }
@@ -296,9 +313,10 @@
         self.get(id).and_then(|conn| conn.end)
     }
 
-    /// What else comes on a connection is read and discarded, since closing over unread bytes resets the connection and
-    /// may take the last answer with it. Guards against a client that sends on without end: it is read for
-    /// [`DISCARDS`] bytes and then left unread. Harm: such a client may miss its answer.
+    /// Reads and discards all further input of a connection, since closing a socket with unread
+    /// bytes resets the connection, and the reset may discard the last response. Limited to
+    /// [`DISCARD_LIMIT`] bytes for clients that never stop sending. Trade-off: such a client may
+    /// miss its response.
     pub fn discard_input(&mut self, id: usize) {
         if let Some(conn) = self.get_mut(id).filter(|conn| conn.discard_left.is_none()) {
             (conn.discard_left, conn.input) = (Some(DISCARD_LIMIT), Vec::new());
@@ -309,7 +327,7 @@
         self.update_accounting(id);
     }
 
-    /// Ends this side's sending.
+    /// Shuts down this side's sending.
     pub fn shutdown_write(&mut self, id: usize) {
         if let Some(conn) = self.get(id) {
             let _ = conn.stream.shutdown(std::net::Shutdown::Write);
@@ -324,34 +342,36 @@
         }
     }
 
-    /// Reads what has come, up to the buffer's bound.
-    pub fn read(&mut self, id: usize, closes: bool) {
-        self.read_input(id, closes);
+    /// Reads the available input, up to the buffer's limit.
+    pub fn read(&mut self, id: usize, peer_closed: bool) {
+        self.read_input(id, peer_closed);
         self.update_accounting(id);
     }
 
-    fn read_input(&mut self, id: usize, closes: bool) {
+    fn read_input(&mut self, id: usize, peer_closed: bool) {
         let Some(conn) = self.get_mut(id) else { return };
         if let Some(left) = conn.discard_left {
-            return self.read_and_discard(id, left, closes);
+            return self.read_and_discard(id, left, peer_closed);
         }
         while conn.end.is_none() {
-            let have = conn.input.len();
-            if have >= conn.input_limit {
+            let length = conn.input.len();
+            if length >= conn.input_limit {
                 conn.paused = true;
-                // A client that closes has gone, whatever it sent before; of a server's answer the rest is still to be read.
-                conn.end = (closes && conn.peer == Peer::Client).then_some(ConnectionEnd::Closed);
+                // A client that closes is gone, whatever it sent before; of a server's response the
+                // rest must still be read.
+                conn.end = (peer_closed && conn.peer == Peer::Client).then_some(ConnectionEnd::Closed);
                 return;
             }
-            let room =
-                if have < 4 * READ_SIZE { READ_SIZE } else { 4 * READ_SIZE }.min(conn.input_limit - have);
-            conn.input.reserve_exact(room); // not twice what is needed
-            conn.input.resize(have + room, 0);
-            let got = conn.stream.read(&mut conn.input[have..]);
-            conn.input.truncate(have + got.as_ref().map_or(0, |got| *got));
-            match got {
+            let free =
+                if length < 4 * READ_SIZE { READ_SIZE } else { 4 * READ_SIZE }.min(conn.input_limit - length);
+            conn.input.reserve_exact(free); // `reserve` could double the capacity
+            conn.input.resize(length + free, 0);
+            let result = conn.stream.read(&mut conn.input[length..]);
+            conn.input.truncate(length + result.as_ref().map_or(0, |result| *result));
+            match result {
                 Ok(0) => conn.end = Some(ConnectionEnd::Closed),
-                // A short read does not tell that the socket is empty, and no further event comes of what is left.
+                // A short read does not mean that the socket is empty, and what is left would cause
+                // no further event.
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -360,37 +380,41 @@
         }
     }
 
-    /// Reads and discards a turn's worth.
-    fn read_and_discard(&mut self, id: usize, mut left: usize, closes: bool) {
+    /// Reads and discards up to one turn's limit.
+    fn read_and_discard(&mut self, id: usize, mut remaining: usize, peer_closed: bool) {
         let Some(conn) = self.get_mut(id) else { return };
-        let mut bytes = [0; READ_SIZE];
-        let mut turn = DISCARD_LIMIT_PER_TURN;
+        let mut buffer = [0; READ_SIZE];
+        let mut turn_remaining = DISCARD_LIMIT_PER_TURN;
         conn.paused = false;
-        while conn.end.is_none() && left > 0 && turn > 0 {
-            match conn.stream.read(&mut bytes) {
+        while conn.end.is_none() && remaining > 0 && turn_remaining > 0 {
+            match conn.stream.read(&mut buffer) {
                 Ok(0) => conn.end = Some(ConnectionEnd::Closed),
-                Ok(got) => (left, turn) = (left.saturating_sub(got), turn.saturating_sub(got)),
+                Ok(length) => {
+                    (remaining, turn_remaining) =
+                        (remaining.saturating_sub(length), turn_remaining.saturating_sub(length))
+                }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) => conn.end = Some(end_of_error(&e)),
             }
         }
-        conn.discard_left = Some(left);
-        if left == 0 && closes {
+        conn.discard_left = Some(remaining);
+        if remaining == 0 && peer_closed {
             conn.end = conn.end.or(Some(ConnectionEnd::Closed));
         }
-        if turn == 0 && left > 0 && conn.end.is_none() {
+        if turn_remaining == 0 && remaining > 0 && conn.end.is_none() {
             conn.paused = true;
             self.to_resume.push(id);
         }
     }
 
-    /// Keeps `held` true; called whenever a buffer may have changed its size.
+    /// Keeps `client_buffer_bytes` up to date; called whenever a buffer's capacity may have
+    /// changed.
     fn update_accounting(&mut self, id: usize) {
         let Some(conn) = self.get_mut(id).filter(|conn| conn.peer == Peer::Client) else { return };
-        let now = conn.input.capacity() + conn.output.capacity();
-        let was = std::mem::replace(&mut conn.accounted_bytes, now);
-        self.client_buffer_bytes = self.client_buffer_bytes + now - was;
+        let capacity = conn.input.capacity() + conn.output.capacity();
+        let previous = std::mem::replace(&mut conn.accounted_bytes, capacity);
+        self.client_buffer_bytes = self.client_buffer_bytes + capacity - previous;
     }
 
     fn write(&mut self, id: usize) {
@@ -420,6 +444,7 @@
     }
 }
 
+/// Translates an I/O error to the end of a connection.
 fn end_of_error(e: &io::Error) -> ConnectionEnd {
     ConnectionEnd::Failed(match e.kind() {
         ErrorKind::ConnectionReset => return ConnectionEnd::Reset,
@@ -431,88 +456,98 @@
     })
 }
 
-/// Whether an error tells that the process, or the system, has no descriptor or no memory left for one.
+/// Whether the error means that the process or the system is out of descriptors or of memory for
+/// one.
 pub fn is_resource_exhausted(e: &io::Error) -> bool {
     use rustix::io::Errno;
     let codes = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     e.raw_os_error().is_some_and(|code| codes.iter().any(|known| known.raw_os_error() == code))
 }
 
-/// What the driver turns: told of what the sockets bring, and asked what to do next. It holds the connections, and
-/// carries out nothing on them by itself.
+/// Receives the driver's events and tells it what to do next. It owns the connections, and does no
+/// I/O on them itself.
 pub trait EventHandler {
     fn net(&mut self) -> &mut Net;
     fn start(&mut self, now: Nanos);
-    /// A turn begins; `Net::now` is its time, and nothing has been looked at yet.
+    /// A turn begins at `Net::now`; none of its events have been handled yet.
     fn turn_started(&mut self);
-    /// A datagram came from another gateway.
+    /// A datagram arrived from another gateway.
     fn datagram_received(&mut self, bytes: &[u8]);
+    /// When the next timer is due.
     fn next_timer(&mut self) -> Option<Nanos>;
-    /// SIGTERM or SIGINT, and SIGHUP.
+    /// SIGTERM or SIGINT was received (`stop`), or SIGHUP (`reload`).
     fn stop(&mut self);
     fn reload(&mut self);
     fn is_listening(&self) -> bool;
     fn is_finished(&self) -> bool;
+    /// Whether there is room for another client.
     fn can_accept(&mut self) -> bool;
+    /// Limit on the input buffered for a client, in bytes.
     fn max_client_input(&self) -> usize;
+    /// A client connection was accepted.
     fn accepted(&mut self, id: usize);
+    /// Accepting stopped before the queue was empty and has to be tried again.
     fn retry_accept_later(&mut self);
-    /// Nobody waits to be accepted any more.
+    /// No more connections wait to be accepted.
     fn accept_queue_empty(&mut self) {}
-    /// What is answered to a message of a connection that there is no room for.
+    /// Response to connections that can't be accepted.
     fn unavailable_response(&self) -> &[u8] {
         b""
     }
-    /// Frees a descriptor; false if none can be.
+    /// Frees a descriptor; returns false if none can be freed.
     fn free_descriptor(&mut self) -> bool;
+    /// A connection opened by [`Net::connect`] is established.
     fn connected(&mut self, id: usize);
+    /// Some or all of a connection's output was written.
     fn output_written(&mut self, id: usize);
+    /// Input arrived on a connection, or the connection ended.
     fn input_received(&mut self, id: usize);
-    /// Timers that are due; true if connections may be accepted again.
+    /// Runs the timers that are due; returns true if accepting should be tried again.
     fn run_due_timers(&mut self) -> bool;
+    /// Processes everything that resulted from earlier events.
     fn process_pending(&mut self);
-    /// The turn's bytes are about to go out: attempts whose connection stands are written now, if what was true when
-    /// each was asked for still is.
+    /// The turn's output is about to be written: writes the requested attempts whose connections
+    /// are established, if the conditions under which each was requested still hold.
     fn write_attempts(&mut self);
 }
 
-/// The poll, and the sockets that are no connections.
+/// The poll, the listener and the signal handling.
 pub struct Driver {
     poll: Poll,
     listener: Option<TcpListener>,
     signals: UnixStream,
-    /// SIGHUP came; and SIGTERM or SIGINT.
+    /// SIGHUP was received; SIGTERM or SIGINT was received.
     reload_signal: Arc<AtomicBool>,
     stop_signal: Arc<AtomicBool>,
     pub clock: Clock,
-    /// Since when clients can connect, and their messages wait here.
+    /// Since when clients can connect and their messages may wait in the system.
     listening_since: Nanos,
 }
 
 impl Driver {
-    /// Listens; the address is told back, since the system picks the port where it is given as 0.
+    /// Binds the listener and returns its address, since port 0 lets the system choose the port.
     pub fn new(listen: SocketAddr) -> io::Result<(Driver, Net, SocketAddr)> {
         let clock = Clock::start();
         let poll = Poll::new()?;
         let mut listener = TcpListener::bind(listen)?;
         let listen = listener.local_addr()?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let (mut signals, end) = UnixStream::pair()?;
+        let (mut signals, write_end) = UnixStream::pair()?;
         poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
-        let (hung_up, told_to_stop) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+        let (reload_signal, stop_signal) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-        for (signal, flag) in [(SIGHUP, &hung_up), (SIGTERM, &told_to_stop), (SIGINT, &told_to_stop)] {
+        for (signal, flag) in [(SIGHUP, &reload_signal), (SIGTERM, &stop_signal), (SIGINT, &stop_signal)] {
             signal_hook::flag::register(signal, flag.clone())?;
-            signal_hook::low_level::pipe::register(signal, clone_descriptor(&end)?)?;
+            signal_hook::low_level::pipe::register(signal, clone_descriptor(&write_end)?)?;
         }
         let registry = poll.registry().try_clone()?;
-        let (conns, dirty, resumed) = (Slab::new(), Vec::new(), Vec::new());
+        let (conns, dirty, to_resume) = (Slab::new(), Vec::new(), Vec::new());
         let net = Net {
             registry,
             conns,
             generations: 0,
             dirty,
-            to_resume: resumed,
+            to_resume,
             datagrams: None,
             has_more_datagrams: false,
             client_buffer_bytes: 0,
@@ -520,59 +555,56 @@
             input_delay: 0,
         };
         let listener = Some(listener);
-        let listens_since = net.now;
+        let listening_since = net.now;
         Ok((
-            Driver {
-                poll,
-                listener,
-                signals,
-                reload_signal: hung_up,
-                stop_signal: told_to_stop,
-                clock,
-                listening_since: listens_since,
-            },
+            Driver { poll, listener, signals, reload_signal, stop_signal, clock, listening_since },
             net,
             listen,
         ))
     }
 
-    /// Turns until the gateway is over.
+    /// Runs the event loop until the gateway is finished.
     pub fn run(mut self, gateway: &mut impl EventHandler, logs: &LogBuffer) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_PER_TURN);
         gateway.start(self.clock.now());
         self.flush(gateway);
-        // For how long the last turn lasted; before the first one, how long the start took.
-        let mut busy = self.clock.now() - self.listening_since;
+        // Duration of the last turn; before the first one, of the start.
+        let mut last_turn = self.clock.now() - self.listening_since;
         while !gateway.is_finished() {
             let now = self.clock.now();
-            let due = gateway.next_timer();
-            let next = due.map(|at| Duration::from_nanos(at.saturating_sub(now)));
+            let next_timer = gateway.next_timer();
+            let timer_wait = next_timer.map(|at| Duration::from_nanos(at.saturating_sub(now)));
             let net = gateway.net();
-            let more = (!net.to_resume.is_empty() || net.has_more_datagrams).then_some(Duration::ZERO);
-            let wait =
-                next.into_iter().chain((!logs.is_empty()).then_some(LOG_RETRY_INTERVAL)).chain(more).min();
+            let no_wait = (!net.to_resume.is_empty() || net.has_more_datagrams).then_some(Duration::ZERO);
+            let wait = timer_wait
+                .into_iter()
+                .chain((!logs.is_empty()).then_some(LOG_RETRY_INTERVAL))
+                .chain(no_wait)
+                .min();
             match self.poll.poll(&mut events, wait) {
-                // What came during a stop is found by the next poll, with the timers still overdue.
+                // The process may have been stopped in between: the next poll finds what arrived,
+                // and the timers are still overdue then.
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 polled => polled?,
             }
-            // Guards against deadlines counted from too late: what is read now may have come while the last round
-            // lasted, or while the whole process stood still, which an overdue timer tells. Harm: a message that
-            // came just now loses that much of its time.
-            let (net, woke) = (gateway.net(), self.clock.now());
-            net.input_delay = busy.max(due.map_or(0, |at| woke.saturating_sub(at)));
-            net.now = woke;
+            // Deadlines must not be counted from too late: this turn's input may have arrived
+            // during the last turn, or while the whole process was suspended, which an overdue
+            // timer shows. Trade-off: a message that came just now loses that much of its time.
+            let (net, turn_start) = (gateway.net(), self.clock.now());
+            net.input_delay = last_turn.max(next_timer.map_or(0, |at| turn_start.saturating_sub(at)));
+            net.now = turn_start;
             gateway.turn_started();
-            // Guards against a signal whose byte in the pipe was lost, so that no event tells of it: the flag does.
-            let wake_lost = self.has_signal() && !events.iter().any(|event| event.token() == SIGNALS);
-            let mut datagrams = gateway.net().has_more_datagrams;
+            // If the signal's byte in the pipe was lost there is no event for it, but the flag is
+            // set.
+            let signal_event_lost = self.has_signal() && !events.iter().any(|event| event.token() == SIGNALS);
+            let mut datagrams_ready = gateway.net().has_more_datagrams;
             for event in &events {
                 match event.token() {
                     LISTENER => drop(self.accept(gateway)),
-                    DATAGRAMS => datagrams = true,
+                    DATAGRAMS => datagrams_ready = true,
                     SIGNALS => {
-                        let mut some = [0; 64];
-                        while self.signals.read(&mut some).is_ok_and(|got| got > 0) {}
+                        let mut buffer = [0; 64];
+                        while self.signals.read(&mut buffer).is_ok_and(|got| got > 0) {}
                         self.handle_signals(gateway);
                     }
                     Token(id) => {
@@ -586,15 +618,15 @@
                     }
                 }
             }
-            if wake_lost {
+            if signal_event_lost {
                 self.handle_signals(gateway);
             }
-            if datagrams {
+            if datagrams_ready {
                 for bytes in gateway.net().read_datagrams() {
                     gateway.datagram_received(&bytes);
                 }
             }
-            // Once a turn, so that a client that sends on without end has no more than its turn.
+            // Once per turn, so that a client that never stops sending gets no more than its share.
             for id in gateway.net().take_to_resume() {
                 gateway.net().read(id, false);
                 gateway.input_received(id);
@@ -604,19 +636,19 @@
             }
             self.flush(gateway);
             if gateway.is_listening() {
-                // Still open.
+                // The listener stays open.
             } else if self.listener.is_some() {
                 self.stop_listening(gateway);
                 self.flush(gateway);
             }
             logs.write_pending();
-            busy = self.clock.now() - gateway.net().now;
+            last_turn = self.clock.now() - gateway.net().now;
         }
         Ok(())
     }
 
-    /// Nobody is to connect any more, and nobody who did is to be reset: who waits is taken as far as there is room, and of
-    /// the others what they sent is refused at once.
+    /// Closes the listener without resetting clients that have already connected: they are accepted
+    /// as far as there is room, and the others get a rejection at once for what they sent.
     fn stop_listening(&mut self, gateway: &mut impl EventHandler) {
         while !self.accept(gateway) {
             let Some(listener) = &self.listener else { return };
@@ -626,6 +658,7 @@
         self.listener = None;
     }
 
+    /// Whether a signal was received and not handled yet.
     fn has_signal(&self) -> bool {
         self.reload_signal.load(Ordering::Relaxed) || self.stop_signal.load(Ordering::Relaxed)
     }
@@ -644,7 +677,7 @@
         if !conn.is_connected {
             match conn.stream.take_error() {
                 Ok(None) if conn.stream.peer_addr().is_ok() => conn.is_connected = true,
-                Ok(None) => return, // not yet
+                Ok(None) => return, // still connecting
                 Ok(Some(e)) | Err(e) => conn.end = Some(end_of_error(&e)),
             }
             if conn.end.is_none() {
@@ -657,7 +690,7 @@
         gateway.output_written(id);
     }
 
-    /// Writes all that waits, and whatever comes of that, until nothing is left to write now.
+    /// Writes all pending output, including output that results from writing, until none is left.
     fn flush(&mut self, gateway: &mut impl EventHandler) {
         loop {
             gateway.process_pending();
@@ -679,15 +712,15 @@
         }
     }
 
-    /// Takes all that wait to be accepted, as far as there is room; whether nobody waits any more.
+    /// Accepts waiting connections as far as there is room; returns whether none are left.
     fn accept(&mut self, gateway: &mut impl EventHandler) -> bool {
         let Some(listener) = &self.listener else { return true };
         while gateway.can_accept() {
             match listener.accept() {
                 Ok((stream, address)) => {
                     let _ = stream.set_nodelay(true);
-                    let most = gateway.max_client_input();
-                    if let Ok(id) = gateway.net().add(stream, Peer::Client, address, most) {
+                    let input_limit = gateway.max_client_input();
+                    if let Ok(id) = gateway.net().add(stream, Peer::Client, address, input_limit) {
                         if let Some(conn) = gateway.net().get_mut(id) {
                             conn.is_connected = true;
                         }
@@ -698,7 +731,7 @@
                     gateway.accept_queue_empty();
                     return true;
                 }
-                // Guards against running out of descriptors: an idle connection gives way, or accepting waits.
+                // Out of descriptors: closes an idle connection, or delays accepting.
                 Err(e) if is_resource_exhausted(&e) => {
                     if !gateway.free_descriptor() {
                         break;
@@ -713,20 +746,20 @@
     }
 }
 
-/// Answers what has come on a connection and ends it, in one go; nothing is said where nothing has come. All of it is read
-/// before, so that no unread byte makes a reset of the close.
-fn reject_connection(stream: &mut TcpStream, refusal: &[u8]) {
-    let mut bytes = [0; READ_SIZE];
-    let mut came = false;
-    while let Ok(got) = stream.read(&mut bytes) {
-        came |= got > 0;
-        if got == 0 {
+/// Answers what has arrived on a connection, if anything, and closes it. All input is read first,
+/// since unread bytes would make the close a reset.
+fn reject_connection(stream: &mut TcpStream, response: &[u8]) {
+    let mut buffer = [0; READ_SIZE];
+    let mut received = false;
+    while let Ok(length) = stream.read(&mut buffer) {
+        received |= length > 0;
+        if length == 0 {
             break;
         }
     }
-    if came {
+    if received {
         let _ = stream.set_nodelay(true);
-        let _ = stream.write(refusal);
+        let _ = stream.write(response);
     }
     let _ = stream.shutdown(std::net::Shutdown::Write);
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -1,4 +1,5 @@
-//! One entry of discovery's list: a server, read by `serde` with no tree of its JSON between.
+//! An entry of discovery's list, which describes one server, deserialized without an intermediate
+//! JSON tree.
 
 use serde::Deserialize;
 use serde::de::{Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -7,42 +8,47 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// So many different words for zones and types are shared among the entries; further ones take their own memory.
+/// At most this many different names of zones and types are shared among entries; further ones are
+/// allocated per entry.
 const MAX_POOLED_STRINGS: usize = 256;
-/// What an entry's name takes beyond its letters.
+/// Estimated allocation overhead of an entry's name, in bytes.
 const ALLOCATION_OVERHEAD: usize = 16;
-/// What is gone need not have an address any more.
+/// Address of servers that are gone, whose entries need not have one.
 const UNSPECIFIED_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// One server as an object of the list names it.
+/// A server as it appears in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub name: Box<str>,
     pub address: SocketAddr,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
-    /// As [`crate::services::Services`] numbers it.
+    /// Number of its service, assigned by [`crate::services::Services`].
     pub service: u32,
     pub cell: u16,
     pub ready: bool,
     pub gone: bool,
     pub weight: f64,
+    /// Unix time of its start; 0 for long ago.
     pub started_ms: u64,
 }
 
 impl Entry {
-    /// Reads an entry; nothing where it makes no sense.
-    pub fn from_deserializer<'a>(from: impl Deserializer<'a>, words: &mut StringPool) -> Option<Entry> {
-        let fields = Fields::deserialize(from).ok()?;
+    /// Deserializes an entry; returns `None` if it is invalid.
+    pub fn from_deserializer<'a>(
+        deserializer: impl Deserializer<'a>,
+        strings: &mut StringPool,
+    ) -> Option<Entry> {
+        let fields = Fields::deserialize(deserializer).ok()?;
         let status = fields.status.as_str()?;
         let gone = status == "gone";
         let address = fields.address.as_str().and_then(|text| text.parse().ok());
         Some(Entry {
             name: fields.name.as_str()?.into(),
             address: address.or(gone.then_some(UNSPECIFIED_ADDRESS))?,
-            zone: words.intern(fields.zone.as_str().unwrap_or_default()),
-            kind: words.intern(fields.kind.as_str().unwrap_or_default()),
+            zone: strings.intern(fields.zone.as_str().unwrap_or_default()),
+            kind: strings.intern(fields.kind.as_str().unwrap_or_default()),
             service: 0,
             cell: fields.group.as_u64().unwrap_or(0) as u16,
             ready: status == "ready",
@@ -52,22 +58,22 @@
         })
     }
 
-    /// Bytes that it takes.
+    /// Returns the memory that the entry takes, in bytes.
     pub fn memory_size(&self) -> usize {
         size_of::<Entry>() + self.name.len() + ALLOCATION_OVERHEAD
     }
 }
 
-/// Words that many entries have in common, such as the names of zones, held once.
+/// Strings that many entries share, such as zone names; each is stored once.
 #[derive(Debug, Default)]
 pub struct StringPool(Vec<Rc<str>>);
 
 impl StringPool {
-    fn intern(&mut self, word: &str) -> Rc<str> {
-        if let Some(known) = self.0.iter().find(|known| &***known == word) {
+    fn intern(&mut self, text: &str) -> Rc<str> {
+        if let Some(known) = self.0.iter().find(|known| &***known == text) {
             return known.clone();
         }
-        let new: Rc<str> = word.into();
+        let new: Rc<str> = text.into();
         if self.0.len() < MAX_POOLED_STRINGS {
             self.0.push(new.clone());
         }
@@ -75,7 +81,7 @@
     }
 }
 
-/// An entry's fields, each of any type or missing.
+/// Raw fields of an entry; each may be missing or of any type.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Fields<'a> {
@@ -97,7 +103,7 @@
     since_ms: Field<'a>,
 }
 
-/// A value of which only words and numbers are kept.
+/// A field's value; only strings and numbers are kept.
 #[derive(Default)]
 enum Field<'a> {
     Text(Cow<'a, str>),
@@ -126,19 +132,19 @@
 }
 
 impl<'de: 'a, 'a> Deserialize<'de> for Field<'a> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(FieldVisitor)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(FieldVisitor)
     }
 }
 
-/// Takes a value of any type for a [`Field`].
+/// Accepts a value of any type for a [`Field`].
 struct FieldVisitor;
 
 impl<'de> Visitor<'de> for FieldVisitor {
     type Value = Field<'de>;
 
-    fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str("any value")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("any value")
     }
 
     fn visit_borrowed_str<E>(self, text: &'de str) -> Result<Field<'de>, E> {
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -1,14 +1,15 @@
-//! The names that entries of the list use, as the numbers that the module knows them by.
+//! Translates the names of zones and kinds in list entries to the numbers that the decision module
+//! uses.
 
 use crate::entry::Entry;
 use martenramp::host::{Listed, Nanos};
 use std::collections::HashMap;
 
 const MS: Nanos = 1_000_000;
-/// So many names of zones are kept.
+/// At most this many zone names get a number of their own.
 const MAX_ZONES: usize = 1024;
 
-/// Zones and kinds by name.
+/// Numbers of zones and kinds, by name.
 #[derive(Debug, Default)]
 pub struct NameIds {
     zones: HashMap<Box<str>, u16>,
@@ -16,14 +17,14 @@
 }
 
 impl NameIds {
-    /// The zones and kinds that the settings name, numbered in this order.
+    /// Creates the table with the zones and kinds of the settings, numbered in this order.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
-        let mut directory = NameIds { kinds, ..NameIds::default() };
-        zones.iter().for_each(|zone| _ = directory.zone_number(zone));
-        directory
+        let mut ids = NameIds { kinds, ..NameIds::default() };
+        zones.iter().for_each(|zone| _ = ids.zone_number(zone));
+        ids
     }
 
-    /// The number of a zone; those beyond what the settings name are told apart all the same.
+    /// Returns the number of a zone; zones that the settings don't name get numbers of their own.
     fn zone_number(&mut self, name: &str) -> u16 {
         if let Some(number) = self.zones.get(name) {
             return *number;
@@ -36,7 +37,8 @@
         number
     }
 
-    /// What the module is told of an entry with this key; the server's number is filled in when it is taken.
+    /// Converts an entry with this key for the decision module. The server's number is filled in
+    /// later, when the entry is applied.
     pub fn to_listed(&mut self, key: u64, entry: &Entry) -> Listed {
         let kind = self.kinds.iter().position(|known| **known == *entry.kind);
         Listed {
@@ -44,7 +46,7 @@
             service: entry.service,
             key,
             zone: if entry.gone { u16::MAX } else { self.zone_number(&entry.zone) },
-            kind: kind.map_or(u8::MAX, |at| at as u8),
+            kind: kind.map_or(u8::MAX, |index| index as u8),
             cell: entry.cell,
             ready: entry.ready,
             weight: entry.weight,
