--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,74 +1,81 @@
-//! HTTP/1.1 framing over httparse: how long a message is, where its body lies, how heads are written.
-//! Knows neither sockets nor peers; everything works on slices of the buffer that holds the message.
+//! HTTP/1.1 message framing on top of httparse: message lengths, body ranges and forwarded headers.
+//! It uses no sockets and knows no peers; everything works on slices of the buffer that holds the
+//! message.
 
 use httparse::Header;
 use std::ops::Range;
 
-/// The largest head and body taken from anyone.
+/// Largest head and body accepted from any peer, in bytes.
 pub const MAX_HEAD_LEN: usize = 16 << 10;
 pub const MAX_BODY_LEN: usize = 64 << 10;
-/// More header lines than this in one head are refused.
+/// A head with more header lines than this is rejected.
 pub const MAX_HEADERS: usize = 64;
 
-/// How the end of a body is told.
+/// How a body's end is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
     Fixed(usize),
     Chunked,
+    /// The body ends with the connection.
     UntilClose,
 }
 
-/// Why a message can't be taken: the status to answer a request with, and a reason code for the log.
+/// Why a message is rejected: the status code for the response to a request, and a reason code for
+/// the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageError(pub u16, pub &'static str);
 
+/// Returns the value of the first header with this name.
 pub fn header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a [u8]> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
+/// Returns the trimmed value of the first header with this name if it is valid UTF-8.
 pub fn header_text<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     header(headers, name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
 }
 
-/// A header that must stand there once: two could be read differently by whoever is next.
+/// Returns a header that must occur exactly once: the next hop might pick another of several
+/// values.
 pub fn single_header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let mut named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
-    let value = std::str::from_utf8(named.next()?.value).ok().map(str::trim);
-    value.filter(|value| named.next().is_none() && !value.is_empty())
+    let mut matching = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+    let value = std::str::from_utf8(matching.next()?.value).ok().map(str::trim);
+    value.filter(|value| matching.next().is_none() && !value.is_empty())
 }
 
-/// Whether a header that lists words holds this one.
-pub fn header_has_token(headers: &[Header], name: &str, word: &str) -> bool {
-    let named = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
-    let mut words = named.flat_map(|header| header.value.split(|byte| *byte == b','));
-    words.any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+/// Whether a header that is a comma-separated list contains this token.
+pub fn header_has_token(headers: &[Header], name: &str, token: &str) -> bool {
+    let matching = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+    let mut tokens = matching.flat_map(|header| header.value.split(|byte| *byte == b','));
+    tokens.any(|item| item.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
 }
 
-/// The length that the headers tell; `without` is what applies if they tell none. Guards against messages
-/// that two readers would end at different bytes (two lengths, or a length beside chunks).
-pub fn body_length(headers: &[Header], without: BodyLength) -> Result<BodyLength, MessageError> {
-    let mut told = None;
+/// Returns the body length that the headers declare, or `default` if they declare none. Rejects
+/// messages that two parsers could end at different bytes: two lengths, or a length along with
+/// chunked encoding.
+pub fn body_length(headers: &[Header], default: BodyLength) -> Result<BodyLength, MessageError> {
+    let mut declared = None;
     for header in headers.iter().filter(|header| header.name.eq_ignore_ascii_case("content-length")) {
         let value = header.value.trim_ascii();
-        let plain = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-        let digits = std::str::from_utf8(value).ok().filter(|_| plain);
+        let is_decimal = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+        let digits = std::str::from_utf8(value).ok().filter(|_| is_decimal);
         let number = digits.and_then(|digits| digits.parse().ok()).ok_or(MessageError(400, "bad-length"))?;
-        if told.replace(number).is_some_and(|before| before != number) {
+        if declared.replace(number).is_some_and(|previous| previous != number) {
             return Err(MessageError(400, "two-lengths"));
         }
     }
     if header(headers, "transfer-encoding").is_some() {
-        let chunked =
-            header_text(headers, "transfer-encoding").is_some_and(|how| how.eq_ignore_ascii_case("chunked"));
-        return match told {
+        let chunked = header_text(headers, "transfer-encoding")
+            .is_some_and(|encoding| encoding.eq_ignore_ascii_case("chunked"));
+        return match declared {
             None if chunked => Ok(BodyLength::Chunked),
             _ => Err(MessageError(400, "bad-encoding")),
         };
     }
-    Ok(told.map_or(without, BodyLength::Fixed))
+    Ok(declared.map_or(default, BodyLength::Fixed))
 }
 
-/// Headers that speak of one connection only, or that whoever passes a message on writes itself.
+/// Headers that apply to one connection only, or that the forwarding side writes itself.
 const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -82,22 +89,23 @@
     "x-remaining-ms",
 ];
 
-/// Passes on the header lines of a head (without its first line), except those of one connection and `but`.
-pub fn forward_headers(out: &mut Vec<u8>, lines: &[u8], but: &[&str]) {
+/// Forwards the header lines of a head (without its first line), except for those of the connection
+/// and those in `except`.
+pub fn forward_headers(out: &mut Vec<u8>, lines: &[u8], except: &[&str]) {
     let lines = || lines.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
-    let named = |line: &[u8], name: &str| {
+    let is_named = |line: &[u8], name: &str| {
         line.get(name.len()) == Some(&b':') && line[..name.len()].eq_ignore_ascii_case(name.as_bytes())
     };
-    // A connection's own header may name further ones that end here.
-    let dropped: Vec<&[u8]> = lines()
-        .filter(|line| named(line, "connection"))
+    // A `Connection` header may name further headers that apply to this connection only.
+    let connection_options: Vec<&[u8]> = lines()
+        .filter(|line| is_named(line, "connection"))
         .flat_map(|line| line["connection:".len()..].split(|byte| *byte == b','))
         .map(<[u8]>::trim_ascii)
         .collect();
     for line in lines().filter(|line| !line.is_empty()) {
         let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
-        if !CONNECTION_HEADERS.iter().chain(but).any(|own| named(line, own))
-            && !dropped.iter().any(|word| word.eq_ignore_ascii_case(name))
+        if !CONNECTION_HEADERS.iter().chain(except).any(|dropped| is_named(line, dropped))
+            && !connection_options.iter().any(|option| option.eq_ignore_ascii_case(name))
         {
             out.extend_from_slice(line);
             out.extend_from_slice(b"\r\n");
@@ -105,25 +113,27 @@
     }
 }
 
-/// Where a slice lies in the buffer that it is part of.
+/// Returns the range of a slice within the buffer that contains it.
 pub fn range_within(buffer: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - buffer.as_ptr() as usize;
     start..start + part.len()
 }
 
-/// Takes chunked bodies apart, fed bytes as they come; the data is handed on in pieces.
+/// Incremental decoder of chunked bodies; passes the data on in pieces.
 #[derive(Debug, Default)]
 pub struct ChunkedDecoder {
-    /// Data bytes left of the chunk at hand.
+    /// Bytes left in the current chunk.
     chunk_left: usize,
     state: ChunkState,
 }
 
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ChunkState {
     #[default]
     Size,
     Data,
+    /// The line end behind a chunk's data.
     DataEnd,
     Trailer,
     Done,
@@ -134,17 +144,17 @@
         self.state == ChunkState::Done
     }
 
-    /// How many bytes of the input were used up; `data` gets what they held.
+    /// Returns how many bytes of the input were consumed; `data` is called with the decoded bytes.
     pub fn feed(&mut self, input: &[u8], mut data: impl FnMut(&[u8])) -> Result<usize, MessageError> {
-        let mut at = 0;
+        let mut consumed = 0;
         while self.state != ChunkState::Done {
-            let rest = &input[at..];
+            let rest = &input[consumed..];
             match self.state {
                 ChunkState::Data => {
-                    let now = rest.len().min(self.chunk_left);
-                    data(&rest[..now]);
-                    self.chunk_left -= now;
-                    at += now;
+                    let length = rest.len().min(self.chunk_left);
+                    data(&rest[..length]);
+                    self.chunk_left -= length;
+                    consumed += length;
                     if self.chunk_left > 0 {
                         break;
                     }
@@ -158,7 +168,7 @@
                         break;
                     };
                     let line = rest[..end].strip_suffix(b"\r").unwrap_or(&rest[..end]);
-                    at += end + 1;
+                    consumed += end + 1;
                     self.state = match self.state {
                         ChunkState::Size => self.parse_size(line)?,
                         ChunkState::DataEnd if line.is_empty() => ChunkState::Size,
@@ -169,7 +179,7 @@
                 }
             }
         }
-        Ok(at)
+        Ok(consumed)
     }
 
     fn parse_size(&mut self, line: &[u8]) -> Result<ChunkState, MessageError> {
@@ -181,6 +191,7 @@
     }
 }
 
+/// Returns the reason phrase of a status code.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/gateway/src/json_stream.rs
+++ b/crates/gateway/src/json_stream.rs
@@ -1,22 +1,24 @@
-//! JSON objects that come in any pieces, one behind the other, each with one array that may be of any length: its elements
-//! are handed on one by one, so that neither the object's bytes nor a tree of them are ever held whole.
+//! Streaming parser of consecutive JSON objects that arrive in arbitrary pieces and each contain
+//! one array of any length. The array's elements are passed on one by one, so that neither an
+//! object's bytes nor a tree of them are ever held whole.
 
-/// What of an object is held at most: one element, and all that stands around the elements.
+/// Limits on what is buffered of an object: one element, and the envelope, which is everything
+/// around the elements.
 pub const MAX_ELEMENT_LEN: usize = 64 << 10;
 pub const MAX_ENVELOPE_LEN: usize = 16 << 10;
-/// So many brackets may be open at once.
+/// Maximum nesting depth.
 pub const MAX_DEPTH: usize = 32;
 
-/// Why an object can't be taken.
+/// Why an object is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectError {
-    /// It is no JSON object of the form that is asked for.
+    /// Not a JSON object of the expected format.
     Malformed,
-    /// One element, or what stands around the elements, is longer than its bound.
+    /// An element or the envelope exceeds its limit.
     ElementTooLong,
     EnvelopeTooLong,
     TooDeep,
-    /// All elements together take more memory than they may.
+    /// The elements together exceed their memory limit.
     ListTooLong,
 }
 
@@ -33,29 +35,31 @@
     }
 }
 
-/// A part of an object that is whole.
+/// A complete part of an object.
 #[derive(Debug)]
 pub enum ObjectPart<'a> {
-    /// An element of the array; only the pairing of brackets and quotes has been looked at.
+    /// An element of the array; only its brackets and quotes have been checked.
     Element(&'a [u8]),
-    /// The object's end: the whole of it but for the array's elements, and looked at no further either.
+    /// The end of the object: all of it without the array's elements, checked no further either.
     Envelope(&'a [u8]),
 }
 
-/// Where the next byte stands.
+/// Position of the next byte in the structure of an object.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Position {
+    /// Between two objects.
     #[default]
     Between,
     Envelope,
-    /// In the array, where an element may begin: as the first, behind a comma; or where only a comma or the end may come.
+    /// In the array: before the first element, after a comma, or after an element, where only a
+    /// comma or the end is allowed.
     FirstElement,
     NextElement,
     AfterElement,
     Element,
 }
 
-/// Brackets and quotes that are open.
+/// State of open brackets and strings.
 #[derive(Debug, Default)]
 struct Nesting {
     depth: usize,
@@ -64,7 +68,7 @@
 }
 
 impl Nesting {
-    /// Takes one byte. Strings hold no bare line ends: one tells of an object that was cut short.
+    /// Takes one byte. A control character in a string means that the object was cut off.
     fn feed(&mut self, byte: u8) -> Result<(), ObjectError> {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
@@ -80,25 +84,27 @@
     }
 }
 
-/// Takes objects apart whose array stands under one name, wherever among the object's keys.
+/// Splits objects whose array is stored under a given key, wherever among the object's keys it
+/// stands.
 #[derive(Debug)]
 pub struct ObjectStream {
-    /// The array's name as it is written, in quotes.
+    /// The array's key, in quotes.
     quoted_key: String,
     position: Position,
     nesting: Nesting,
-    /// What has come so far of the object at hand without its elements, and of the element at hand.
+    /// Bytes received so far of the current object without its elements, and of the current
+    /// element.
     envelope: Vec<u8>,
     element: Vec<u8>,
-    /// The array has been met in this object.
+    /// The array has been found in this object.
     array_seen: bool,
 }
 
 impl ObjectStream {
-    /// For objects whose array stands under this name.
-    pub fn new(name: &str) -> Self {
+    /// Creates a parser for objects whose array is stored under this key.
+    pub fn new(key: &str) -> Self {
         ObjectStream {
-            quoted_key: format!("\"{name}\""),
+            quoted_key: format!("\"{key}\""),
             position: Position::default(),
             nesting: Nesting::default(),
             envelope: Vec::new(),
@@ -112,23 +118,23 @@
         self.position != Position::Between
     }
 
-    /// Hands on each part that is whole. After a fault nothing more may be fed.
+    /// Passes on each complete part. No more data may be fed after an error.
     pub fn feed(
         &mut self,
         mut data: &[u8],
-        mut found: impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+        mut on_part: impl FnMut(ObjectPart) -> Result<(), ObjectError>,
     ) -> Result<(), ObjectError> {
         while let Some((byte, rest)) = data.split_first() {
             match self.position {
                 Position::Element => {
-                    data = self.feed_element(data, &mut found)?;
+                    data = self.feed_element(data, &mut on_part)?;
                     continue;
                 }
-                Position::Envelope => self.feed_envelope(*byte, &mut found)?,
+                Position::Envelope => self.feed_envelope(*byte, &mut on_part)?,
                 _ if byte.is_ascii_whitespace() => {}
                 Position::Between if *byte == b'{' => {
                     self.position = Position::Envelope;
-                    self.feed_envelope(*byte, &mut found)?;
+                    self.feed_envelope(*byte, &mut on_part)?;
                 }
                 Position::FirstElement | Position::NextElement if *byte == b'{' => {
                     self.position = Position::Element;
@@ -137,7 +143,7 @@
                 Position::AfterElement if *byte == b',' => self.position = Position::NextElement,
                 Position::FirstElement | Position::AfterElement if *byte == b']' => {
                     self.position = Position::Envelope;
-                    self.feed_envelope(*byte, &mut found)?;
+                    self.feed_envelope(*byte, &mut on_part)?;
                 }
                 _ => return Err(ObjectError::Malformed),
             }
@@ -146,19 +152,19 @@
         Ok(())
     }
 
-    /// Takes what there is of an element; what stands behind it is told back.
+    /// Takes the available bytes of an element and returns the data behind them.
     fn feed_element<'a>(
         &mut self,
         data: &'a [u8],
-        found: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+        on_part: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
     ) -> Result<&'a [u8], ObjectError> {
-        // An element stands within the object and its array.
-        let outside = 2;
+        // An element is nested in the object and its array.
+        let array_depth = 2;
         let mut end = None;
-        for (at, byte) in data.iter().enumerate() {
+        for (index, byte) in data.iter().enumerate() {
             self.nesting.feed(*byte)?;
-            if self.nesting.depth == outside {
-                end = Some(at + 1);
+            if self.nesting.depth == array_depth {
+                end = Some(index + 1);
                 break;
             }
         }
@@ -172,26 +178,26 @@
         }
         self.position = Position::AfterElement;
         if self.element.is_empty() {
-            found(ObjectPart::Element(part))?;
+            on_part(ObjectPart::Element(part))?;
         } else {
             self.element.extend_from_slice(part);
-            found(ObjectPart::Element(&self.element))?;
+            on_part(ObjectPart::Element(&self.element))?;
             self.element.clear();
         }
         Ok(rest)
     }
 
-    /// Takes a byte of what stands around the elements.
+    /// Takes a byte of the envelope.
     fn feed_envelope(
         &mut self,
         byte: u8,
-        found: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
+        on_part: &mut impl FnMut(ObjectPart) -> Result<(), ObjectError>,
     ) -> Result<(), ObjectError> {
-        let opens =
+        let opens_array =
             byte == b'[' && !self.nesting.in_string && self.nesting.depth == 1 && self.ends_with_array_key();
         self.nesting.feed(byte)?;
         self.push_envelope_byte(byte)?;
-        if opens {
+        if opens_array {
             if std::mem::replace(&mut self.array_seen, true) {
                 return Err(ObjectError::Malformed);
             }
@@ -201,16 +207,19 @@
                 return Err(ObjectError::Malformed);
             }
             self.position = Position::Between;
-            found(ObjectPart::Envelope(&self.envelope))?;
+            on_part(ObjectPart::Envelope(&self.envelope))?;
             self.envelope.clear();
         }
         Ok(())
     }
 
-    /// Keeps a byte of the frame; of white space outside strings, one.
+    /// Stores a byte of the envelope; a run of white space outside strings is stored as one byte.
     fn push_envelope_byte(&mut self, byte: u8) -> Result<(), ObjectError> {
-        let blank = |byte: u8| byte.is_ascii_whitespace();
-        if blank(byte) && !self.nesting.in_string && self.envelope.last().is_some_and(|last| blank(*last)) {
+        let is_blank = |byte: u8| byte.is_ascii_whitespace();
+        if is_blank(byte)
+            && !self.nesting.in_string
+            && self.envelope.last().is_some_and(|last| is_blank(*last))
+        {
             return Ok(());
         }
         if self.envelope.len() >= MAX_ENVELOPE_LEN {
@@ -220,11 +229,11 @@
         Ok(())
     }
 
-    /// Whether the key that the frame ends with is the array's. A quote inside a string has a backslash before it, so
-    /// that a string that only ends like the key is none.
+    /// Whether the envelope ends with the array's key. A quote inside a string is preceded by a
+    /// backslash, so a string that merely ends like the key does not match.
     fn ends_with_array_key(&self) -> bool {
         let key = self.envelope.trim_ascii_end().strip_suffix(b":").map(<[u8]>::trim_ascii_end);
-        let before = key.and_then(|key| key.strip_suffix(self.quoted_key.as_bytes()));
-        before.is_some_and(|before| matches!(before.trim_ascii_end().last(), Some(b'{' | b',')))
+        let prefix = key.and_then(|key| key.strip_suffix(self.quoted_key.as_bytes()));
+        prefix.is_some_and(|prefix| matches!(prefix.trim_ascii_end().last(), Some(b'{' | b',')))
     }
 }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,4 +1,5 @@
-//! Discovery's list: the watch, a state machine fed the bytes of one open answer, and what its lines say.
+//! Discovery's list of servers: a state machine for the response to a watch request, and the parser
+//! of the updates in it.
 
 use crate::entry::{Entry, StringPool};
 use crate::http::{self, BodyLength, ChunkedDecoder, MAX_HEAD_LEN, MAX_HEADERS, MessageError};
@@ -8,47 +9,58 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// An empty line comes every 2 s while nothing changes; silence for more than one of them and a half is a break. What a
-/// silent watch misses counts as told 6 s after it fell silent: by then another one has to have spoken.
+/// Time without data after which the watch counts as broken: more than one and a half of the 2 s
+/// intervals at which discovery sends an empty line while nothing changes. Changes missed by a
+/// silent watch count as announced 6 s after it fell silent, so a new watch must have delivered
+/// data by then.
 pub const SILENCE_TIMEOUT: Nanos = 3_500_000_000;
-/// A watch that was asked for and not answered so long is a break, too: discovery's agent answers at once, and a service
-/// that does not has most likely dropped the call.
+/// Time limit for the start of a watch's response. Discovery's agent answers at once, and a service
+/// that doesn't has most likely dropped the request.
 pub const RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
-/// Where lists are pushed, asking costs discovery nothing, and a watch is asked for again within so long.
+/// Upper bound of the delay before the watch is opened again where lists are pushed: asking costs
+/// discovery nothing there.
 pub const MAX_PUSHED_RETRY_DELAY: Nanos = 250_000_000;
-/// How long until the watch is asked for again after a break: up to so much for each gateway of the fleet, within
-/// these bounds; a sixth of it the first time and half of it the second.
+/// Upper bound of the delay before the watch is opened again after a break: this much for each
+/// gateway of the fleet, within the bounds below. The first retry waits up to a sixth of it, the
+/// second up to half.
 pub const RETRY_DELAY_PER_GATEWAY: Nanos = 60_000_000;
 pub const RETRY_DELAY_BOUNDS: std::ops::RangeInclusive<Nanos> = 1_000_000_000..=6_000_000_000;
-/// Whatever became of the calls before, a change counts as told so long after discovery had it and could be reached.
+/// However the earlier requests ended, a change counts as announced this long after discovery had
+/// it and was reachable.
 pub const ANNOUNCED_WITHIN: Nanos = 6_000_000_000;
-/// Of that, the part that is left to the next call for its connection and its answer.
+/// Part of [`ANNOUNCED_WITHIN`] that is reserved for the next request's connection and response.
 pub const RESPONSE_ALLOWANCE: Nanos = 1_000_000_000;
-/// What applies where no time is told in which new work must stop after a drain.
+/// Time after the announcement of a drain within which new work must stop, if the settings give
+/// none.
 pub const DEFAULT_STOP_WITHIN: Nanos = 2_000_000_000;
-/// From the second list in a row on that can't be taken, the rest before the next call is at least so long, twice as long
-/// after each further one and up to the last, and drawn up to twice as long again. With the time that the watch takes to
-/// be answered it stays within the 6 s after which a change counts as told.
+/// Minimum delay before the next request from the second invalid list in a row on. It doubles with
+/// each further one, up to the maximum, and the actual delay is drawn between it and twice as much.
+/// With the watch's response time this stays within the 6 s after which a change counts as
+/// announced.
 const INVALID_LIST_DELAY: Nanos = 250_000_000;
 const MAX_INVALID_LIST_DELAY: Nanos = 2_000_000_000;
-/// A watch that stood for so long before such a list came is no further one in a row.
+/// If a watch had been open for this long before it delivered an invalid list, earlier invalid
+/// lists don't count.
 const STABLE_AFTER: Nanos = 5_000_000_000;
-/// The key under which an object holds its entries.
+/// Key of the array of entries in a list object.
 const ENTRIES_KEY: &str = "endpoints";
 
-/// One object of the list, read as far as it makes sense.
+/// One list object: the whole list or a change of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListUpdate {
+    /// Version of the list.
     pub index: u64,
+    /// Whether this is the whole list rather than a change.
     pub is_snapshot: bool,
     pub entries: Vec<Entry>,
-    /// How many entries were left out since their names tell no service, and the first of these names.
+    /// Number of entries that were left out because their names contain no service, and the first
+    /// of these names.
     pub without_service: usize,
     pub first_without_service: Option<Box<str>>,
 }
 
 impl ListUpdate {
-    /// Takes an entry in, unless it is of no service that is asked for here.
+    /// Adds an entry, unless it belongs to a service that is not requested here.
     fn add_entry(&mut self, mut entry: Entry, services: &Services) {
         match services.of_server(&entry.name) {
             Service::Asked(number) => {
@@ -64,62 +76,65 @@
     }
 }
 
-/// The watch: what was heard last, and the answer that is open.
+/// A watch: what was received last, and the state of the current response.
 #[derive(Debug)]
 pub struct Watch {
-    /// The version of the list held; 0 is none.
+    /// Version of the list that is held; 0 for none.
     pub index: u64,
+    /// Whether the response's head has been read.
     pub head_read: bool,
     chunks: ChunkedDecoder,
     objects: ObjectStream,
     staged: StagedUpdate,
-    /// When it was asked for, and from its answer's head on, when that or some of its body came last.
+    /// When the request was written; once the response's head has been read, when data last
+    /// arrived.
     pub last_received: Nanos,
-    /// When the object that is coming in began, or went on by an entry.
+    /// When the object that is being received began, or when its last entry was completed.
     object_progress_at: Option<Nanos>,
-    /// Breaks since a watch last told something, if only that nothing changed.
+    /// Number of broken watches since one last delivered something, if only an empty line.
     pub failures: u32,
-    /// When it was asked for.
+    /// When the request was written.
     requested_at: Nanos,
-    /// So many objects in a row could not be taken.
+    /// Number of invalid objects in a row.
     invalid_in_a_row: u32,
-    /// Bytes that the entries of one object may take.
+    /// Memory limit for the entries of one object, in bytes.
     pub entry_memory_limit: usize,
-    /// Of other services no entry is held.
+    /// Entries of other services are not kept.
     services: Rc<Services>,
 }
 
 impl Watch {
-    /// A watch for what comes after this version, in objects whose entries take at most so many bytes, where the deployment
-    /// tells no services.
-    pub fn new(index: u64, entries_memory: usize) -> Self {
-        Watch::for_services(index, entries_memory, Rc::default())
+    /// Creates a watch for changes after this version, for deployments without services. The
+    /// entries of one object may take `entry_memory_limit` bytes.
+    pub fn new(index: u64, entry_memory_limit: usize) -> Self {
+        Watch::for_services(index, entry_memory_limit, Rc::default())
     }
 
-    /// The same for the servers of some services.
-    pub fn for_services(index: u64, entries_memory: usize, services: Rc<Services>) -> Self {
+    /// Creates a watch for the servers of some services.
+    pub fn for_services(index: u64, entry_memory_limit: usize, services: Rc<Services>) -> Self {
         Watch {
             index,
             head_read: false,
             chunks: ChunkedDecoder::default(),
             objects: ObjectStream::new(ENTRIES_KEY),
-            staged: StagedUpdate::new(entries_memory, services.clone()),
+            staged: StagedUpdate::new(entry_memory_limit, services.clone()),
             last_received: 0,
             object_progress_at: None,
             failures: 0,
             requested_at: 0,
             invalid_in_a_row: 0,
-            entry_memory_limit: entries_memory,
+            entry_memory_limit,
             services,
         }
     }
 
-    /// Another watch for what comes after the same version.
+    /// Creates another watch that starts at the version held by this one.
     pub fn successor(&self) -> Self {
         Watch::for_services(self.index, self.entry_memory_limit, self.services.clone())
     }
 
-    /// Starts over on a new connection: the message that asks for changes after the version held.
+    /// Starts over on a new connection: writes the request for changes after the version that is
+    /// held.
     pub fn write_request(&mut self, out: &mut Vec<u8>, now: Nanos) {
         (self.head_read, self.chunks, self.last_received) = (false, ChunkedDecoder::default(), now);
         (self.object_progress_at, self.requested_at) = (None, now);
@@ -132,61 +147,63 @@
         out.extend_from_slice(text.as_bytes());
     }
 
-    /// Whether it has said nothing for too long, or has not ended what it began to say: empty lines that go on behind half an
-    /// object are no sign of life.
+    /// Whether the watch has been silent for too long, or has been stuck within an object: empty
+    /// lines in the middle of an object don't count as progress.
     pub fn is_unresponsive(&self, now: Nanos) -> bool {
         now > self.last_alive_at() + if self.head_read { SILENCE_TIMEOUT } else { RESPONSE_TIMEOUT }
     }
 
-    /// Until when nothing can have been missed: the last sign of life, or when the call at hand was made.
+    /// Time up to which no change can have been missed: the last progress, or when the current
+    /// request was written.
     fn last_alive_at(&self) -> Nanos {
         self.object_progress_at.unwrap_or(self.last_received).min(self.last_received)
     }
 
-    /// Takes what came: how many bytes were used up, and the objects found, whatever white space stands in and between
-    /// them. Entries are staged as they come, and told with the end of their object. An object that can't be taken ends
-    /// the watch, and nothing of it is told; nor is anything of one that is cut short.
+    /// Parses received bytes. Returns how many were consumed and appends the complete objects, with
+    /// any white space in and between them. Entries are staged as they come, and their object is
+    /// reported when it is complete. An invalid object ends the watch, and none of it is reported;
+    /// neither is an object that is cut off.
     pub fn feed(
         &mut self,
         now: Nanos,
         input: &[u8],
-        told: &mut Vec<ListUpdate>,
+        updates: &mut Vec<ListUpdate>,
     ) -> Result<usize, &'static str> {
-        let mut at = 0;
+        let mut consumed = 0;
         if !self.head_read {
-            at = match self.feed_head(input)? {
+            consumed = match self.feed_head(input)? {
                 Some(length) => length,
                 None => return Ok(0),
             };
             self.last_received = now;
         }
         let Watch { objects, staged, .. } = self;
-        let (mut fault, mut spoke, had) = (None, false, staged.parts_taken);
-        let used = self.chunks.feed(&input[at..], |data| {
-            spoke |= !data.is_empty();
-            if fault.is_none() {
-                fault = objects.feed(data, |part| staged.take_part(part, told)).err();
+        let (mut error, mut has_data, parts_before) = (None, false, staged.parts_taken);
+        let body_consumed = self.chunks.feed(&input[consumed..], |data| {
+            has_data |= !data.is_empty();
+            if error.is_none() {
+                error = objects.feed(data, |part| staged.take_part(part, updates)).err();
             }
         });
-        if spoke {
+        if has_data {
             self.last_received = now;
         }
-        if spoke && fault.is_none() && !self.objects.is_in_object() {
+        if has_data && error.is_none() && !self.objects.is_in_object() {
             self.failures = 0;
         }
-        let goes_on = staged.parts_taken > had || self.object_progress_at.is_none();
-        self.object_progress_at =
-            if goes_on { Some(now) } else { self.object_progress_at }.filter(|_| self.objects.is_in_object());
-        if let Some(fault) = fault {
+        let has_progress = staged.parts_taken > parts_before || self.object_progress_at.is_none();
+        self.object_progress_at = if has_progress { Some(now) } else { self.object_progress_at }
+            .filter(|_| self.objects.is_in_object());
+        if let Some(error) = error {
             self.invalid_in_a_row =
                 if now > self.requested_at + STABLE_AFTER { 1 } else { self.invalid_in_a_row + 1 };
-            return Err(fault.reason());
+            return Err(error.reason());
         }
-        at += used.map_err(|MessageError(_, why)| why)?;
-        if self.chunks.is_complete() { Err("watch-ended") } else { Ok(at) }
+        consumed += body_consumed.map_err(|MessageError(_, why)| why)?;
+        if self.chunks.is_complete() { Err("watch-ended") } else { Ok(consumed) }
     }
 
-    /// Takes the answer's head: how long it is, once it is whole.
+    /// Parses the response's head; returns its length once it is complete.
     fn feed_head(&mut self, input: &[u8]) -> Result<Option<usize>, &'static str> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
@@ -206,114 +223,121 @@
         Ok(Some(length))
     }
 
-    /// How long to wait at least before asking again, by how many watches in a row ended soon with an object that can't
-    /// be taken. Guards against a list over a bound, or of another form, that is asked for, written and read again without
-    /// end: the cause is at discovery and mostly lasts. One such object alone is taken for an accident. Harm: the first
-    /// list that can be taken again comes up to 4 s later.
-    pub fn invalid_list_delay(&self, chance: &mut fastrand::Rng) -> Nanos {
-        let Some(more) = self.invalid_in_a_row.checked_sub(2) else { return 0 };
-        let least = (INVALID_LIST_DELAY << more.min(8)).min(MAX_INVALID_LIST_DELAY);
-        least + chance.u64(..least)
+    /// Returns the minimum delay before the next request, by how many watches in a row soon ended
+    /// with an invalid object. A list beyond a limit or of another format would otherwise be
+    /// requested, written and parsed again without pause, since the cause is at discovery and
+    /// usually lasts. A single invalid object is taken for an accident. Trade-off: the first valid
+    /// list arrives up to 4 s later.
+    pub fn invalid_list_delay(&self, rng: &mut fastrand::Rng) -> Nanos {
+        let Some(doublings) = self.invalid_in_a_row.checked_sub(2) else { return 0 };
+        let min_delay = (INVALID_LIST_DELAY << doublings.min(8)).min(MAX_INVALID_LIST_DELAY);
+        min_delay + rng.u64(..min_delay)
     }
 
-    /// How long to wait before asking again, drawn anew each time. Guards against a fleet that lost its watch at one
-    /// moment (a discovery that fails, a release that kills most gateways) and asks again in step: a service of fixed
-    /// capacity, which also works on calls that nobody waits for any more, then turns all away for good. Covers any
-    /// cause of lost watches. The first rest stays within half of the told time in which new work must stop after a
-    /// drain was told, since what a watch would have told counts from then. Harm: a list comes up to some seconds later
-    /// than it could have. Where lists are `pushed` there is no such service to guard, and what the agent has counts as
-    /// told whether or not a watch is open: the rest is short. What a call that had no answer took counts as part of the
-    /// rest, so that the next one is answered within [`TOLD_WITHIN`] of the first moment at which discovery can have been
-    /// reached again.
+    /// Returns a random delay before the next request.
+    ///
+    /// When a whole fleet loses its watches at once
+    /// (discovery fails, or a rollout kills most gateways) and retries in step, a service of fixed
+    /// capacity that also works on abandoned requests never recovers; the jitter covers any cause
+    /// of lost watches. The first delay stays within half of `stop_within`, the time in which new work
+    /// must stop after the announcement of a drain, since that time also runs for changes that the
+    /// watch would have announced. Trade-off: a list may come some seconds later than it could have.
+    ///
+    /// Where lists are `pushed` there is no such service to protect, and what the agent holds
+    /// counts as announced whether or not a watch is open, so the delay is short. Time spent on a
+    /// request without a response counts towards the delay, so that the next response arrives
+    /// within [`ANNOUNCED_WITHIN`] of the moment at which discovery became reachable again.
     pub fn retry_delay(
         &mut self,
         now: Nanos,
         pushed: bool,
         gateways: u32,
-        told: Nanos,
-        chance: &mut fastrand::Rng,
+        stop_within: Nanos,
+        rng: &mut fastrand::Rng,
     ) -> Nanos {
         if pushed {
             self.failures += 1;
-            return chance.u64(..MAX_PUSHED_RETRY_DELAY.min(told / 8).max(1));
+            return rng.u64(..MAX_PUSHED_RETRY_DELAY.min(stop_within / 8).max(1));
         }
-        let last = (RETRY_DELAY_PER_GATEWAY * Nanos::from(gateways))
+        let max_delay = (RETRY_DELAY_PER_GATEWAY * Nanos::from(gateways))
             .clamp(*RETRY_DELAY_BOUNDS.start(), *RETRY_DELAY_BOUNDS.end());
-        let rest = [(last / 6).min(told / 2), last / 2, last][self.failures.min(2) as usize];
-        let left =
+        let delay =
+            [(max_delay / 6).min(stop_within / 2), max_delay / 2, max_delay][self.failures.min(2) as usize];
+        let time_left =
             (ANNOUNCED_WITHIN - RESPONSE_ALLOWANCE).saturating_sub(now.saturating_sub(self.last_alive_at()));
         self.failures += 1;
-        chance.u64(..rest.min(left.max(MAX_PUSHED_RETRY_DELAY)).max(1))
+        rng.u64(..delay.min(time_left.max(MAX_PUSHED_RETRY_DELAY)).max(1))
     }
 }
 
-/// An object that has not ended. Nothing of it counts before its end.
+/// An object that is not complete yet. None of it takes effect before its end.
 #[derive(Debug)]
 struct StagedUpdate {
     update: ListUpdate,
     strings: StringPool,
     services: Rc<Services>,
-    /// Bytes that the entries may take.
+    /// Limit on the memory of the entries, in bytes.
     memory_limit: usize,
     memory_used: usize,
-    /// Parts of objects taken so far.
+    /// Number of object parts taken so far.
     parts_taken: u64,
 }
 
 impl StagedUpdate {
-    fn new(most: usize, services: Rc<Services>) -> Self {
+    fn new(memory_limit: usize, services: Rc<Services>) -> Self {
         StagedUpdate {
             update: ListUpdate::default(),
             strings: StringPool::default(),
             services,
-            memory_limit: most,
+            memory_limit,
             memory_used: 0,
             parts_taken: 0,
         }
     }
 
-    /// Takes an entry, or the end of the object: all of it is told then.
-    fn take_part(&mut self, part: ObjectPart, told: &mut Vec<ListUpdate>) -> Result<(), ObjectError> {
+    /// Takes an entry, or the end of the object, which completes the update.
+    fn take_part(&mut self, part: ObjectPart, updates: &mut Vec<ListUpdate>) -> Result<(), ObjectError> {
         self.parts_taken += 1;
         match part {
             ObjectPart::Element(text) => {
-                let mut from = serde_json::Deserializer::from_slice(text);
-                let entry =
-                    Entry::from_deserializer(&mut from, &mut self.strings).ok_or(ObjectError::Malformed)?;
-                let (memory, had) = (entry.memory_size(), self.update.entries.len());
+                let mut deserializer = serde_json::Deserializer::from_slice(text);
+                let entry = Entry::from_deserializer(&mut deserializer, &mut self.strings)
+                    .ok_or(ObjectError::Malformed)?;
+                let (memory, entries_before) = (entry.memory_size(), self.update.entries.len());
                 self.update.add_entry(entry, &self.services);
-                self.memory_used += if self.update.entries.len() > had { memory } else { 0 };
+                self.memory_used += if self.update.entries.len() > entries_before { memory } else { 0 };
                 if self.memory_used > self.memory_limit {
                     return Err(ObjectError::ListTooLong);
                 }
             }
             ObjectPart::Envelope(text) => {
-                let frame = serde_json::from_slice(text).ok().and_then(|frame| parse_envelope(&frame));
-                let (index, whole) = frame.ok_or(ObjectError::Malformed)?;
+                let envelope =
+                    serde_json::from_slice(text).ok().and_then(|envelope| parse_envelope(&envelope));
+                let (index, is_snapshot) = envelope.ok_or(ObjectError::Malformed)?;
                 self.memory_used = 0;
-                told.push(ListUpdate { index, is_snapshot: whole, ..std::mem::take(&mut self.update) });
+                updates.push(ListUpdate { index, is_snapshot, ..std::mem::take(&mut self.update) });
             }
         }
         Ok(())
     }
 }
 
-/// Reads an object whose entries were taken out of it: its version, and whether it is a whole list.
+/// Parses an object whose entries have been taken out: its version, and whether it is a whole list.
 fn parse_envelope(object: &Value) -> Option<(u64, bool)> {
-    object[ENTRIES_KEY].as_array().filter(|left| left.is_empty())?;
+    object[ENTRIES_KEY].as_array().filter(|entries| entries.is_empty())?;
     Some((object["index"].as_u64()?, object["snapshot"].as_bool()?))
 }
 
-/// Reads an object of the list; an entry that makes no sense makes the whole object garbled.
+/// Parses a list object; an invalid entry makes the whole object invalid.
 pub fn parse(object: &Value, services: &Services) -> Option<ListUpdate> {
-    let mut told = ListUpdate {
+    let mut update = ListUpdate {
         index: object["index"].as_u64()?,
         is_snapshot: object["snapshot"].as_bool()?,
         ..ListUpdate::default()
     };
-    let mut words = StringPool::default();
+    let mut strings = StringPool::default();
     for entry in object[ENTRIES_KEY].as_array()? {
-        told.add_entry(Entry::from_deserializer(entry, &mut words)?, services);
+        update.add_entry(Entry::from_deserializer(entry, &mut strings)?, services);
     }
-    Some(told)
+    Some(update)
 }
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines (JSON, by slog) wait in a bounded buffer until standard error can take them.
+//! Buffers log lines (JSON, written by slog) in bounded memory until standard error takes them.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use slog::{Drain, Logger, o};
@@ -7,21 +7,24 @@
 use std::rc::Rc;
 use std::sync::Mutex;
 
-/// What waits at most, and how much goes out at once: a pipe that polls as writable takes so much whole.
+/// Limit on buffered bytes, and size of one write: a pipe that polls as writable takes this much
+/// without blocking.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 const WRITE_SIZE: usize = 4096;
 
 #[derive(Default)]
 struct Buffer {
     bytes: Vec<u8>,
+    /// Lines dropped since the last report of lost lines.
     lost_lines: u64,
 }
 
-/// Guards against a full or forgotten log pipe: what it does not take is dropped line by line and counted,
-/// and the loop never stands still for it. Harm: lines are lost while the reader is slow.
+/// Log output that never blocks the event loop. If the reader of the log pipe is slow or gone,
+/// whole lines are dropped and counted. Trade-off: lines are lost while the reader is slow.
 #[derive(Clone, Default)]
 pub struct LogBuffer(Rc<RefCell<Buffer>>);
 
+/// Collects the output of one log record and passes it on as a line.
 struct LineWriter(LogBuffer, RefCell<Vec<u8>>);
 
 impl Write for LineWriter {
@@ -38,18 +41,19 @@
 }
 
 impl LogBuffer {
+    /// Creates a logger that writes to this buffer and names the gateway in each line.
     pub fn logger(&self, name: &str) -> Logger {
-        let line = LineWriter(self.clone(), RefCell::default());
-        let json = slog_json::Json::new(line).set_flush(true).add_default_keys().build();
+        let writer = LineWriter(self.clone(), RefCell::default());
+        let json = slog_json::Json::new(writer).set_flush(true).add_default_keys().build();
         Logger::root(Mutex::new(json).ignore_res(), o!("gateway" => name.to_string()))
     }
 
     fn push_line(&self, line: &[u8]) {
-        let mut waiting = self.0.borrow_mut();
-        if waiting.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
-            waiting.lost_lines += 1;
+        let mut buffer = self.0.borrow_mut();
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.lost_lines += 1;
         } else {
-            waiting.bytes.extend_from_slice(line);
+            buffer.bytes.extend_from_slice(line);
         }
     }
 
@@ -57,27 +61,28 @@
         self.0.borrow().bytes.is_empty()
     }
 
-    /// Writes what standard error takes now; whatever it can't take stays or, if it is gone, goes.
+    /// Writes as much as standard error takes now. The rest stays in the buffer, or is dropped if
+    /// standard error is closed.
     pub fn write_pending(&self) {
-        let mut waiting = self.0.borrow_mut();
-        let out = rustix::stdio::stderr();
-        while !waiting.bytes.is_empty() {
-            let mut ready = [PollFd::new(&out, PollFlags::OUT)];
+        let mut buffer = self.0.borrow_mut();
+        let stderr = rustix::stdio::stderr();
+        while !buffer.bytes.is_empty() {
+            let mut ready = [PollFd::new(&stderr, PollFlags::OUT)];
             if !poll(&mut ready, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|count| count > 0) {
                 return;
             }
-            let some = waiting.bytes.len().min(WRITE_SIZE);
-            match io::stderr().write(&waiting.bytes[..some]) {
-                Ok(written) => drop(waiting.bytes.drain(..written)),
+            let length = buffer.bytes.len().min(WRITE_SIZE);
+            match io::stderr().write(&buffer.bytes[..length]) {
+                Ok(written) => drop(buffer.bytes.drain(..written)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock || e.kind() == io::ErrorKind::Interrupted => {
                     return;
                 }
-                Err(_) => return waiting.bytes.clear(),
+                Err(_) => return buffer.bytes.clear(),
             }
-            if waiting.lost_lines > 0 && waiting.bytes.is_empty() {
-                let text = format!("{{\"msg\":\"log lines lost\",\"count\":{}}}\n", waiting.lost_lines);
-                waiting.bytes.extend_from_slice(text.as_bytes());
-                waiting.lost_lines = 0;
+            if buffer.lost_lines > 0 && buffer.bytes.is_empty() {
+                let text = format!("{{\"msg\":\"log lines lost\",\"count\":{}}}\n", buffer.lost_lines);
+                buffer.bytes.extend_from_slice(text.as_bytes());
+                buffer.lost_lines = 0;
             }
         }
     }
