--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -1,6 +1,8 @@
-//! What taking a list costs the gateway, by the number of servers: processor time, and bytes held at the peak and behind it.
-//! First a whole list's object in pieces, and beside it the same read as one tree; then bringing lists into force, without
-//! the module's part. `cargo bench -p martenramp-gateway --bench intake`
+//! Cost of processing a list in the gateway, by the number of servers: processor time, and memory
+//! at the peak and afterwards. First a whole list object parsed in pieces, compared with parsing it
+//! into one tree; then applying lists, without the decision module.
+//!
+//! Run with `cargo bench -p martenramp-gateway --bench intake`.
 
 use gateway::changes::{Change, Changes, WORK_A_TURN};
 use gateway::list::{self, ListUpdate, Watch};
@@ -11,14 +13,14 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// As much as comes in with one reading of the socket.
+/// The amount that one read from the socket delivers.
 const PIECE: usize = 24 << 10;
 const SIZES: [usize; 4] = [200, 2_000, 20_000, 170_000];
 
 static HELD: AtomicUsize = AtomicUsize::new(0);
 static PEAK: AtomicUsize = AtomicUsize::new(0);
 
-/// The system's allocator, counted.
+/// The system's allocator with counters.
 struct Counting;
 
 // SAFETY: every call goes to the system's allocator unchanged.
@@ -45,7 +47,7 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// What a piece of work cost, and what it gave.
+/// Cost and result of an operation.
 struct Cost<T> {
     result: T,
     seconds: f64,
@@ -58,61 +60,61 @@
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-fn cost<T>(work: impl FnOnce() -> T) -> Cost<T> {
+fn measure<T>(operation: impl FnOnce() -> T) -> Cost<T> {
     let (start, before) = (processor_time(), HELD.load(Ordering::Relaxed));
     PEAK.store(before, Ordering::Relaxed);
-    let result = work();
+    let result = operation();
     let seconds = processor_time() - start;
     let above = |bytes: &AtomicUsize| bytes.load(Ordering::Relaxed).saturating_sub(before);
     Cost { result, seconds, peak: above(&PEAK), held: above(&HELD) }
 }
 
-fn entry(at: usize) -> String {
+fn entry(number: usize) -> String {
     format!(
-        "{{\"name\":\"s-{at:08x}\",\"address\":\"10.{}.{}.{}:3000\",\"zone\":\"zone-{}\",\"type\":\"m{}\",\
+        "{{\"name\":\"s-{number:08x}\",\"address\":\"10.{}.{}.{}:3000\",\"zone\":\"zone-{}\",\"type\":\"m{}\",\
          \"group\":{},\"status\":\"ready\",\"weight\":1.0,\"since_ms\":0}}",
-        at >> 16 & 255,
-        at >> 8 & 255,
-        at & 255,
-        at % 36,
-        at % 3,
-        at % 50
+        number >> 16 & 255,
+        number >> 8 & 255,
+        number & 255,
+        number % 36,
+        number % 3,
+        number % 50
     )
 }
 
-fn in_pieces(text: &[u8]) -> ListUpdate {
-    let (mut watch, mut told, mut buffer) = (Watch::new(0, usize::MAX), Vec::new(), Vec::new());
+fn parse_in_pieces(text: &[u8]) -> ListUpdate {
+    let (mut watch, mut updates, mut buffer) = (Watch::new(0, usize::MAX), Vec::new(), Vec::new());
     for piece in text.chunks(PIECE) {
         buffer.extend_from_slice(piece);
-        let used = watch.feed(0, &buffer, &mut told).expect("a list that can be taken");
-        buffer.drain(..used);
+        let consumed = watch.feed(0, &buffer, &mut updates).expect("a valid list");
+        buffer.drain(..consumed);
     }
-    told.pop().expect("a whole list")
+    updates.pop().expect("a whole list")
 }
 
-fn as_a_tree(object: &[u8]) -> ListUpdate {
+fn parse_as_tree(object: &[u8]) -> ListUpdate {
     list::parse(&serde_json::from_slice(object).expect("an object"), &Services::default()).expect("a list")
 }
 
-/// What lists bring into force, as the gateway holds it.
+/// The state that lists are applied to in the gateway.
 #[derive(Default)]
-struct Held {
+struct ListState {
     servers: Servers,
-    directory: NameIds,
+    name_ids: NameIds,
 }
 
-/// Turns that a list took, and the longest of them in milliseconds.
+/// Number of turns that applying a list took, and the longest of them in milliseconds.
 struct Turns {
     count: usize,
     longest: f64,
 }
 
-impl Held {
-    fn take(&mut self, told: ListUpdate, work_a_turn: usize) -> Turns {
-        let (mut changes, mut turns) = (Changes::new(told), Turns { count: 0, longest: 0.0 });
+impl ListState {
+    fn apply(&mut self, update: ListUpdate, work_per_turn: usize) -> Turns {
+        let (mut changes, mut turns) = (Changes::new(update), Turns { count: 0, longest: 0.0 });
         while !changes.is_done() {
-            let (mut work, start) = (work_a_turn, processor_time());
-            while let Some(batch) = changes.next(&self.servers, &mut self.directory, &mut work) {
+            let (mut work, start) = (work_per_turn, processor_time());
+            while let Some(batch) = changes.next(&self.servers, &mut self.name_ids, &mut work) {
                 for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
                     match address {
                         Some(address) => drop(self.servers.upsert(&listed, address)),
@@ -136,52 +138,53 @@
     format!("{{\"index\":7,\"snapshot\":true,\"endpoints\":[{}]}}", entries.join(","))
 }
 
-fn watched(object: &str) -> String {
+fn watch_response(object: &str) -> String {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     format!("{head}{:x}\r\n{object}\r\n", object.len())
 }
 
-fn told(size: usize) -> ListUpdate {
-    in_pieces(watched(&object(size)).as_bytes())
+fn list_update(size: usize) -> ListUpdate {
+    parse_in_pieces(watch_response(&object(size)).as_bytes())
 }
 
-fn row<T>(size: usize, how: &str, cost: &Cost<T>) {
+fn print_parse_row<T>(size: usize, label: &str, cost: &Cost<T>) {
     let (ms, each) = (cost.seconds * 1e3, cost.seconds * 1e9 / size as f64);
-    println!("{size:8} {how:10} {ms:9.2} {each:9.0} {:11} {:11}", cost.peak >> 10, cost.held >> 10);
+    println!("{size:8} {label:10} {ms:9.2} {each:9.0} {:11} {:11}", cost.peak >> 10, cost.held >> 10);
 }
 
-fn turns_row(size: usize, how: &str, cost: &Cost<Turns>) {
+fn print_turns_row(size: usize, label: &str, cost: &Cost<Turns>) {
     let (ms, turns) = (cost.seconds * 1e3, &cost.result);
-    println!("{size:8} {how:16} {ms:9.3} {:6} {:11.3} {:11}", turns.count, turns.longest, cost.peak >> 10);
+    println!("{size:8} {label:16} {ms:9.3} {:6} {:11.3} {:11}", turns.count, turns.longest, cost.peak >> 10);
 }
 
-/// A change of a list that has the form of this one.
-fn change(of: &ListUpdate, from: usize, to: usize, gone: bool) -> ListUpdate {
-    let mut entries = of.entries[from..to].to_vec();
+/// Returns a change of a list, made from some of its entries.
+fn change(update: &ListUpdate, start: usize, end: usize, gone: bool) -> ListUpdate {
+    let mut entries = update.entries[start..end].to_vec();
     entries.iter_mut().for_each(|entry| (entry.ready, entry.gone) = (false, gone));
     ListUpdate { index: 8, entries, ..ListUpdate::default() }
 }
 
-fn in_force(size: usize) {
-    let (all, again, mut held) = (told(size), told(size), Held::default());
-    let [one, zone] = [change(&all, 7, 8, false), change(&all, 0, size.min(4_700), true)];
-    let first = cost(|| held.take(all, usize::MAX));
-    turns_row(size, "first list", &first);
-    turns_row(size, "one drains", &cost(|| held.take(one, WORK_A_TURN)));
-    turns_row(size, "4,700 gone", &cost(|| held.take(zone, WORK_A_TURN)));
-    turns_row(size, "back", &cost(|| held.take(again, WORK_A_TURN)));
-    let unchanged = told(size);
-    turns_row(size, "nothing new", &cost(|| held.take(unchanged, WORK_A_TURN)));
+fn measure_applying(size: usize) {
+    let (whole_list, same_list, mut state) = (list_update(size), list_update(size), ListState::default());
+    let [drain, zone_gone] =
+        [change(&whole_list, 7, 8, false), change(&whole_list, 0, size.min(4_700), true)];
+    let first = measure(|| state.apply(whole_list, usize::MAX));
+    print_turns_row(size, "first list", &first);
+    print_turns_row(size, "one drains", &measure(|| state.apply(drain, WORK_A_TURN)));
+    print_turns_row(size, "4,700 gone", &measure(|| state.apply(zone_gone, WORK_A_TURN)));
+    print_turns_row(size, "back", &measure(|| state.apply(same_list, WORK_A_TURN)));
+    let unchanged = list_update(size);
+    print_turns_row(size, "nothing new", &measure(|| state.apply(unchanged, WORK_A_TURN)));
 }
 
 fn main() {
     println!(" servers how               ms  ns/entry    peak KiB    held KiB");
     for size in SIZES {
         let object = object(size);
-        let text = watched(&object);
-        row(size, "in pieces", &cost(|| in_pieces(text.as_bytes())));
-        row(size, "as a tree", &cost(|| as_a_tree(object.as_bytes())));
+        let text = watch_response(&object);
+        print_parse_row(size, "in pieces", &measure(|| parse_in_pieces(text.as_bytes())));
+        print_parse_row(size, "as a tree", &measure(|| parse_as_tree(object.as_bytes())));
     }
     println!(" servers list                    ms  turns longest ms    peak KiB");
-    SIZES.into_iter().for_each(in_force);
+    SIZES.into_iter().for_each(measure_applying);
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,6 @@
-//! martenramp on sockets: HTTP/1.1 between clients and servers, discovery's watch and the shared counter,
-//! around the decision module. Files go by peer; `driver` alone knows sockets, `gateway` ties all together.
+//! The martenramp gateway on sockets: HTTP/1.1 towards clients and servers, the discovery watch and
+//! the shared counter, built around the decision module. Each module handles one kind of peer; only
+//! `driver` uses sockets, and `gateway` connects the modules.
 
 pub mod changes;
 pub mod clients;
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,5 +1,5 @@
-//! Servers: who they are by name, the connections to each, and the state machine of one connection, which
-//! writes a call-out and reads its answer.
+//! Servers: the table of servers by name, their connections, and the state machine of one
+//! connection, which writes an attempt and parses the response.
 
 use crate::clients::RpcRequest;
 use crate::driver::ConnectionEnd;
@@ -9,92 +9,101 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Of the told time after which a machine closes an idle connection, the part that one is used for.
+/// Share of a server's idle time-out for which a connection is reused.
 pub const IDLE_TIMEOUT_SHARE: f64 = 0.6;
-/// What applies where no times are told.
+/// Defaults for the idle time-out of connections and for the time to establish one.
 pub const DEFAULT_IDLE_TIMEOUT: Nanos = 5_000_000_000;
 pub const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
 
-/// Of the last reused connections so many are remembered, and what they show for so long.
+/// Number of reused connections whose outcome is remembered, and how long a limit derived from them
+/// holds.
 const REUSE_SAMPLES: usize = 64;
 const REUSE_LIMIT_LIFETIME: Nanos = 30_000_000_000;
 
-/// Guards against servers, or what stands before them, that drop idle connections sooner than told, and say so only
-/// when the next call-out is written: the last reuses show from which rest on they break. Covers proxies and short
-/// time-outs alike. Harm: by chance the limit comes down on a day when connections break whatever their rest; then
-/// more are opened.
+/// Outcomes of the last reused connections. Servers, or proxies in front of them, may drop idle
+/// connections earlier than configured, which only shows when the next attempt is written: the
+/// outcomes reveal after which idle time connections break. This covers proxies and short time-outs
+/// alike. Trade-off: if connections break whatever their idle time, the limit may come down by
+/// chance; then more connections are opened.
 #[derive(Debug, Default)]
 pub struct ReuseHistory {
-    /// For how long each had rested, and whether it broke under its call-out.
+    /// How long each connection had been idle, and whether it broke during its attempt.
     samples: VecDeque<(Nanos, bool)>,
+    /// The idle time from which connections are not reused, and when this limit was set.
     idle_limit: Option<(Nanos, Nanos)>,
 }
 
 impl ReuseHistory {
-    /// Once the longest-rested quarter broke more than twice as often as the others, what has rested so long is not
-    /// used again for a while.
-    pub fn record(&mut self, now: Nanos, rested: Nanos, broke: bool) {
-        self.samples.push_back((rested, broke));
+    /// Records an outcome. If the quarter with the longest idle times broke more than twice as
+    /// often as the others, connections that have been idle for that long are not reused for a
+    /// while.
+    pub fn record(&mut self, now: Nanos, idle_for: Nanos, broke: bool) {
+        self.samples.push_back((idle_for, broke));
         if self.samples.len() < REUSE_SAMPLES {
             return;
         }
         let mut sorted: Vec<(Nanos, bool)> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
-        let broken = |some: &[(Nanos, bool)]| some.iter().filter(|one| one.1).count();
-        let (young, old) = sorted.split_at(REUSE_SAMPLES * 3 / 4);
-        if broken(old) >= REUSE_SAMPLES / 16 && 3 * broken(old) > 2 * broken(young) {
-            self.idle_limit = Some((old[0].0, now));
+        let count_broken = |samples: &[(Nanos, bool)]| samples.iter().filter(|sample| sample.1).count();
+        let (shorter, longest) = sorted.split_at(REUSE_SAMPLES * 3 / 4);
+        if count_broken(longest) >= REUSE_SAMPLES / 16
+            && 3 * count_broken(longest) > 2 * count_broken(shorter)
+        {
+            self.idle_limit = Some((longest[0].0, now));
             self.samples.clear();
         } else {
             self.samples.pop_front();
         }
     }
 
-    pub fn allows(&self, now: Nanos, rested: Nanos) -> bool {
-        self.idle_limit.is_none_or(|(limit, since)| rested < limit || now > since + REUSE_LIMIT_LIFETIME)
+    /// Whether a connection that has been idle for this long may be reused.
+    pub fn allows(&self, now: Nanos, idle_for: Nanos) -> bool {
+        self.idle_limit.is_none_or(|(limit, since)| idle_for < limit || now > since + REUSE_LIMIT_LIFETIME)
     }
 }
 
-/// A server under the number that the module knows it by.
+/// A server, by the number that the decision module knows it by.
 #[derive(Debug)]
 pub struct Server {
     pub address: SocketAddr,
-    /// The start of its life as the list stamps it, and when that was by this process's clock.
+    /// The start of its incarnation as stamped in the list, and the same by this process's clock.
     pub listed_start: Nanos,
     pub started_at: Nanos,
-    /// Whether new work may go there.
+    /// Whether new work may be sent to it.
     pub ready: bool,
-    /// Idle connections, the one used last at the end, and since when.
+    /// Idle connections and since when each is idle; the most recently used one is last.
     pub idle_connections: Vec<(usize, Nanos)>,
     pub open_connections: usize,
     pub is_listed: bool,
-    /// What the module was told of it last.
+    /// The entry that was last passed to the decision module.
     pub last_listed: Listed,
 }
 
 impl Server {
-    fn new(told: &Listed, address: SocketAddr, stamp: Nanos) -> Self {
+    fn new(listed: &Listed, address: SocketAddr, listed_start: Nanos) -> Self {
         Server {
             address,
-            listed_start: stamp,
-            started_at: told.came_up,
-            ready: told.ready,
+            listed_start,
+            started_at: listed.came_up,
+            ready: listed.ready,
             idle_connections: Vec::new(),
             open_connections: 0,
             is_listed: true,
-            last_listed: told.clone(),
+            last_listed: listed.clone(),
         }
     }
 
-    /// Whether the list said the same of it before, whatever the number there.
+    /// Whether the list held the same entry before, whatever the server's number.
     pub fn is_listed_as(&self, listed: &Listed, address: SocketAddr) -> bool {
-        let is_same = |one: &Listed, two: &Listed| {
-            (one.service, one.key, one.zone, one.kind, one.cell)
-                == (two.service, two.key, two.zone, two.kind, two.cell)
-                && (one.ready, one.weight.to_bits()) == (two.ready, two.weight.to_bits())
+        let is_same_entry = |a: &Listed, b: &Listed| {
+            (a.service, a.key, a.zone, a.kind, a.cell) == (b.service, b.key, b.zone, b.kind, b.cell)
+                && (a.ready, a.weight.to_bits()) == (b.ready, b.weight.to_bits())
         };
-        let is_same_life = self.listed_start == listed.came_up;
-        self.is_listed && self.address == address && is_same_life && is_same(&self.last_listed, listed)
+        let is_same_incarnation = self.listed_start == listed.came_up;
+        self.is_listed
+            && self.address == address
+            && is_same_incarnation
+            && is_same_entry(&self.last_listed, listed)
     }
 
     fn take_idle_connections(&mut self) -> Vec<usize> {
@@ -107,44 +116,47 @@
 pub struct Servers {
     numbers_by_key: BTreeMap<u64, u32>,
     pub by_number: BTreeMap<u32, Server>,
-    /// Those that are not listed any more, and are held for their connections.
+    /// Servers that are no longer listed but still have connections.
     delisted: BTreeSet<u32>,
     pub reuse_history: ReuseHistory,
     last_number: u32,
 }
 
 impl Servers {
-    /// Takes a listed server: its number, and the idle connections to what it was before: those to another address or an
-    /// earlier life are of no more use.
+    /// Adds or updates a listed server. Returns its number and the idle connections that lead to
+    /// another address or to an earlier incarnation and can't be used any more.
     pub fn upsert(&mut self, listed: &Listed, address: SocketAddr) -> (u32, Vec<usize>) {
         self.upsert_with_start(listed, address, listed.came_up)
     }
 
-    /// The same where the start that the list stamps was at another time by this process's clock.
+    /// Like [`Servers::upsert`], for a server whose start by this process's clock differs from the
+    /// one stamped in the list.
     pub fn upsert_with_start(
         &mut self,
         listed: &Listed,
         address: SocketAddr,
-        came_up: Nanos,
+        started_at: Nanos,
     ) -> (u32, Vec<usize>) {
-        let last = &mut self.last_number;
+        let last_number = &mut self.last_number;
         let number = *self.numbers_by_key.entry(listed.key).or_insert_with(|| {
-            *last += 1;
-            *last
+            *last_number += 1;
+            *last_number
         });
         self.delisted.remove(&number);
-        let told = Listed { server: number, came_up, ..listed.clone() };
-        let stamp = listed.came_up;
-        let server = self.by_number.entry(number).or_insert_with(|| Server::new(&told, address, stamp));
-        let moved = server.address != address || server.listed_start != stamp;
+        let entry = Listed { server: number, came_up: started_at, ..listed.clone() };
+        let listed_start = listed.came_up;
+        let server =
+            self.by_number.entry(number).or_insert_with(|| Server::new(&entry, address, listed_start));
+        let moved = server.address != address || server.listed_start != listed_start;
         let stale = if moved { server.take_idle_connections() } else { Vec::new() };
-        (server.address, server.listed_start, server.started_at) = (address, stamp, told.came_up);
-        (server.is_listed, server.ready) = (true, told.ready);
-        server.last_listed = told;
+        (server.address, server.listed_start, server.started_at) = (address, listed_start, entry.came_up);
+        (server.is_listed, server.ready) = (true, entry.ready);
+        server.last_listed = entry;
         (number, stale)
     }
 
-    /// Takes a server off the list: what the module is to be told, and the idle connections, which are of no more use.
+    /// Removes a server from the list. Returns the entry for the decision module and the idle
+    /// connections, which can't be used any more.
     pub fn delist(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
         let number = *self.numbers_by_key.get(&key)?;
         let server = self.by_number.get_mut(&number)?;
@@ -153,75 +165,82 @@
         Some((server.last_listed.clone(), server.take_idle_connections()))
     }
 
-    /// The server with this key, listed or held for its connections.
+    /// Returns the server with this key, listed or kept for its connections.
     pub fn by_key(&self, key: u64) -> Option<&Server> {
         self.by_number.get(self.numbers_by_key.get(&key)?)
     }
 
-    /// Drops those that are not listed any more and have no connection left.
+    /// Removes servers that are no longer listed and have no connection left.
     pub fn remove_unused(&mut self) {
-        let Servers { numbers_by_key: numbers, by_number, delisted: left, .. } = self;
-        left.retain(|number| {
-            let over = by_number.get(number).is_none_or(|server| server.open_connections == 0);
-            if over && let Some(server) = by_number.remove(number) {
-                numbers.remove(&server.last_listed.key);
+        let Servers { numbers_by_key, by_number, delisted, .. } = self;
+        delisted.retain(|number| {
+            let is_unused = by_number.get(number).is_none_or(|server| server.open_connections == 0);
+            if is_unused && let Some(server) = by_number.remove(number) {
+                numbers_by_key.remove(&server.last_listed.key);
             }
-            !over
+            !is_unused
         });
     }
 }
 
-/// The attempt that a connection carries.
+/// The attempt on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     pub rpc: u32,
+    /// Attempts of an RPC are numbered from 0.
     pub number: u16,
-    /// When it was asked for, by when it has to be answered, and before when it has to be written.
+    /// When it was requested, by when it must be answered, and before when it must be written.
     pub requested_at: Nanos,
     pub deadline: Nanos,
     pub write_by: Nanos,
 }
 
-/// Where a connection to a server stands.
+/// State of a connection to a server.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stage {
     Idle,
-    /// Asked for, not a byte of it written: the connection has to come up first, or the turn to end.
+    /// An attempt is requested and no byte of it is written: the connection is not established yet,
+    /// or the turn has not ended.
     Requested(Attempt),
-    /// Written, or being written.
+    /// The attempt is being written, or has been written.
     InFlight(Attempt),
 }
 
-/// One connection to a server.
+/// A connection to a server.
 #[derive(Debug)]
 pub struct ServerConnection {
     pub server: u32,
-    /// The start of the server's life that it was opened to.
+    /// Start of the server incarnation to which the connection was opened.
     pub server_started_at: Nanos,
     pub stage: Stage,
     pub is_connected: bool,
+    /// Number of attempts written on this connection.
     pub attempts: u64,
-    /// For how long it had rested before the call-out at hand, if it was used before.
+    /// How long the connection had been idle before the current attempt, if it was reused.
     pub idle_for: Option<Nanos>,
+    /// Decoder of a chunked response, the bytes decoded so far, and the offset up to which the input
+    /// has been decoded.
     chunks: Option<(ChunkedDecoder, Vec<u8>, usize)>,
 }
 
-/// A whole answer: what it means, and the length of its message in the buffer.
+/// A complete response: its meaning, and the length of its message in the buffer.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     pub end: End,
     pub status: u16,
     pub body: Body,
-    /// The header lines in the buffer.
+    /// Range of the header lines in the buffer.
     pub header_lines: std::ops::Range<usize>,
     pub message_length: usize,
+    /// Whether the connection may carry another attempt.
     pub reusable: bool,
+    /// The actual units, where they are known only afterwards; 0 if not reported.
     pub settled: f64,
-    /// The load report's text in the buffer.
+    /// Range of the load report in the buffer.
     pub load_report: Option<std::ops::Range<usize>>,
 }
 
-/// Where the body is: in the read buffer, or taken out of its chunks.
+/// Where the body is: in the read buffer, or decoded from its chunks.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Body {
     Buffered(std::ops::Range<usize>),
@@ -229,10 +248,10 @@
 }
 
 impl ServerConnection {
-    pub fn new(server: u32, came_up: Nanos) -> Self {
+    pub fn new(server: u32, server_started_at: Nanos) -> Self {
         ServerConnection {
             server,
-            server_started_at: came_up,
+            server_started_at,
             stage: Stage::Idle,
             is_connected: false,
             attempts: 0,
@@ -241,7 +260,7 @@
         }
     }
 
-    /// The attempt that is asked for or out here.
+    /// Returns the attempt that is requested or in flight on this connection.
     pub fn attempt(&self) -> Option<Attempt> {
         match self.stage {
             Stage::Idle => None,
@@ -256,11 +275,12 @@
         }
     }
 
-    pub fn carries(&self, rpc: u32, nth: u16) -> bool {
-        self.attempt().is_some_and(|attempt| (attempt.rpc, attempt.number) == (rpc, nth))
+    /// Whether this attempt is on this connection.
+    pub fn carries(&self, rpc: u32, number: u16) -> bool {
+        self.attempt().is_some_and(|attempt| (attempt.rpc, attempt.number) == (rpc, number))
     }
 
-    /// Writes the message of an attempt, with how long this gateway will wait.
+    /// Writes the request of an attempt, with the time for which this gateway will wait.
     pub fn write_attempt(
         &mut self,
         out: &mut Vec<u8>,
@@ -284,13 +304,13 @@
         out.extend_from_slice(body);
     }
 
-    /// Looks at all that the buffer holds; `ended` tells that no more will come, and how that was: an answer without a
-    /// length is whole only once the connection was closed in good order. An error is an answer that can't be read, with
-    /// a reason code.
+    /// Parses the whole buffer. `connection_end` is set if no more data will come: a response without a length
+    /// is complete only after the connection was closed in an orderly way. The error is the reason
+    /// code of an invalid response.
     pub fn parse_response(
         &mut self,
         input: &[u8],
-        ended: Option<ConnectionEnd>,
+        connection_end: Option<ConnectionEnd>,
     ) -> Result<Option<Response>, &'static str> {
         let mut from = 0;
         loop {
@@ -303,74 +323,77 @@
                 Ok(httparse::Status::Partial) => return Ok(None),
                 Err(_) => return Err("bad-head"),
             };
-            // An interim answer says nothing; what it announces follows, within the bound of one head.
+            // Interim responses are skipped; the final one follows, within the limit of one head.
             match head.code.unwrap_or(0) {
                 100..200 => from = start,
-                status => return self.finish_response(input, ended, from, start, status, &head),
+                status => return self.finish_response(input, connection_end, from, start, status, &head),
             }
         }
     }
 
-    /// The answer whose head stands at `from` and whose body begins at `start`.
+    /// Parses the response whose head is at `from` and whose body begins at `start`.
     fn finish_response(
         &mut self,
         input: &[u8],
-        ended: Option<ConnectionEnd>,
+        connection_end: Option<ConnectionEnd>,
         from: usize,
         start: usize,
         status: u16,
         head: &httparse::Response,
     ) -> Result<Option<Response>, &'static str> {
-        let line = input[from..start].iter().position(|byte| *byte == b'\n');
-        let head_at = line.map_or(start, |end| from + end + 1);
-        let bare = status == 204 || status == 304;
-        let length = if bare {
+        let status_line_end = input[from..start].iter().position(|byte| *byte == b'\n');
+        let header_lines_start = status_line_end.map_or(start, |end| from + end + 1);
+        let has_no_body = status == 204 || status == 304;
+        let length = if has_no_body {
             Ok(BodyLength::Fixed(0))
         } else {
             http::body_length(head.headers, BodyLength::UntilClose)
         };
-        let (body, end) = match length.map_err(|bad| bad.1)? {
+        let (body, message_length) = match length.map_err(|error| error.1)? {
             BodyLength::Fixed(size) if size > MAX_BODY_LEN => return Err("body-too-large"),
             BodyLength::Fixed(size) if input.len() < start + size => return Ok(None),
             BodyLength::Fixed(size) => (Body::Buffered(start..start + size), start + size),
             BodyLength::UntilClose if input.len() > start + MAX_BODY_LEN => return Err("body-too-large"),
-            BodyLength::UntilClose if ended != Some(ConnectionEnd::Closed) => return Ok(None),
+            BodyLength::UntilClose if connection_end != Some(ConnectionEnd::Closed) => return Ok(None),
             BodyLength::UntilClose => (Body::Buffered(start..input.len()), input.len()),
             BodyLength::Chunked => {
-                let (chunks, joined, at) =
+                let (chunks, decoded, decoded_to) =
                     self.chunks.get_or_insert_with(|| (ChunkedDecoder::default(), Vec::new(), start));
-                *at +=
-                    chunks.feed(&input[*at..], |data| joined.extend_from_slice(data)).map_err(|bad| bad.1)?;
-                if joined.len() > MAX_BODY_LEN {
+                *decoded_to += chunks
+                    .feed(&input[*decoded_to..], |data| decoded.extend_from_slice(data))
+                    .map_err(|error| error.1)?;
+                if decoded.len() > MAX_BODY_LEN {
                     return Err("body-too-large");
                 } else if !chunks.is_complete() {
                     return Ok(None);
                 }
-                (Body::Decoded(std::mem::take(joined)), *at)
+                (Body::Decoded(std::mem::take(decoded)), *decoded_to)
             }
         };
         let turned_away = http::header_text(head.headers, "x-turned-away") == Some("1");
-        let how = match status {
+        let end = match status {
             200 => End::Ok,
             503 | 504 if turned_away => End::Full,
             _ => End::Error,
         };
         let settled = http::header_text(head.headers, "x-settled").and_then(|units| units.parse().ok());
-        let closes = head.version == Some(0) || http::header_has_token(head.headers, "connection", "close");
+        let closes_connection =
+            head.version == Some(0) || http::header_has_token(head.headers, "connection", "close");
         Ok(Some(Response {
-            end: how,
+            end,
             status,
             body,
-            header_lines: head_at..start,
-            message_length: end,
-            reusable: !closes && length != Ok(BodyLength::UntilClose) && ended.is_none(),
+            header_lines: header_lines_start..start,
+            message_length,
+            reusable: !closes_connection && length != Ok(BodyLength::UntilClose) && connection_end.is_none(),
             settled: settled.filter(|units: &f64| units.is_finite() && *units >= 0.0).unwrap_or(0.0),
             load_report: http::header(head.headers, "x-pressure").map(|load| http::range_within(input, load)),
         }))
     }
 }
 
-/// The values of a load report in the order of `columns`; one that can't be read makes all of it untold.
+/// Returns the values of a load report in the order of `columns`, or nothing if any of them can't
+/// be read.
 pub fn parse_load_report(text: &[u8], columns: &[String]) -> Vec<f64> {
     let report: serde_json::Value = serde_json::from_slice(text).unwrap_or_default();
     columns.iter().map(|column| report[column.as_str()].as_f64()).collect::<Option<_>>().unwrap_or_default()
--- a/crates/gateway/src/tcp_info.rs
+++ b/crates/gateway/src/tcp_info.rs
@@ -1,4 +1,4 @@
-//! What the system knows of a TCP connection beyond what it carries.
+//! Socket information that Linux keeps about a TCP connection (`TCP_INFO`).
 
 use martenramp::host::Nanos;
 use std::mem::{MaybeUninit, size_of};
@@ -6,18 +6,20 @@
 
 const MS: Nanos = 1_000_000;
 
-/// States of a connection on which data may have come in, as Linux numbers them.
+/// States of a connection in which data may have arrived, as Linux numbers them.
 const ESTABLISHED: u8 = 1;
 const CLOSE_WAIT: u8 = 8;
 
-/// How long ago data came in last, or the connection came up if none did; to some milliseconds. Nothing where the system
-/// does not tell, or knows no such connection.
+/// Returns how long ago data last arrived, or the connection was established if none did, with a
+/// precision of some milliseconds. `None` if the system gives no answer or the connection is in
+/// another state.
 pub fn time_since_last_data(stream: &impl AsFd) -> Option<Nanos> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     let descriptor = stream.as_fd().as_raw_fd();
-    // SAFETY: the descriptor is open for as long as `stream` is borrowed, and the system writes at most `length` bytes to
-    // `info`, which is as long; all of its fields are integers, so that zeroes are a value of each.
+    // SAFETY: the descriptor is open for as long as `stream` is borrowed. The kernel writes at most
+    // `length` bytes to `info`, which is that long, and all of its fields are integers, for which
+    // zero is a valid value.
     let info = unsafe {
         let got = libc::getsockopt(
             descriptor,
