--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -2,9 +2,9 @@
 //! First a whole list's object in pieces, and beside it the same read as one tree; then bringing lists into force, without
 //! the module's part. `cargo bench -p martenramp-gateway --bench intake`
 
-use gateway::changes::{Change, Changes, WORK_A_TURN};
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
+use gateway::list_update::{Change, Changes, WORK_A_TURN};
 use gateway::servers::Servers;
 use gateway::services::Services;
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,10 +1,10 @@
 //! Clients: a state machine for one connection, fed bytes, that finds RPCs in them; and the answers written back.
 
 use crate::config::Config;
+use crate::eviction::Idle;
 use crate::guard::Effect;
 use crate::http::{self, BODY_MOST, Bad, HEAD_MOST, HEADERS_MOST, Length};
 use crate::phase::Phase;
-use crate::room::Idle;
 use martenramp::host::Nanos;
 use std::collections::VecDeque;
 use std::io::Write;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,18 +1,18 @@
 //! Ties the module to its peers: takes what the state machines find to the module, and carries out what the
 //! module asks for. It decides nothing.
 
-use crate::changes::{Batch, Change, Changes, WORK_A_TURN};
 use crate::clients::{self, Client, Got};
 use crate::config::Config;
 use crate::counter::{self, Call, Line};
 use crate::directory::Directory;
 use crate::driver::{ACCEPT_AGAIN, Ending, EventHandler, Net, Peer, out_of_descriptors};
+use crate::eviction;
 use crate::guard::{self, Effect, ServerNow};
 use crate::http::{BODY_MOST, Bad, HEAD_MOST};
 use crate::invariants::{Counts, Invariant};
 use crate::list::{self, Told, Watch};
+use crate::list_update::{Batch, Change, Changes, WORK_A_TURN};
 use crate::phase::{ClientEnd, Owed, Phase};
-use crate::room;
 use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
@@ -25,15 +25,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-mod agreeing;
-mod checks;
-mod client_side;
-mod counter_side;
-mod discovery_side;
-mod making_room;
+mod client_handler;
+mod connection_limits;
+mod counter_handler;
+mod discovery_handler;
+mod invariant_checks;
 mod rpc_log;
-mod server_side;
-mod stopping;
+mod server_handler;
+mod settings_agreement;
+mod shutdown_handler;
 mod sweep;
 
 const MS: Nanos = 1_000_000;
@@ -133,7 +133,7 @@
     read_again: ReadAgain,
     host: PolicyHost,
     /// Where the settings have a version.
-    agreement: Option<agreeing::AgreementLink>,
+    agreement: Option<settings_agreement::AgreementLink>,
 }
 
 /// All but the module: its `Host`.
--- a/crates/gateway/src/gateway/making_room.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -1,7 +1,7 @@
-//! The gateway's side of making room: which connections give way when descriptors run out (`room`).
+//! The gateway's side of making room: which connections give way when descriptors run out (`eviction`).
 
 use super::*;
-use crate::room::{For, Idle};
+use crate::eviction::{For, Idle};
 
 /// For so long after the last time that no place was left for a new client, others are taken to wait for one.
 const CROWDED: Nanos = 1_000 * MS;
@@ -37,7 +37,7 @@
         let now = self.net.now;
         self.behind_since.get_or_insert(now);
         let again = now + ACCEPT_AGAIN;
-        let silent = room::next_silent(self.clients.values().filter_map(Client::idle));
+        let silent = eviction::next_silent(self.clients.values().filter_map(Client::idle));
         let at = silent.map_or(again, |at| at.clamp(now + ACCEPT_SOONEST, again));
         if self.accepts_at.is_none_or(|awaited| at < awaited) {
             self.accepts_at = Some(at);
@@ -57,7 +57,7 @@
             return;
         }
         let is_left = self.clients.len() <= self.clients_most;
-        let overheld = room::is_overheld(self.clients_served, self.clients_most);
+        let overheld = eviction::is_overheld(self.clients_served, self.clients_most);
         if is_left || overheld && self.shed_client(For::Need) {
             self.clients.entry(id).and_modify(|client| client.spare = false);
         }
@@ -78,7 +78,7 @@
         }
         *none_until = now + ACCEPT_SOONEST;
         let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle()?)));
-        let in_turn = room::in_turn(idle(), now, to);
+        let in_turn = eviction::in_turn(idle(), now, to);
         self.silent_wait = idle().any(|(_, idle)| matches!(idle, Idle::Silent(_)));
         let mut tried = in_turn.into_iter().take(TRIED_MOST);
         let gave_way = tried.any(|id| self.is_quiet(id) && self.end_client(id, ClientEnd::MadeRoom));
@@ -103,7 +103,7 @@
     pub(super) fn gives_its_place(&self, client: usize, length: usize) -> bool {
         let crowded = self.crowded_at.is_some_and(|at| self.net.now < at + CROWDED);
         crowded
-            && room::is_overheld(self.clients_served, self.clients_most)
+            && eviction::is_overheld(self.clients_served, self.clients_most)
             && self.net.input(client).len() <= length
     }
 }
--- a/crates/gateway/src/gateway/discovery_side.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -1,7 +1,7 @@
 //! The gateway's side of discovery: the watch is kept up, and the module and the pools hear what it tells.
 
 use super::*;
-use crate::starts;
+use crate::start_times;
 use martenramp::host::Listed;
 
 /// The part of a subset's work that one turn does: about a quarter of a millisecond.
@@ -169,7 +169,7 @@
             Some(held) => held.came_up,
             None => {
                 let now = self.net.now + self.turn_lasted();
-                starts::started_at(stamp, now, self.has_list, starts::is_wall_stepped(now))
+                start_times::started_at(stamp, now, self.has_list, start_times::is_wall_stepped(now))
             }
         }
     }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Lists of servers of any length: taken in pieces within a bound on memory, whole or not at all.
 
-use gateway::changes::{Change, Changes, WORK_A_TURN};
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
+use gateway::list_update::{Change, Changes, WORK_A_TURN};
 use gateway::objects::{DEPTH_MOST, ELEMENT_MOST, FRAME_MOST};
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -3,9 +3,9 @@
 
 use crate::ScaleError;
 use crate::deployment::{START, Service, zones};
-use gateway::changes::{Change, Changes};
 use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
+use gateway::list_update::{Change, Changes};
 use gateway::servers::Servers;
 use martenramp::brain::Brain;
 use martenramp::host::{Listed, Nanos};
