--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -4,7 +4,7 @@
 
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
-use gateway::list_update::{Change, Changes, WORK_A_TURN};
+use gateway::list_update::{ListUpdate, ServerChange, WORK_PER_TURN};
 use gateway::servers::Servers;
 use gateway::services::Services;
 use rustix::time::{ClockId, clock_gettime};
@@ -109,11 +109,11 @@
 
 impl Held {
     fn take(&mut self, told: Told, work_a_turn: usize) -> Turns {
-        let (mut changes, mut turns) = (Changes::new(told), Turns { count: 0, longest: 0.0 });
+        let (mut changes, mut turns) = (ListUpdate::new(told), Turns { count: 0, longest: 0.0 });
         while !changes.is_done() {
             let (mut work, start) = (work_a_turn, processor_time());
-            while let Some(batch) = changes.next(&self.servers, &mut self.directory, &mut work) {
-                for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+            while let Some(batch) = changes.next_batch(&self.servers, &mut self.directory, &mut work) {
+                for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
                     match address {
                         Some(address) => drop(self.servers.list(&listed, address)),
                         None => drop(self.servers.take_off(listed.key)),
@@ -167,11 +167,11 @@
     let [one, zone] = [change(&all, 7, 8, false), change(&all, 0, size.min(4_700), true)];
     let first = cost(|| held.take(all, usize::MAX));
     turns_row(size, "first list", &first);
-    turns_row(size, "one drains", &cost(|| held.take(one, WORK_A_TURN)));
-    turns_row(size, "4,700 gone", &cost(|| held.take(zone, WORK_A_TURN)));
-    turns_row(size, "back", &cost(|| held.take(again, WORK_A_TURN)));
+    turns_row(size, "one drains", &cost(|| held.take(one, WORK_PER_TURN)));
+    turns_row(size, "4,700 gone", &cost(|| held.take(zone, WORK_PER_TURN)));
+    turns_row(size, "back", &cost(|| held.take(again, WORK_PER_TURN)));
     let unchanged = told(size);
-    turns_row(size, "nothing new", &cost(|| held.take(unchanged, WORK_A_TURN)));
+    turns_row(size, "nothing new", &cost(|| held.take(unchanged, WORK_PER_TURN)));
 }
 
 fn main() {
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: a state machine for one connection, fed bytes, that finds RPCs in them; and the answers written back.
 
 use crate::config::Config;
-use crate::eviction::Idle;
-use crate::guard::Effect;
+use crate::eviction::IdleState;
+use crate::guard::RetrySafety;
 use crate::http::{self, BODY_MOST, Bad, HEAD_MOST, HEADERS_MOST, Length};
 use crate::phase::Phase;
 use martenramp::host::Nanos;
@@ -85,19 +85,19 @@
 impl Client {
     /// Every change of where it stands goes through here.
     pub fn shift(&mut self, to: Phase, now: Nanos) {
-        debug_assert!(self.phase.may_become(&to), "{:?} to {to:?}", self.phase);
+        debug_assert!(self.phase.can_become(&to), "{:?} to {to:?}", self.phase);
         self.phase = to;
         self.since = now;
     }
 
     /// What it is doing, if no answer is owed on it.
-    pub fn idle(&self) -> Option<Idle> {
+    pub fn idle(&self) -> Option<IdleState> {
         match self.phase {
-            Phase::Reading if self.partial => Some(Idle::Paused(self.since)),
-            Phase::Reading if self.served == 0 => Some(Idle::Silent(self.since)),
-            Phase::Reading => Some(Idle::Resting(self.since)),
-            Phase::Ending { .. } => Some(Idle::Ending(self.since)),
-            Phase::Waiting { .. } | Phase::Answering { .. } => None,
+            Phase::Reading if self.partial => Some(IdleState::MidMessage(self.since)),
+            Phase::Reading if self.served == 0 => Some(IdleState::Silent(self.since)),
+            Phase::Reading => Some(IdleState::KeepAlive(self.since)),
+            Phase::HalfClosed { .. } => Some(IdleState::HalfClosed(self.since)),
+            Phase::AwaitingAnswer { .. } | Phase::WritingAnswer { .. } => None,
         }
     }
 
@@ -182,12 +182,13 @@
     let number =
         config.methods.iter().position(|known| known.name == lane).ok_or(Bad(400, "unknown-method"))?;
     let effect = config.methods[number].effect;
-    if get != (effect == Effect::Idempotent) {
+    if get != (effect == RetrySafety::Idempotent) {
         return Err(Bad(405, "bad-method")); // one that is not idempotent must never look so, nor the reverse
     }
     let contract = http::only(headers, "x-contract").ok_or(Bad(400, "no-plan"))?;
     let plan = config.plans.iter().position(|known| known == contract).ok_or(Bad(400, "unknown-plan"))?;
-    if matches!(effect, Effect::Deduplicated { .. }) && http::only(headers, "idempotency-key").is_none() {
+    if matches!(effect, RetrySafety::Deduplicated { .. }) && http::only(headers, "idempotency-key").is_none()
+    {
         return Err(Bad(400, "no-idempotency-key")); // without it a repeat could not be known as one
     }
     let txn = http::only(headers, "x-txn").ok_or(Bad(400, "no-txn"))?;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told at its start: the configuration file, and the environment for what it leaves out.
 
 use crate::counter;
-use crate::guard::Effect;
+use crate::guard::RetrySafety;
 use crate::services::Services;
 use crate::shutdown::longest_deadline;
 use agreement::Nanos;
@@ -58,7 +58,7 @@
 /// A method by its name.
 pub struct Method {
     pub name: String,
-    pub effect: Effect,
+    pub effect: RetrySafety,
 }
 
 impl Method {
@@ -66,12 +66,12 @@
         let told = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
         let window = told("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
         let effect = match told("idempotency") {
-            Some("free") => Effect::Idempotent,
-            Some("guarded") => Effect::Deduplicated {
+            Some("free") => RetrySafety::Idempotent,
+            Some("guarded") => RetrySafety::Deduplicated {
                 window: (f64::max(window, 0.0) * 1e9) as Nanos,
-                anywhere: told("group") == Some("all"),
+                all_servers: told("group") == Some("all"),
             },
-            _ => Effect::Once,
+            _ => RetrySafety::AtMostOnce,
         };
         Method { name, effect }
     }
--- a/crates/gateway/src/eviction.rs
+++ b/crates/gateway/src/eviction.rs
@@ -17,55 +17,59 @@
 
 /// What a connection that owes no answer is doing, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idle {
+pub enum IdleState {
     /// Connected, and has sent nothing.
     Silent(Nanos),
     /// This side's sending has ended.
-    Ending(Nanos),
+    HalfClosed(Nanos),
     /// Served, and between messages.
-    Resting(Nanos),
+    KeepAlive(Nanos),
     /// Inside a message.
-    Paused(Nanos),
+    MidMessage(Nanos),
 }
 
 /// Who wants the room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum For {
+pub enum EvictFor {
     /// A new connection that has shown nothing yet.
-    Newcomer,
+    NewConnection,
     /// A client that has spoken, or the gateway itself: a connection may be closed between any two messages for it.
-    Need,
+    Required,
 }
 
-impl Idle {
+impl IdleState {
     /// From when on it gives way, and before whom.
-    fn gives_way(self, to: For) -> (usize, Nanos) {
+    fn evictable_at(self, to: EvictFor) -> (usize, Nanos) {
         match (self, to) {
-            (Idle::Silent(since), _) => (0, since + SILENT),
-            (Idle::Ending(since), _) => (1, since + ENDING),
-            (Idle::Resting(since), For::Newcomer) => (2, since + RESTING),
-            (Idle::Resting(since), For::Need) => (2, since),
-            (Idle::Paused(since), _) => (3, since + PAUSED),
+            (IdleState::Silent(since), _) => (0, since + SILENT),
+            (IdleState::HalfClosed(since), _) => (1, since + ENDING),
+            (IdleState::KeepAlive(since), EvictFor::NewConnection) => (2, since + RESTING),
+            (IdleState::KeepAlive(since), EvictFor::Required) => (2, since),
+            (IdleState::MidMessage(since), _) => (3, since + PAUSED),
         }
     }
 }
 
 /// The connections that give way now, the first one first. Guards against clients that hold descriptors and send nothing, or
 /// their messages byte by byte. Harm: a client that is slow to speak, or that paused, has to connect again.
-pub fn in_turn(idle: impl Iterator<Item = (usize, Idle)>, now: Nanos, to: For) -> Vec<usize> {
-    let due = idle.map(|(id, idle)| (idle.gives_way(to), id)).filter(|((_, at), _)| now >= *at);
+pub fn eviction_order(
+    idle: impl Iterator<Item = (usize, IdleState)>,
+    now: Nanos,
+    to: EvictFor,
+) -> Vec<usize> {
+    let due = idle.map(|(id, idle)| (idle.evictable_at(to), id)).filter(|((_, at), _)| now >= *at);
     let mut due: Vec<_> = due.collect();
     due.sort_unstable();
     due.into_iter().map(|one| one.1).collect()
 }
 
 /// When the next new connection gives way if it stays silent.
-pub fn next_silent(idle: impl Iterator<Item = Idle>) -> Option<Nanos> {
-    let silent = idle.filter(|idle| matches!(idle, Idle::Silent(_)));
-    silent.map(|idle| idle.gives_way(For::Newcomer).1).min()
+pub fn next_silent_eviction(idle: impl Iterator<Item = IdleState>) -> Option<Nanos> {
+    let silent = idle.filter(|idle| matches!(idle, IdleState::Silent(_)));
+    silent.map(|idle| idle.evictable_at(EvictFor::NewConnection).1).min()
 }
 
 /// Whether connections that were served hold more than their part of the places.
-pub fn is_overheld(served: usize, places: usize) -> bool {
+pub fn exceeds_served_share(served: usize, places: usize) -> bool {
     4 * served > SERVED_QUARTERS * places
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,12 +7,12 @@
 use crate::directory::Directory;
 use crate::driver::{ACCEPT_AGAIN, Ending, EventHandler, Net, Peer, out_of_descriptors};
 use crate::eviction;
-use crate::guard::{self, Effect, ServerNow};
+use crate::guard::{self, RetrySafety, ServerStatus};
 use crate::http::{BODY_MOST, Bad, HEAD_MOST};
 use crate::invariants::{Counts, Invariant};
 use crate::list::{self, Told, Watch};
-use crate::list_update::{Batch, Change, Changes, WORK_A_TURN};
-use crate::phase::{ClientEnd, Owed, Phase};
+use crate::list_update::{Batch, ListUpdate, ServerChange, WORK_PER_TURN};
+use crate::phase::{CloseCause, Phase, UnsentAnswer};
 use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
@@ -118,7 +118,7 @@
     call_outs: u16,
     open: bool,
     /// How often it may run, and when the first attempt began that may have run.
-    effect: Effect,
+    effect: RetrySafety,
     first_run: Option<Nanos>,
     /// Some of it was written to a server.
     written: bool,
@@ -126,11 +126,11 @@
 }
 
 /// Reads the configuration once more.
-pub type ReadAgain = Box<dyn Fn() -> Result<Config, String>>;
+pub type ConfigReader = Box<dyn Fn() -> Result<Config, String>>;
 
 pub struct Gateway {
     brain: Brain,
-    read_again: ReadAgain,
+    read_again: ConfigReader,
     host: PolicyHost,
     /// Where the settings have a version.
     agreement: Option<settings_agreement::AgreementLink>,
@@ -160,7 +160,7 @@
     old_watch: Option<(usize, Watch)>,
     /// Objects of the list that came and are not in force yet, and the one that is being brought into force.
     pending: VecDeque<Pending>,
-    changes: Option<Changes>,
+    changes: Option<ListUpdate>,
     /// A timer is set for the next batch of them.
     goes_on: bool,
     /// When the first timer for work on subsets is due.
@@ -227,7 +227,7 @@
 }
 
 impl Gateway {
-    pub fn new(config: Config, read_again: ReadAgain, net: Net, log: Logger) -> Gateway {
+    pub fn new(config: Config, read_again: ConfigReader, net: Net, log: Logger) -> Gateway {
         let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = config.sockets.min(own.map_or(usize::MAX, |own| own as usize));
         let spares = (sockets / SPARES).max(2);
@@ -331,14 +331,14 @@
     /// When to turn next. Timers whose cause is over are dropped as they come first, so that they wake nobody.
     fn next_turn(&mut self) -> Option<Nanos> {
         let PolicyHost { timers, links, rpcs, lines, .. } = &mut self.host;
-        timers.skip(|what| match what {
+        timers.discard_stale(|what| match what {
             TimerEvent::CallOut(id, rpc, nth) => !links.get(id).is_some_and(|link| link.carries(*rpc, *nth)),
             TimerEvent::Dial(id) => links.get(id).is_none_or(|link| link.up),
             TimerEvent::Count(line, serial) => !lines[*line].holds(*serial),
             TimerEvent::Overdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
             _ => false,
         });
-        timers.next()
+        timers.next_due()
     }
 
     fn stop(&mut self) {
@@ -473,7 +473,7 @@
     /// Timers that are due; true if connections may be accepted again.
     fn due(&mut self) -> bool {
         let now = self.host.net.now;
-        while let Some(what) = self.host.timers.due(now) {
+        while let Some(what) = self.host.timers.pop_due(now) {
             match what {
                 TimerEvent::Wake(token) => self.brain.woke(&mut self.host, now, token),
                 TimerEvent::CallOut(id, rpc, nth) => self.host.call_out_over(id, rpc, nth),
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -15,10 +15,10 @@
         let unread_for = if begins { self.host.net.unread_for(id).unwrap_or(0) } else { 0 };
         let came = self.host.net.now.saturating_sub(self.host.net.late.max(unread_for));
         client.filled(length, came);
-        if client.phase.closes() {
+        if client.phase.is_closing() {
             let length = self.host.net.input(id).len();
             self.host.net.used(id, length);
-        } else if let Some((_, length)) = client.phase.rpc().filter(|_| self.host.net.is_full(id)) {
+        } else if let Some((_, length)) = client.phase.pending_rpc().filter(|_| self.host.net.is_full(id)) {
             // Guards against a client whose leaving lies behind what it sent in the meantime, so that its RPC would wait
             // on for nobody. Covers floods. Harm: one that sends on before its answer has to open another connection.
             client.floods = true;
@@ -77,7 +77,7 @@
         }
         let came = self.host.clients.get(&client).map_or(now, |client| client.came);
         let asked = (came + message.remaining_ms * MS).saturating_sub(MARGIN);
-        if !self.host.may_begin(&own, asked) {
+        if !self.host.may_admit(&own, asked) {
             return self.host.answer_own(client, 503, end, "");
         }
         if !self.host.ids.insert(own.clone()) {
@@ -86,7 +86,7 @@
         }
         let (id, method) = (self.host.fresh_rpc(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.shift(Phase::Waiting { rpc: id, length: end }, now);
+        at.shift(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
         let deadline = self.host.within_life(asked).max(now);
         let arrival = Arrival {
             id,
@@ -149,8 +149,8 @@
     }
 
     pub(super) fn client_left(&mut self, id: usize, why: &'static str) {
-        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.rpc()).map(|rpc| rpc.0);
-        self.host.end_client(id, ClientEnd::Gone(if rpc.is_some() { LEFT } else { why }));
+        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.pending_rpc()).map(|rpc| rpc.0);
+        self.host.end_client(id, CloseCause::ClientClosed(if rpc.is_some() { LEFT } else { why }));
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.shift(rpc, RpcState::Answered);
@@ -187,13 +187,19 @@
         self.shift(id, RpcState::Answered);
         let (now, stopping) = (self.net.now, self.is_stopping());
         let Some(at) = self.clients.get_mut(&client) else { return };
-        let length = at.phase.rpc().map_or(0, |rpc| rpc.1);
+        let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
         let last = close.then_some(match at.floods {
             _ if stopping => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.shift(Phase::Answering { owed: Owed { txn: txn.unwrap_or_default(), deadline }, last }, now);
+        at.shift(
+            Phase::WritingAnswer {
+                answer: UnsentAnswer { txn: txn.unwrap_or_default(), deadline },
+                close_reason: last,
+            },
+            now,
+        );
         self.clients_served += usize::from(at.served == 0);
         at.served += 1;
         at.used(length);
@@ -205,10 +211,10 @@
         let (now, sent) = (self.net.now, self.net.is_sent(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
-            None => client.since = if client.phase.owed().is_some() { now } else { client.since },
+            None => client.since = if client.phase.unsent_answer().is_some() { now } else { client.since },
             Some(next) => {
-                let owed = client.phase.owed().cloned().unwrap_or_default();
-                let ends = next.closes();
+                let owed = client.phase.unsent_answer().cloned().unwrap_or_default();
+                let ends = next.is_closing();
                 client.shift(next, now);
                 self.check_answer(&owed);
                 if ends {
@@ -216,7 +222,7 @@
                 }
             }
         }
-        let reads = self.clients.get(&id).is_some_and(|client| client.phase.rpc().is_none());
+        let reads = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
         if reads && !self.net.input(id).is_empty() {
             self.again.push_back(id);
         }
@@ -233,7 +239,7 @@
         self.net.used(client, length);
         if let Some(at) = self.clients.get_mut(&client) {
             let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.shift(Phase::Answering { owed: Owed::default(), last }, now);
+            at.shift(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
             at.partial = false;
             at.used(length);
             self.clients_served += usize::from(at.served == 0);
@@ -249,22 +255,22 @@
         self.net.discard(client);
         let now = self.net.now;
         if let Some(at) = self.clients.get_mut(&client) {
-            at.shift(Phase::Answering { owed: Owed::default(), last: Some(why) }, now);
+            at.shift(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) }, now);
         }
     }
 
     /// Ends a client's connection; the one place where that is done. What owes an answer is ended by its client alone, or
     /// if that reads none of it: then it stays, and false is told.
-    pub(super) fn end_client(&mut self, id: usize, end: ClientEnd) -> bool {
+    pub(super) fn end_client(&mut self, id: usize, end: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
-        if !client.phase.may_end(end) {
+        if !client.phase.permits_close(end) {
             self.withhold_end(id, end);
             return false;
         }
         self.check_end_of_client(id, end);
         let Some(client) = self.clients.remove(&id) else { return false };
         self.clients_served -= usize::from(client.served > 0);
-        let why = client.phase.closing().unwrap_or(end.reason());
+        let why = client.phase.close_reason().unwrap_or(end.reason());
         info!(self.log, "client"; "why" => why, "from" => shown(self.net.address(id)), "answers" => client.served,
             "ms" => (self.net.now - self.net.since(id)) / MS);
         self.net.close(id);
@@ -292,7 +298,7 @@
         }
         let now = self.net.now;
         if let Some(client) = self.clients.get_mut(&id).filter(|client| client.phase.is_reading()) {
-            client.shift(Phase::Ending { why }, now);
+            client.shift(Phase::HalfClosed { reason: why }, now);
             self.net.finish(id);
         }
     }
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -1,7 +1,7 @@
 //! The gateway's side of making room: which connections give way when descriptors run out (`eviction`).
 
 use super::*;
-use crate::eviction::{For, Idle};
+use crate::eviction::{EvictFor, IdleState};
 
 /// For so long after the last time that no place was left for a new client, others are taken to wait for one.
 const CROWDED: Nanos = 1_000 * MS;
@@ -14,7 +14,7 @@
     /// Whether one more client can be taken, if need be for one that only holds its place.
     pub(super) fn has_room_for_client(&mut self) -> bool {
         let taken = self.clients.len();
-        if taken < self.clients_most || self.shed_client(For::Newcomer) {
+        if taken < self.clients_most || self.shed_client(EvictFor::NewConnection) {
             return true;
         }
         self.crowded_at = Some(self.net.now);
@@ -37,7 +37,7 @@
         let now = self.net.now;
         self.behind_since.get_or_insert(now);
         let again = now + ACCEPT_AGAIN;
-        let silent = eviction::next_silent(self.clients.values().filter_map(Client::idle));
+        let silent = eviction::next_silent_eviction(self.clients.values().filter_map(Client::idle));
         let at = silent.map_or(again, |at| at.clamp(now + ACCEPT_SOONEST, again));
         if self.accepts_at.is_none_or(|awaited| at < awaited) {
             self.accepts_at = Some(at);
@@ -57,20 +57,20 @@
             return;
         }
         let is_left = self.clients.len() <= self.clients_most;
-        let overheld = eviction::is_overheld(self.clients_served, self.clients_most);
-        if is_left || overheld && self.shed_client(For::Need) {
+        let overheld = eviction::exceeds_served_share(self.clients_served, self.clients_most);
+        if is_left || overheld && self.shed_client(EvictFor::Required) {
             self.clients.entry(id).and_modify(|client| client.spare = false);
         }
     }
 
     /// Closes an idle connection to free its descriptor; false if there is none.
     pub(super) fn shed(&mut self) -> bool {
-        self.shed_link() || self.shed_client(For::Need)
+        self.shed_link() || self.shed_client(EvictFor::Required)
     }
 
     /// Closes the client whose turn it is to give way. What has come from one by now is served first: of a resting one, any
     /// byte; of one inside a message, more of it. Where nobody gave way just now nobody is looked for: that is a look at all.
-    fn shed_client(&mut self, to: For) -> bool {
+    fn shed_client(&mut self, to: EvictFor) -> bool {
         let now = self.net.now;
         let none_until = &mut self.nobody_gives_way_until[to as usize];
         if now < *none_until {
@@ -78,10 +78,10 @@
         }
         *none_until = now + ACCEPT_SOONEST;
         let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle()?)));
-        let in_turn = eviction::in_turn(idle(), now, to);
-        self.silent_wait = idle().any(|(_, idle)| matches!(idle, Idle::Silent(_)));
+        let in_turn = eviction::eviction_order(idle(), now, to);
+        self.silent_wait = idle().any(|(_, idle)| matches!(idle, IdleState::Silent(_)));
         let mut tried = in_turn.into_iter().take(TRIED_MOST);
-        let gave_way = tried.any(|id| self.is_quiet(id) && self.end_client(id, ClientEnd::MadeRoom));
+        let gave_way = tried.any(|id| self.is_quiet(id) && self.end_client(id, CloseCause::Evicted));
         if gave_way {
             self.nobody_gives_way_until[to as usize] = 0;
         }
@@ -90,7 +90,7 @@
 
     /// Whether nothing has come on a connection that is still to be served. What comes after this side's end is not.
     fn is_quiet(&mut self, id: usize) -> bool {
-        let ending = self.clients.get(&id).is_some_and(|client| client.phase.closes());
+        let ending = self.clients.get(&id).is_some_and(|client| client.phase.is_closing());
         if ending {
             self.net.read(id, false);
         }
@@ -103,7 +103,7 @@
     pub(super) fn gives_its_place(&self, client: usize, length: usize) -> bool {
         let crowded = self.crowded_at.is_some_and(|at| self.net.now < at + CROWDED);
         crowded
-            && eviction::is_overheld(self.clients_served, self.clients_most)
+            && eviction::exceeds_served_share(self.clients_served, self.clients_most)
             && self.net.input(client).len() <= length
     }
 }
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -76,14 +76,14 @@
         if self.host.goes_on {
             return;
         }
-        let mut work = if self.host.has_list { WORK_A_TURN } else { usize::MAX };
+        let mut work = if self.host.has_list { WORK_PER_TURN } else { usize::MAX };
         loop {
             if self.host.changes.is_none() && !self.begin_changes() {
                 return;
             }
             let PolicyHost { changes, servers, directory, .. } = &mut self.host;
             let Some(at_hand) = changes else { return };
-            let Some(batch) = at_hand.next(servers, directory, &mut work) else { break };
+            let Some(batch) = at_hand.next_batch(servers, directory, &mut work) else { break };
             let done = at_hand.is_done().then(|| self.host.changes.take()).flatten();
             self.apply(batch);
             if let Some(done) = done {
@@ -91,7 +91,7 @@
                 self.host.log_turns(&done);
             }
         }
-        self.host.changes.iter_mut().for_each(Changes::rest);
+        self.host.changes.iter_mut().for_each(ListUpdate::defer_to_next_turn);
         self.host.goes_on = true;
         self.host.timers.set(self.host.net.now + 1, TimerEvent::Changes);
     }
@@ -112,15 +112,15 @@
                 }
             }
         };
-        self.host.changes = Some(Changes::new(told));
+        self.host.changes = Some(ListUpdate::new(told));
         true
     }
 
     /// Tells the module and the pools of a batch.
     fn apply(&mut self, batch: Batch) {
         let host = &mut self.host;
-        let mut list = Vec::with_capacity(batch.leaving.len() + batch.coming.len());
-        for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+        let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
+        for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
             let Some(address) = address else {
                 if let Some((listed, idle)) = host.servers.take_off(listed.key) {
                     idle.into_iter().for_each(|id| host.end_link(id, "server-gone"));
@@ -180,9 +180,9 @@
     }
 
     /// A list that took more than one turn leaves a line.
-    fn log_turns(&self, done: &Changes) {
-        if done.turns() > 1 {
-            info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed(), "turns" => done.turns(),
+    fn log_turns(&self, done: &ListUpdate) {
+        if done.turn_count() > 1 {
+            info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
         }
     }
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -1,7 +1,7 @@
 //! Where the invariants are looked at while the process runs: each break is counted and logged with the RPC's id.
 
 use super::*;
-use crate::guard::Obstacle;
+use crate::guard::Denial;
 
 /// An answer so long after the client's time only earns nothing; a later one is a lost RPC (the operators' standing test).
 const ANSWER_SLACK: Nanos = 500 * MS;
@@ -10,17 +10,17 @@
     /// Counts what an invariant was found to be; a break is logged.
     fn check(&mut self, invariant: Invariant, holds: bool, txn: &[u8]) {
         if holds {
-            return self.counts.held(invariant);
+            return self.counts.record_held(invariant);
         }
-        self.counts.violated(invariant);
+        self.counts.record_violated(invariant);
         warn!(self.log, "invariant broken"; "invariant" => invariant.name(),
             "txn" => %String::from_utf8_lossy(txn));
     }
 
     /// Counts what the guard said of an attempt that is about to be written.
-    pub(super) fn count_send(&mut self, verdict: Result<(), Obstacle>) {
+    pub(super) fn count_send(&mut self, verdict: Result<(), Denial>) {
         match verdict {
-            Err(obstacle) => self.counts.withheld(obstacle.invariant()),
+            Err(obstacle) => self.counts.record_withheld(obstacle.invariant()),
             Ok(()) => {
                 let looked_at = [
                     Invariant::ClientPresent,
@@ -28,29 +28,29 @@
                     Invariant::RepeatAllowed,
                     Invariant::ServerListed,
                 ];
-                looked_at.into_iter().for_each(|invariant| self.counts.held(invariant));
+                looked_at.into_iter().for_each(|invariant| self.counts.record_held(invariant));
             }
         }
     }
 
     /// Asks the guard whether an RPC that was read now may begin.
-    pub(super) fn may_begin(&mut self, txn: &[u8], deadline: Nanos) -> bool {
+    pub(super) fn may_admit(&mut self, txn: &[u8], deadline: Nanos) -> bool {
         let lasted = self.turn_lasted();
-        let begin = guard::Begin {
+        let begin = guard::AdmissionCheck {
             now: self.net.now + lasted,
             deadline,
             last_turn: self.last_turn,
             this_turn: lasted + self.caught_up,
-            turn_most: self.turn_most,
+            max_turn: self.turn_most,
             shutdown: self.shutdown,
         };
-        match guard::may_begin(&begin) {
+        match guard::may_admit(&begin) {
             Ok(()) => {
-                self.counts.held(Invariant::BeginsInLife);
+                self.counts.record_held(Invariant::AdmittedInTime);
                 true
             }
             Err(obstacle) => {
-                self.counts.withheld(obstacle.invariant());
+                self.counts.record_withheld(obstacle.invariant());
                 self.log_turned_away(txn, 503, obstacle.reason());
                 false
             }
@@ -61,18 +61,18 @@
     /// answered as failed.
     pub(super) fn refusal_is_harmless(&mut self, id: u32) -> bool {
         let Some(rpc) = self.rpcs.get(&id) else { return true };
-        let harmless = guard::may_refuse(self.net.now, rpc.effect, rpc.first_run);
+        let harmless = guard::may_reject(self.net.now, rpc.effect, rpc.first_run);
         if harmless {
-            self.counts.held(Invariant::RefusalHarmless);
+            self.counts.record_held(Invariant::RefusalHarmless);
         } else {
-            self.counts.withheld(Invariant::RefusalHarmless);
+            self.counts.record_withheld(Invariant::RefusalHarmless);
             warn!(self.log, "refusal withheld"; "txn" => %String::from_utf8_lossy(&rpc.id));
         }
         harmless
     }
 
     /// Looks at an answer as the last of it is out.
-    pub(super) fn check_answer(&mut self, owed: &Owed) {
+    pub(super) fn check_answer(&mut self, owed: &UnsentAnswer) {
         let Some(deadline) = owed.deadline else { return };
         let now = self.net.now + self.turn_lasted();
         let in_time = now <= deadline + ANSWER_SLACK;
@@ -82,22 +82,22 @@
     }
 
     /// Looks at a client's connection as it ends. One that its client ended, or that reads nothing, owes nothing more.
-    pub(super) fn check_end_of_client(&mut self, id: usize, end: ClientEnd) {
+    pub(super) fn check_end_of_client(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
-        if let Some(owed) = client.phase.owed() {
+        if let Some(owed) = client.phase.unsent_answer() {
             self.log_unwritten(&owed.txn, end.reason(), self.net.unwritten(id));
         }
-        let owes = client.phase.rpc().is_some() || client.phase.owed().is_some();
-        let excused = matches!(end, ClientEnd::Gone(_) | ClientEnd::ReadsNothing);
+        let owes = client.phase.pending_rpc().is_some() || client.phase.unsent_answer().is_some();
+        let excused = matches!(end, CloseCause::ClientClosed(_) | CloseCause::WriteTimeout);
         let txn = self.txn_on(client);
         self.check(Invariant::OneAnswer, excused || !owes, &txn);
     }
 
     /// An end was asked for that would have taken an answer with it.
-    pub(super) fn withhold_end(&mut self, id: usize, end: ClientEnd) {
+    pub(super) fn withhold_end(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         let txn = self.txn_on(client);
-        self.counts.withheld(Invariant::OneAnswer);
+        self.counts.record_withheld(Invariant::OneAnswer);
         warn!(self.log, "end withheld"; "why" => end.reason(), "txn" => %String::from_utf8_lossy(&txn));
     }
 
@@ -106,10 +106,10 @@
         let clients: Vec<usize> = self.clients.keys().copied().collect();
         for id in clients {
             let Some(client) = self.clients.get(&id) else { continue };
-            if let Some(owed) = client.phase.owed() {
+            if let Some(owed) = client.phase.unsent_answer() {
                 self.log_unwritten(&owed.txn, "process-ends", self.net.unwritten(id));
             }
-            let answered = client.phase.rpc().is_none();
+            let answered = client.phase.pending_rpc().is_none();
             let txn = self.txn_on(client);
             self.check(Invariant::OneAnswer, answered, &txn);
         }
@@ -117,8 +117,9 @@
 
     /// The id of the RPC that is at hand or being answered on a connection; empty if there is none.
     fn txn_on(&self, client: &Client) -> Box<[u8]> {
-        let waiting = client.phase.rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.id.clone());
-        let answering = || client.phase.owed().map(|owed| owed.txn.clone());
+        let waiting =
+            client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.id.clone());
+        let answering = || client.phase.unsent_answer().map(|owed| owed.txn.clone());
         waiting.or_else(answering).unwrap_or_default()
     }
 
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -1,7 +1,7 @@
 //! The gateway's side of servers: a connection for each call-out, and how the call-out ended.
 
 use super::*;
-use crate::guard::Obstacle;
+use crate::guard::Denial;
 
 impl PolicyHost {
     /// An idle connection to a server, the one used last, or a new one.
@@ -75,16 +75,16 @@
     }
 
     /// Asks the guard whether an attempt may be written on this connection.
-    fn may_send(&mut self, id: usize, attempt: &Attempt) -> Result<(), Obstacle> {
-        let Some(link) = self.links.get(&id) else { return Err(Obstacle::ServerMoved) };
+    fn may_send(&mut self, id: usize, attempt: &Attempt) -> Result<(), Denial> {
+        let Some(link) = self.links.get(&id) else { return Err(Denial::ServerMoved) };
         let there = |rpc: &&Rpc| rpc.state != RpcState::Answered && self.clients.contains_key(&rpc.client);
         let rpc = self.rpcs.get(&attempt.rpc).filter(there);
-        let send = guard::Send {
+        let send = guard::SendCheck {
             now: self.net.now,
             client_present: rpc.is_some(),
-            until: attempt.until,
-            before: attempt.before,
-            effect: rpc.map_or(Effect::Once, |rpc| rpc.effect),
+            answer_by: attempt.until,
+            write_by: attempt.before,
+            retry_safety: rpc.map_or(RetrySafety::AtMostOnce, |rpc| rpc.effect),
             first_run: rpc.and_then(|rpc| rpc.first_run),
             server: self.server_now(id, link),
         };
@@ -94,12 +94,12 @@
     }
 
     /// What the list says now of the server that a connection leads to.
-    fn server_now(&self, id: usize, link: &Link) -> ServerNow {
+    fn server_now(&self, id: usize, link: &Link) -> ServerStatus {
         let listed = self.servers.by_number.get(&link.server).filter(|server| server.listed && server.ready);
         match listed {
-            None => ServerNow::DrainsOrGone,
-            Some(server) if self.is_same(id, link, server) => ServerNow::Ready,
-            Some(_) => ServerNow::Moved,
+            None => ServerStatus::Unavailable,
+            Some(server) if self.is_same(id, link, server) => ServerStatus::Ready,
+            Some(_) => ServerStatus::Moved,
         }
     }
 
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -31,7 +31,7 @@
         let host = &mut self.host;
         host.shutdown = Some(shutdown);
         host.timers.set(shutdown.listen_until, TimerEvent::StopListening);
-        host.timers.set(shutdown.last_call, TimerEvent::LastCall);
+        host.timers.set(shutdown.read_until, TimerEvent::LastCall);
         host.timers.set(shutdown.exit_at, TimerEvent::Exit);
         let answer_by = shutdown.answer_by;
         for (id, rpc) in &mut host.rpcs {
@@ -52,7 +52,7 @@
     /// that no unread byte makes a reset of the close.
     pub(super) fn exit(&mut self) {
         let unanswered: Vec<u32> =
-            self.host.clients.values().filter_map(|client| Some(client.phase.rpc()?.0)).collect();
+            self.host.clients.values().filter_map(|client| Some(client.phase.pending_rpc()?.0)).collect();
         unanswered.into_iter().for_each(|id| self.overdue(id));
         let clients: Vec<usize> = self.host.clients.keys().copied().collect();
         clients.into_iter().for_each(|id| self.host.net.read(id, false));
@@ -82,7 +82,7 @@
 
     /// Whether nothing that is not whole is waited for any more.
     pub(super) fn is_past_last_call(&self) -> bool {
-        self.shutdown.is_some_and(|shutdown| self.net.now >= shutdown.last_call)
+        self.shutdown.is_some_and(|shutdown| self.net.now >= shutdown.read_until)
     }
 
     /// By when an RPC has its answer, if it should have it by this time.
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -39,8 +39,8 @@
                 Overstay::SlowMessage => self.refuse(id, 408, SLOW_MESSAGE),
                 Overstay::SaidNothing => self.finish_client(id, "said-nothing"),
                 Overstay::Idle => self.finish_client(id, "idle"),
-                Overstay::Lingered => drop(self.end_client(id, ClientEnd::Lingered)),
-                Overstay::ReadsNothing => drop(self.end_client(id, ClientEnd::ReadsNothing)),
+                Overstay::Lingered => drop(self.end_client(id, CloseCause::LingerTimeout)),
+                Overstay::ReadsNothing => drop(self.end_client(id, CloseCause::WriteTimeout)),
             }
         }
     }
@@ -49,10 +49,12 @@
         let now = self.net.now;
         let age = now.saturating_sub(client.since);
         let (most, overstay) = match client.phase {
-            Phase::Waiting { .. } => return None,
-            Phase::Ending { .. } => (LINGER, Overstay::Lingered),
-            Phase::Answering { last: Some(_), .. } => (clients::SLOW_MESSAGE, Overstay::ReadsNothing),
-            Phase::Answering { last: None, .. } => (clients::IDLE, Overstay::ReadsNothing),
+            Phase::AwaitingAnswer { .. } => return None,
+            Phase::HalfClosed { .. } => (LINGER, Overstay::Lingered),
+            Phase::WritingAnswer { close_reason: Some(_), .. } => {
+                (clients::SLOW_MESSAGE, Overstay::ReadsNothing)
+            }
+            Phase::WritingAnswer { close_reason: None, .. } => (clients::IDLE, Overstay::ReadsNothing),
             // Guards against connections that are opened to say nothing, or never to end a message. Harm: one
             // opened long before its first message is opened again.
             Phase::Reading if client.served == 0 => {
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -19,7 +19,7 @@
     /// A refusal promises that trying again is harmless; it is given only where that is so.
     RefusalHarmless,
     /// No RPC begins that could not be answered before the process may be killed.
-    BeginsInLife,
+    AdmittedInTime,
 }
 
 impl Invariant {
@@ -32,7 +32,7 @@
         Invariant::RepeatAllowed,
         Invariant::ServerListed,
         Invariant::RefusalHarmless,
-        Invariant::BeginsInLife,
+        Invariant::AdmittedInTime,
     ];
 
     /// Its name in the log.
@@ -45,7 +45,7 @@
             Invariant::RepeatAllowed => "repeat-allowed",
             Invariant::ServerListed => "server-listed",
             Invariant::RefusalHarmless => "refusal-harmless",
-            Invariant::BeginsInLife => "begins-in-life",
+            Invariant::AdmittedInTime => "begins-in-life",
         }
     }
 }
@@ -67,19 +67,19 @@
 
 impl Counts {
     /// Notes that an invariant was looked at and holds.
-    pub fn held(&mut self, invariant: Invariant) {
+    pub fn record_held(&mut self, invariant: Invariant) {
         self.0[invariant as usize].checked += 1;
     }
 
     /// Notes that a guard kept it.
-    pub fn withheld(&mut self, invariant: Invariant) {
+    pub fn record_withheld(&mut self, invariant: Invariant) {
         let count = &mut self.0[invariant as usize];
         count.checked += 1;
         count.withheld += 1;
     }
 
     /// Notes that it is broken.
-    pub fn violated(&mut self, invariant: Invariant) {
+    pub fn record_violated(&mut self, invariant: Invariant) {
         let count = &mut self.0[invariant as usize];
         count.checked += 1;
         count.violated += 1;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -51,12 +51,12 @@
     /// Takes an entry in, unless it is of no service that is asked for here.
     fn take(&mut self, mut entry: Entry, services: &Services) {
         match services.of_server(&entry.name) {
-            Service::Asked(number) => {
+            Service::Requested(number) => {
                 entry.service = number;
                 self.entries.push(entry);
             }
-            Service::NotAsked => {}
-            Service::Untold => {
+            Service::NotRequested => {}
+            Service::Unspecified => {
                 self.untold += 1;
                 self.first_untold.get_or_insert(entry.name);
             }
--- a/crates/gateway/src/list_update.rs
+++ b/crates/gateway/src/list_update.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// The work of one turn, in entries compared with what is held.
-pub const WORK_A_TURN: usize = 1024;
+pub const WORK_PER_TURN: usize = 1024;
 /// A change costs as much as comparing so many entries; and so many servers are walked past for one.
 const WORK_OF_CHANGE: usize = 2;
 const WALKED_FOR_ONE: usize = 8;
@@ -23,7 +23,7 @@
 
 /// One server that is other than it was.
 #[derive(Debug)]
-pub struct Change {
+pub struct ServerChange {
     pub listed: Listed,
     /// Nothing for a server that is gone.
     pub address: Option<SocketAddr>,
@@ -32,13 +32,13 @@
 /// What is taken to the module at once. New work stops at once for those that leave.
 #[derive(Debug, Default)]
 pub struct Batch {
-    pub leaving: Vec<Change>,
-    pub coming: Vec<Change>,
+    pub unavailable: Vec<ServerChange>,
+    pub available: Vec<ServerChange>,
 }
 
 /// The list at hand.
 #[derive(Debug)]
-pub struct Changes {
+pub struct ListUpdate {
     index: u64,
     whole: bool,
     /// Not compared yet, the last one first: of two entries for one server the later one counts.
@@ -48,24 +48,24 @@
     /// Servers that a whole list does not name are looked for from this number on.
     walked_to: u32,
     /// Both the last one first.
-    leaving: Vec<Change>,
-    coming: Vec<Change>,
+    unavailable: Vec<ServerChange>,
+    available: Vec<ServerChange>,
     compared: bool,
     batches: usize,
     changed: usize,
     turns: usize,
 }
 
-impl Changes {
+impl ListUpdate {
     pub fn new(told: Told) -> Self {
-        Changes {
+        ListUpdate {
             index: told.index,
             whole: told.whole,
             named: HashSet::with_capacity(told.entries.len()),
             entries: told.entries,
             walked_to: 0,
-            leaving: Vec::new(),
-            coming: Vec::new(),
+            unavailable: Vec::new(),
+            available: Vec::new(),
             compared: false,
             batches: 0,
             changed: 0,
@@ -79,22 +79,27 @@
     }
 
     /// How many servers have changed by now, and in how many turns.
-    pub fn changed(&self) -> usize {
+    pub fn changed_count(&self) -> usize {
         self.changed
     }
 
-    pub fn turns(&self) -> usize {
+    pub fn turn_count(&self) -> usize {
         self.turns
     }
 
     /// It goes on in the next turn.
-    pub fn rest(&mut self) {
+    pub fn defer_to_next_turn(&mut self) {
         self.turns += 1;
     }
 
     /// Does what `work` allows, and takes off what it used up; the next batch, once one is ready. Nothing is handed on
     /// before the whole list was compared: what leaves goes first, wherever in the list it stands.
-    pub fn next(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) -> Option<Batch> {
+    pub fn next_batch(
+        &mut self,
+        servers: &Servers,
+        directory: &mut Directory,
+        work: &mut usize,
+    ) -> Option<Batch> {
         if !self.compared {
             self.compare(servers, directory, work);
             self.walk(servers, work);
@@ -103,23 +108,26 @@
             return None;
         }
         let most = *work / WORK_OF_CHANGE;
-        let kept_for_coming = self.coming.len().min(most.div_ceil(COMING_SHARE));
-        let leaving = self.leaving.len().min(most - kept_for_coming);
-        let coming = self.coming.len().min(most - leaving);
-        *work -= (leaving + coming) * WORK_OF_CHANGE;
+        let kept_for_coming = self.available.len().min(most.div_ceil(COMING_SHARE));
+        let unavailable = self.unavailable.len().min(most - kept_for_coming);
+        let available = self.available.len().min(most - unavailable);
+        *work -= (unavailable + available) * WORK_OF_CHANGE;
         self.batches += 1;
-        self.changed += leaving + coming;
-        let last = |list: &mut Vec<Change>, count: usize| {
+        self.changed += unavailable + available;
+        let last = |list: &mut Vec<ServerChange>, count: usize| {
             let mut taken = list.split_off(list.len() - count);
             taken.reverse();
             taken
         };
-        Some(Batch { leaving: last(&mut self.leaving, leaving), coming: last(&mut self.coming, coming) })
+        Some(Batch {
+            unavailable: last(&mut self.unavailable, unavailable),
+            available: last(&mut self.available, available),
+        })
     }
 
     /// Whether all of it was handed on: in one batch at least, also where nothing changed.
     pub fn is_done(&self) -> bool {
-        self.batches > 0 && self.leaving.is_empty() && self.coming.is_empty()
+        self.batches > 0 && self.unavailable.is_empty() && self.available.is_empty()
     }
 
     /// Compares entries with what is held; what is as it was goes no further.
@@ -144,8 +152,8 @@
             };
             match (unchanged, listed.ready) {
                 (true, _) => {}
-                (false, false) => self.leaving.push(Change { listed, address }),
-                (false, true) => self.coming.push(Change { listed, address }),
+                (false, false) => self.unavailable.push(ServerChange { listed, address }),
+                (false, true) => self.available.push(ServerChange { listed, address }),
             }
         }
     }
@@ -161,7 +169,7 @@
             for (number, server) in servers.by_number.range(self.walked_to..).take(WALKED_FOR_ONE) {
                 (self.walked_to, walked) = (number + 1, walked + 1);
                 if server.listed && !self.named.contains(&server.told.key) {
-                    self.leaving.push(Change { listed: server.told.clone(), address: None });
+                    self.unavailable.push(ServerChange { listed: server.told.clone(), address: None });
                 }
             }
             if walked < WALKED_FOR_ONE {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -2,7 +2,7 @@
 
 use gateway::config::Config;
 use gateway::driver::Driver;
-use gateway::gateway::{Gateway, ReadAgain};
+use gateway::gateway::{ConfigReader, Gateway};
 use gateway::logs::Logs;
 use lexopt::prelude::*;
 use std::process::ExitCode;
@@ -108,7 +108,7 @@
     Ok(())
 }
 
-fn serve(mut config: Config, read_again: ReadAgain) -> Result<(), String> {
+fn serve(mut config: Config, read_again: ConfigReader) -> Result<(), String> {
     let logs = Logs::default();
     let log = logs.logger(&config.name);
     let listen = config.listen;
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -5,7 +5,7 @@
 
 /// An answer that was put into a connection's buffer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Owed {
+pub struct UnsentAnswer {
     /// The id of its RPC; empty where it answers something else.
     pub txn: Box<[u8]>,
     /// By when it was to be given; nothing where it answers something else.
@@ -19,35 +19,35 @@
     #[default]
     Reading,
     /// An RPC was read and has no answer yet; its message takes so many bytes of the buffer.
-    Waiting { rpc: u32, length: usize },
+    AwaitingAnswer { rpc: u32, message_length: usize },
     /// An answer is in the buffer and not all of it is out; the connection ends behind it if there is a reason to.
-    Answering { owed: Owed, last: Option<&'static str> },
+    WritingAnswer { answer: UnsentAnswer, close_reason: Option<&'static str> },
     /// All answers are out and this side's sending has ended, for this reason. What still comes is discarded until the
     /// client closes, too.
-    Ending { why: &'static str },
+    HalfClosed { reason: &'static str },
 }
 
 /// What ends a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientEnd {
+pub enum CloseCause {
     /// The client closed or broke it, with this reason code.
-    Gone(&'static str),
+    ClientClosed(&'static str),
     /// Its descriptor is wanted for others.
-    MadeRoom,
+    Evicted,
     /// This side's sending had ended, and the client has not closed in time.
-    Lingered,
+    LingerTimeout,
     /// The client takes nothing of its answer.
-    ReadsNothing,
+    WriteTimeout,
 }
 
-impl ClientEnd {
+impl CloseCause {
     /// The reason code for the log.
     pub fn reason(self) -> &'static str {
         match self {
-            ClientEnd::Gone(why) => why,
-            ClientEnd::MadeRoom => "made-room",
-            ClientEnd::Lingered => "lingered",
-            ClientEnd::ReadsNothing => "reads-nothing",
+            CloseCause::ClientClosed(why) => why,
+            CloseCause::Evicted => "made-room",
+            CloseCause::LingerTimeout => "lingered",
+            CloseCause::WriteTimeout => "reads-nothing",
         }
     }
 }
@@ -55,28 +55,28 @@
 impl Phase {
     /// Whether a connection that stands here may be ended so. Guards against answers that were given and never written.
     /// Harm: a connection that takes its answer slowly keeps its descriptor until it is found to read nothing.
-    pub fn may_end(&self, end: ClientEnd) -> bool {
+    pub fn permits_close(&self, end: CloseCause) -> bool {
         matches!(
             (end, self),
-            (ClientEnd::Gone(_), _)
-                | (ClientEnd::MadeRoom, Phase::Reading | Phase::Ending { .. })
-                | (ClientEnd::Lingered, Phase::Ending { .. })
-                | (ClientEnd::ReadsNothing, Phase::Answering { .. })
+            (CloseCause::ClientClosed(_), _)
+                | (CloseCause::Evicted, Phase::Reading | Phase::HalfClosed { .. })
+                | (CloseCause::LingerTimeout, Phase::HalfClosed { .. })
+                | (CloseCause::WriteTimeout, Phase::WritingAnswer { .. })
         )
     }
 
     /// The RPC that waits for its answer, and the length of its message.
-    pub fn rpc(&self) -> Option<(u32, usize)> {
+    pub fn pending_rpc(&self) -> Option<(u32, usize)> {
         match self {
-            Phase::Waiting { rpc, length } => Some((*rpc, *length)),
+            Phase::AwaitingAnswer { rpc, message_length } => Some((*rpc, *message_length)),
             _ => None,
         }
     }
 
     /// The answer that is being written.
-    pub fn owed(&self) -> Option<&Owed> {
+    pub fn unsent_answer(&self) -> Option<&UnsentAnswer> {
         match self {
-            Phase::Answering { owed, .. } => Some(owed),
+            Phase::WritingAnswer { answer, .. } => Some(answer),
             _ => None,
         }
     }
@@ -87,15 +87,15 @@
     }
 
     /// Whether what still comes is of no use: the connection ends.
-    pub fn closes(&self) -> bool {
-        matches!(self, Phase::Answering { last: Some(_), .. } | Phase::Ending { .. })
+    pub fn is_closing(&self) -> bool {
+        matches!(self, Phase::WritingAnswer { close_reason: Some(_), .. } | Phase::HalfClosed { .. })
     }
 
     /// Why it ends, if it is known by now.
-    pub fn closing(&self) -> Option<&'static str> {
+    pub fn close_reason(&self) -> Option<&'static str> {
         match self {
-            Phase::Answering { last, .. } => *last,
-            Phase::Ending { why } => Some(why),
+            Phase::WritingAnswer { close_reason, .. } => *close_reason,
+            Phase::HalfClosed { reason } => Some(reason),
             _ => None,
         }
     }
@@ -103,19 +103,24 @@
     /// What follows once all of an answer is out.
     pub fn after_answer(&self) -> Option<Phase> {
         match self {
-            Phase::Answering { last: Some(why), .. } => Some(Phase::Ending { why }),
-            Phase::Answering { last: None, .. } => Some(Phase::Reading),
+            Phase::WritingAnswer { close_reason: Some(reason), .. } => Some(Phase::HalfClosed { reason }),
+            Phase::WritingAnswer { close_reason: None, .. } => Some(Phase::Reading),
             _ => None,
         }
     }
 
     /// Whether one may follow on the other; every other change is a mistake in this program.
-    pub fn may_become(&self, next: &Phase) -> bool {
+    pub fn can_become(&self, next: &Phase) -> bool {
         matches!(
             (self, next),
-            (Phase::Reading, Phase::Waiting { .. } | Phase::Answering { .. } | Phase::Ending { .. })
-                | (Phase::Waiting { .. }, Phase::Answering { .. })
-                | (Phase::Answering { .. }, Phase::Answering { .. } | Phase::Reading | Phase::Ending { .. })
+            (
+                Phase::Reading,
+                Phase::AwaitingAnswer { .. } | Phase::WritingAnswer { .. } | Phase::HalfClosed { .. }
+            ) | (Phase::AwaitingAnswer { .. }, Phase::WritingAnswer { .. })
+                | (
+                    Phase::WritingAnswer { .. },
+                    Phase::WritingAnswer { .. } | Phase::Reading | Phase::HalfClosed { .. }
+                )
         )
     }
 }
--- a/crates/gateway/src/services.rs
+++ b/crates/gateway/src/services.rs
@@ -19,11 +19,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
     /// RPCs here ask for it, by this number.
-    Asked(u32),
+    Requested(u32),
     /// No class here asks for it.
-    NotAsked,
+    NotRequested,
     /// The server's name tells none.
-    Untold,
+    Unspecified,
 }
 
 /// A service that this process is not asked for.
@@ -63,11 +63,11 @@
 
     /// The service of a server with this name.
     pub fn of_server(&self, name: &str) -> Service {
-        let Some(separator) = self.separator else { return Service::Asked(0) };
+        let Some(separator) = self.separator else { return Service::Requested(0) };
         match name.split_once(separator) {
-            None | Some(("", _)) => Service::Untold,
+            None | Some(("", _)) => Service::Unspecified,
             Some((service, _)) => {
-                self.numbers.get(service).map_or(Service::NotAsked, |number| Service::Asked(*number))
+                self.numbers.get(service).map_or(Service::NotRequested, |number| Service::Requested(*number))
             }
         }
     }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -12,12 +12,12 @@
 /// New connections are taken for so long. They keep coming for 0.2 to 0.4 s after SIGTERM.
 const LISTEN: Nanos = 500 * MS;
 /// For so long a message may come in that had begun, or that is the first on its connection.
-const LAST_CALL: Nanos = 1_000 * MS;
+const READ_PERIOD: Nanos = 1_000 * MS;
 /// Before SIGKILL: by when every RPC has its answer. Covers a process that is held up for 0.15 s and a long turn of the
 /// loop. Harm: an answer that would have come in this last moment is not waited for.
 const ANSWER_MARGIN: Nanos = 250 * MS;
 /// How long before `answer_by` nothing new is waited for, so that what came last can still be tried.
-const LAST_CALL_MARGIN: Nanos = 50 * MS;
+const READ_MARGIN: Nanos = 50 * MS;
 /// Before SIGKILL: when the process ends, whatever is still open.
 const EXIT_MARGIN: Nanos = 100 * MS;
 
@@ -29,7 +29,7 @@
     /// Connections are taken until then.
     pub listen_until: Nanos,
     /// Then what is not whole is refused, and connections that have said nothing are closed.
-    pub last_call: Nanos,
+    pub read_until: Nanos,
     /// Every RPC has its final answer by then.
     pub answer_by: Nanos,
     /// Whatever is open is closed then, and the process ends.
@@ -41,11 +41,11 @@
     pub fn new(signalled_at: Nanos, longest_deadline: Nanos) -> Shutdown {
         let until_kill = longest_deadline.min(DEADLINE_MOST) + KILL_GRACE;
         let answer_after = until_kill - ANSWER_MARGIN;
-        let last_call_after = LAST_CALL.min(answer_after - LAST_CALL_MARGIN);
+        let read_for = READ_PERIOD.min(answer_after - READ_MARGIN);
         Shutdown {
             signalled_at,
-            listen_until: signalled_at + LISTEN.min(last_call_after),
-            last_call: signalled_at + last_call_after,
+            listen_until: signalled_at + LISTEN.min(read_for),
+            read_until: signalled_at + read_for,
             answer_by: signalled_at + answer_after,
             exit_at: signalled_at + until_kill - EXIT_MARGIN,
         }
@@ -56,7 +56,7 @@
         Shutdown {
             signalled_at: self.signalled_at,
             listen_until: self.listen_until.min(other.listen_until),
-            last_call: self.last_call.min(other.last_call),
+            read_until: self.read_until.min(other.read_until),
             answer_by: self.answer_by.min(other.answer_by),
             exit_at: self.exit_at.min(other.exit_at),
         }
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -24,12 +24,12 @@
         self.heap.push(Reverse((at, self.set, what)));
     }
 
-    pub fn next(&self) -> Option<Nanos> {
+    pub fn next_due(&self) -> Option<Nanos> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Takes out the first timers for as long as they are stale.
-    pub fn skip(&mut self, stale: impl Fn(&T) -> bool) {
+    pub fn discard_stale(&mut self, stale: impl Fn(&T) -> bool) {
         while self.heap.peek().is_some_and(|Reverse((.., what))| stale(what)) {
             self.heap.pop();
         }
@@ -42,11 +42,11 @@
     /// timers.set(20, "later");
     /// timers.set(10, "first");
     /// timers.set(10, "second");
-    /// assert_eq!(timers.next(), Some(10));
-    /// assert_eq!((timers.due(15), timers.due(15), timers.due(15)), (Some("first"), Some("second"), None));
+    /// assert_eq!(timers.next_due(), Some(10));
+    /// assert_eq!((timers.pop_due(15), timers.pop_due(15), timers.pop_due(15)), (Some("first"), Some("second"), None));
     /// ```
-    pub fn due(&mut self, now: Nanos) -> Option<T> {
-        self.next().filter(|at| *at <= now)?;
+    pub fn pop_due(&mut self, now: Nanos) -> Option<T> {
+        self.next_due().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((.., what))| what)
     }
 }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
-use gateway::list_update::{Change, Changes, WORK_A_TURN};
+use gateway::list_update::{ListUpdate, ServerChange, WORK_PER_TURN};
 use gateway::objects::{DEPTH_MOST, ELEMENT_MOST, FRAME_MOST};
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
@@ -298,19 +298,19 @@
 
     /// Brings a list into force with so much work a turn.
     fn take(&mut self, told: Told, work_a_turn: usize) -> Effort {
-        let mut changes = Changes::new(told);
+        let mut changes = ListUpdate::new(told);
         let mut effort = Effort { fewest_ready: usize::MAX, turns: 1, ..Effort::default() };
         let mut work = work_a_turn;
         while !changes.is_done() {
-            let Some(batch) = changes.next(&self.servers, &mut self.directory, &mut work) else {
+            let Some(batch) = changes.next_batch(&self.servers, &mut self.directory, &mut work) else {
                 (work, effort.turns) = (work_a_turn, effort.turns + 1);
                 continue;
             };
-            let size = batch.leaving.len() + batch.coming.len();
+            let size = batch.unavailable.len() + batch.available.len();
             (effort.changed, effort.most) = (effort.changed + size, effort.most.max(size));
-            effort.left.extend(batch.leaving.iter().map(|change| change.listed.key));
-            effort.came.extend(batch.coming.iter().map(|change| change.listed.key));
-            for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+            effort.left.extend(batch.unavailable.iter().map(|change| change.listed.key));
+            effort.came.extend(batch.available.iter().map(|change| change.listed.key));
+            for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
                 match address {
                     Some(address) => drop(self.servers.list(&listed, address)),
                     None => drop(self.servers.take_off(listed.key)),
@@ -341,9 +341,9 @@
     for size in [100, 20_000] {
         let mut held = Held::default();
         assert_eq!(held.take(told(true, names(0, size), "ready"), usize::MAX).changed, size);
-        let (mut work, mut changes) = (1000, Changes::new(told(false, names(7, 8), "draining")));
-        let batch = changes.next(&held.servers, &mut held.directory, &mut work).unwrap();
-        assert!(changes.is_done() && batch.leaving.len() == 1 && batch.coming.is_empty());
+        let (mut work, mut changes) = (1000, ListUpdate::new(told(false, names(7, 8), "draining")));
+        let batch = changes.next_batch(&held.servers, &mut held.directory, &mut work).unwrap();
+        assert!(changes.is_done() && batch.unavailable.len() == 1 && batch.available.is_empty());
         assert_eq!(1000 - work, 3, "one compared and one changed, among {size}");
         // Told once more it is nothing new, and so is the whole list with it.
         held.take(told(false, names(7, 8), "draining"), 1000);
@@ -361,9 +361,9 @@
     // Half are gone, some drain, and as many are new, behind those that stay.
     let mut next = told(true, names(5_000, 15_000), "ready");
     next.entries[4_999].ready = false;
-    let effort = held.take(next, WORK_A_TURN);
+    let effort = held.take(next, WORK_PER_TURN);
     assert_eq!((effort.changed, held.ready()), (10_001, 9_999));
-    assert!(effort.most <= WORK_A_TURN / 2, "{} in a batch", effort.most);
+    assert!(effort.most <= WORK_PER_TURN / 2, "{} in a batch", effort.most);
     assert!(effort.left.contains(&key(9_999)) && effort.left.len() == 5_001);
     assert!(effort.turns < 70, "{} turns", effort.turns);
     assert_eq!(effort.came[..3], [key(10_000), key(10_001), key(10_002)], "in the list's order");
@@ -374,7 +374,7 @@
 fn a_list_that_replaces_every_server_leaves_no_moment_without_any() {
     let mut held = Held::default();
     held.take(told(true, names(0, 2_000), "ready"), usize::MAX);
-    let effort = held.take(told(true, names(2_000, 4_000), "ready"), WORK_A_TURN);
+    let effort = held.take(told(true, names(2_000, 4_000), "ready"), WORK_PER_TURN);
     assert_eq!((effort.changed, held.ready()), (4_000, 2_000));
     assert!(effort.fewest_ready >= 400, "{} ready at the least", effort.fewest_ready);
 }
@@ -386,7 +386,7 @@
     for (first, second, ready) in [("gone", "ready", 10), ("ready", "gone", 9)] {
         let mut both = told(false, names(3, 4), first);
         both.entries.extend(told(false, names(3, 4), second).entries);
-        held.take(both, WORK_A_TURN);
+        held.take(both, WORK_PER_TURN);
         assert_eq!(held.ready(), ready, "{first}, then {second}");
     }
 }
@@ -395,13 +395,13 @@
 fn a_list_goes_back_empties_and_grows_from_two_to_two_thousand() {
     let mut held = Held::default();
     held.take(told(true, names(0, 2), "ready"), usize::MAX);
-    assert_eq!(held.take(told(true, names(0, 2_000), "ready"), WORK_A_TURN).changed, 1_998);
+    assert_eq!(held.take(told(true, names(0, 2_000), "ready"), WORK_PER_TURN).changed, 1_998);
     assert_eq!(
-        held.take(told(true, names(0, 2), "ready"), WORK_A_TURN).changed,
+        held.take(told(true, names(0, 2), "ready"), WORK_PER_TURN).changed,
         1_998,
         "back to what it was"
     );
-    held.take(told(false, names(0, 2), "gone"), WORK_A_TURN);
+    held.take(told(false, names(0, 2), "gone"), WORK_PER_TURN);
     assert!(held.servers.by_number.is_empty(), "nothing is held of servers that are gone");
 }
 
@@ -418,23 +418,23 @@
 fn a_server_tells_its_service_by_its_name_and_an_rpc_by_its_class() {
     let two = services(&format!("{{{CLASSES}}}")).unwrap();
     assert_eq!((two.of_class(0), two.of_class(1), two.of_class(2)), (1, 2, 2));
-    assert_eq!(two.of_server("catalog/s-1"), Service::Asked(1));
-    assert_eq!(two.of_server("orders/s-1/x"), Service::Asked(2));
-    assert_eq!(two.of_server("billing/s-1"), Service::NotAsked);
-    assert_eq!((two.of_server("s-1"), two.of_server("/s-1")), (Service::Untold, Service::Untold));
+    assert_eq!(two.of_server("catalog/s-1"), Service::Requested(1));
+    assert_eq!(two.of_server("orders/s-1/x"), Service::Requested(2));
+    assert_eq!(two.of_server("billing/s-1"), Service::NotRequested);
+    assert_eq!((two.of_server("s-1"), two.of_server("/s-1")), (Service::Unspecified, Service::Unspecified));
     let dotted = services(&format!("{{\"separator\":\".\",{CLASSES}}}")).unwrap();
-    assert_eq!(dotted.of_server("orders.s-1"), Service::Asked(2));
+    assert_eq!(dotted.of_server("orders.s-1"), Service::Requested(2));
     // Where none is told there is one, and every name is in it.
     let one = Services::default();
     assert_eq!(
         (one.of_class(2), one.of_server("s-1"), one.of_server("a/b")),
-        (0, Service::Asked(0), Service::Asked(0))
+        (0, Service::Requested(0), Service::Requested(0))
     );
     // Another version's classes keep the numbers of services that are held; others have no servers here.
     let other = CLASSES.replace("catalog", "billing");
     let later = two.with_classes_of(&services(&format!("{{{other}}}")).unwrap());
     assert_eq!((later.of_class(0), later.of_class(1)), (u32::MAX, 2));
-    assert_eq!(later.of_server("catalog/s-1"), Service::Asked(1));
+    assert_eq!(later.of_server("catalog/s-1"), Service::Requested(1));
 }
 
 #[test]
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -4,7 +4,7 @@
 use gateway::config::Config;
 use gateway::counter::{Call, DEAD_AFTER, Line};
 use gateway::driver::Ending;
-use gateway::guard::Effect;
+use gateway::guard::RetrySafety;
 use gateway::http::{Bad, Chunks};
 use gateway::list::Watch;
 use gateway::servers::{self, Attempt, Body, Link, Reuses, Servers};
@@ -34,9 +34,9 @@
     assert_eq!((get("classes.count"), get("classes.1.idempotency")), ("3", "guarded"));
     assert_eq!((get("tariffs.0.perSecond"), get("localities")), ("100.0", "a,b"));
     assert_eq!(config.setting("ceilings.connIdle"), Some(15.0));
-    let effects: Vec<Effect> = config.methods.iter().map(|method| method.effect).collect();
-    let deduplicated = Effect::Deduplicated { window: 5_000_000_000, anywhere: true };
-    assert_eq!(effects, [Effect::Idempotent, deduplicated, Effect::Once]);
+    let effects: Vec<RetrySafety> = config.methods.iter().map(|method| method.effect).collect();
+    let deduplicated = RetrySafety::Deduplicated { window: 5_000_000_000, all_servers: true };
+    assert_eq!(effects, [RetrySafety::Idempotent, deduplicated, RetrySafety::AtMostOnce]);
 }
 
 #[test]
--- a/crates/scale/src/player.rs
+++ b/crates/scale/src/player.rs
@@ -103,7 +103,7 @@
     pub fn step(&mut self) {
         self.asked.now += self.every;
         let now = self.asked.now;
-        while let Some(token) = self.asked.timers.due(now) {
+        while let Some(token) = self.asked.timers.pop_due(now) {
             self.replica.brain.woke(&mut self.asked, now, token);
             self.answer_counts();
         }
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -5,7 +5,7 @@
 use crate::deployment::{START, Service, zones};
 use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
-use gateway::list_update::{Change, Changes};
+use gateway::list_update::{ListUpdate, ServerChange};
 use gateway::servers::Servers;
 use martenramp::brain::Brain;
 use martenramp::host::{Listed, Nanos};
@@ -89,18 +89,18 @@
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
 pub fn batches(told: Told, servers: &mut Servers, directory: &mut Directory) -> Vec<Vec<Listed>> {
-    let mut changes = Changes::new(told);
+    let mut changes = ListUpdate::new(told);
     let mut lists = Vec::new();
     while !changes.is_done() {
         let mut work = usize::MAX;
-        let Some(batch) = changes.next(servers, directory, &mut work) else { break };
-        let changed = batch.leaving.into_iter().chain(batch.coming);
+        let Some(batch) = changes.next_batch(servers, directory, &mut work) else { break };
+        let changed = batch.unavailable.into_iter().chain(batch.available);
         lists.push(changed.filter_map(|change| listed(change, servers)).collect());
     }
     lists
 }
 
-fn listed(change: Change, servers: &mut Servers) -> Option<Listed> {
+fn listed(change: ServerChange, servers: &mut Servers) -> Option<Listed> {
     match change.address {
         Some(address) => {
             let (server, _) = servers.list(&change.listed, address);
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -135,8 +135,8 @@
     fn play(&mut self, rpcs: u64) {
         self.events.set(START, (0, Event::Arrives));
         let last = START + rpcs * SECOND / self.rate;
-        while let Some(at) = self.events.next().filter(|at| *at < last + PATIENCE) {
-            let Some((gateway, event)) = self.events.due(at) else { return };
+        while let Some(at) = self.events.next_due().filter(|at| *at < last + PATIENCE) {
+            let Some((gateway, event)) = self.events.pop_due(at) else { return };
             self.happens(at, gateway, event, rpcs);
         }
     }
@@ -202,8 +202,8 @@
                 Event::Answered { rpc: open.rpc, server: open.server, attempt: open.attempt, sent: now };
             self.events.set(now + SERVED_IN, (gateway, event));
         }
-        while let Some(at) = asked.timers.next() {
-            if let Some(token) = asked.timers.due(at) {
+        while let Some(at) = asked.timers.next_due() {
+            if let Some(token) = asked.timers.pop_due(at) {
                 self.events.set(at, (gateway, Event::Woke(token)));
             }
         }
