--- a/benches/spread.rs
+++ b/benches/spread.rs
@@ -10,13 +10,13 @@
             key: key(&format!("s{at:04}")),
             zone: at as u16 % 3,
             weight: 1.0,
-            near: at.is_multiple_of(3),
+            same_zone: at.is_multiple_of(3),
         };
         let endpoints: Vec<Endpoint> = (0..count).map(endpoint).collect();
         c.bench_function(&format!("list {fleet} gateways {count} servers"), |bench| {
             bench.iter(|| {
                 let mut subsetter = Subsetter::new(Some(1), fleet, 7);
-                subsetter.update(endpoints.clone(), 18.0);
+                subsetter.set_endpoints(endpoints.clone(), 18.0);
                 subsetter.subset_len()
             });
         });
--- a/benches/subsetting_figures.rs
+++ b/benches/subsetting_figures.rs
@@ -42,7 +42,7 @@
         key: key(&format!("s{at:04}")),
         zone: at as u16 % zones,
         weight: 1.0,
-        near: false,
+        same_zone: false,
     };
     (0..count).map(endpoint).collect()
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -58,7 +58,7 @@
             key: subsetting::key(&format!("s{at:04}")),
             zone: at as u16 % 2,
             weight: 1.0,
-            near: false,
+            same_zone: false,
         })
         .collect();
     let parts: Vec<BTreeSet<u32>> =
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -199,7 +199,7 @@
         self.settings = Arc::new(settings);
         self.nowhere.clear();
         let gateways = self.gateways() as usize;
-        self.services.values_mut().for_each(|service| service.subsetter.resize(gateways));
+        self.services.values_mut().for_each(|service| service.subsetter.set_fleet_size(gateways));
         let services: Vec<u32> = self.services.keys().copied().collect();
         services.into_iter().for_each(|at| self.share_out(now, at));
     }
@@ -396,7 +396,7 @@
             server.open.push_back((id, nth, now));
             server.cold = (now, 1.0);
             let service = self.services.get_mut(&server.listed.service);
-            service.into_iter().for_each(|service| service.subsetter.took(chosen));
+            service.into_iter().for_each(|service| service.subsetter.record_sent(chosen));
         }
         let attempt = OpenAttempt { server: chosen, customer: key, sent_at: now, soft_deadline, refund };
         self.open.insert((id, nth), attempt);
--- a/src/brain/server_choice.rs
+++ b/src/brain/server_choice.rs
@@ -43,7 +43,7 @@
         let (soft, typical) = (secs(rpc.soft), self.typical(now));
         let least = (9.0 / self.gateways()).clamp(1.0, 3.0);
         let is_cold = |id: &&u32| self.warmth(now, &self.servers[*id].listed) < 1.0;
-        service.subsetter.share(service.subsetter.shared().iter().filter(is_cold).copied().collect());
+        service.subsetter.set_shared(service.subsetter.shared().iter().filter(is_cold).copied().collect());
         let carries =
             if service.subsetter.shared().is_empty() { 0.0 } else { self.carries(now, rpc.service) };
         let (mut drawn, mut last_resort) = (Vec::new(), Vec::new());
@@ -81,12 +81,12 @@
                 || !in_group(&server.listed)
                 || !self.cold_room(now, server, carries)
             {
-                service.subsetter.passed_over(ready[place]);
+                service.subsetter.skip_turn(ready[place]);
                 continue;
             }
             let unwell = server.rests(now, self.gateways()) || server.hangs(now, typical);
             if unwell {
-                service.subsetter.passed_over(ready[place]);
+                service.subsetter.skip_turn(ready[place]);
             }
             if unwell { &mut last_resort } else { &mut drawn }.push(ready[place]);
         }
--- a/src/brain/server_list.rs
+++ b/src/brain/server_list.rs
@@ -61,29 +61,29 @@
         let is_ready = |id: &u32| self.ready.get(&service).is_some_and(|ready| ready.contains(id));
         let came: BTreeSet<u32> = change.came.iter().copied().filter(is_ready).collect();
         let gone: Vec<u32> = change.gone.iter().copied().filter(|id| !is_ready(id)).collect();
-        at.subsetter.change(&gone, self.endpoints(came.iter()), SUBSET_COUNT);
+        at.subsetter.apply_change(&gone, self.endpoints(came.iter()), SUBSET_COUNT);
         let is_cold = |id: &u32| self.warmth(now, &self.servers[id].listed) < 1.0;
         let shared = at.subsetter.shared().iter().copied();
         let new = came.iter().copied().filter(|id| !at.subsetter.is_shared(*id));
         let shared: Vec<u32> = shared.chain(new).filter(is_cold).collect();
-        at.subsetter.share(shared);
+        at.subsetter.set_shared(shared);
         self.services.insert(service, at);
     }
 
     /// When there is work on subsets to be done; nothing if all are worked out.
     pub fn subsets_due(&self) -> Option<Nanos> {
-        let stale = self.services.values().filter(|at| !at.subsetter.is_worked_out());
+        let stale = self.services.values().filter(|at| !at.subsetter.is_up_to_date());
         stale.map(|at| at.rests_until).min()
     }
 
     /// Goes on with the subset that is due first, for so many units of some nanoseconds.
     pub fn work_on_subsets(&mut self, now: Nanos, units: usize) {
-        let stale = self.services.values_mut().filter(|at| !at.subsetter.is_worked_out());
+        let stale = self.services.values_mut().filter(|at| !at.subsetter.is_up_to_date());
         let Some(at) = stale.min_by_key(|at| at.rests_until).filter(|at| at.rests_until <= now) else {
             return;
         };
         let mut left = units;
-        let done = at.subsetter.work(&mut left);
+        let done = at.subsetter.advance(&mut left);
         at.worked += units - left;
         if done {
             let rest = std::mem::take(&mut at.worked) as Nanos * REST_PER_UNIT;
@@ -122,7 +122,7 @@
         let near = self.setting("zone", -1.0);
         let endpoint = |id: &u32| {
             let Listed { key, zone, weight, .. } = self.servers[id].listed;
-            Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == near }
+            Endpoint { id: *id, key, zone, weight, same_zone: f64::from(zone) == near }
         };
         ids.map(endpoint).collect()
     }
@@ -131,9 +131,9 @@
     pub(super) fn share_out(&mut self, now: Nanos, service: u32) {
         let Some(mut at) = self.services.remove(&service) else { return };
         let endpoints = self.endpoints(self.ready.get(&service).into_iter().flatten());
-        at.subsetter.update(endpoints, SUBSET_COUNT);
+        at.subsetter.set_endpoints(endpoints, SUBSET_COUNT);
         let is_cold = |id: &&u32| self.warmth(now, &self.servers[*id].listed) < 1.0;
-        at.subsetter.share(at.subsetter.order().iter().filter(is_cold).copied().collect());
+        at.subsetter.set_shared(at.subsetter.order().iter().filter(is_cold).copied().collect());
         self.services.insert(service, at);
     }
 }
--- a/src/subsetting/mod.rs
+++ b/src/subsetting/mod.rs
@@ -29,7 +29,7 @@
 const FAR: f64 = 1.1;
 /// A weight below counts as this.
 const WEIGHT_MIN: f64 = 0.05;
-/// What setting the order and the costs takes for an endpoint, in units of [`Subsetter::work`].
+/// What setting the order and the costs takes for an endpoint, in units of [`Subsetter::advance`].
 const ORDER_UNITS: usize = 32;
 
 /// A server of the service, as the list has it.
@@ -41,7 +41,7 @@
     pub zone: u16,
     pub weight: f64,
     /// In this gateway's zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 /// The key of a server's name, the same at every gateway.
@@ -95,7 +95,7 @@
     }
 
     /// The fleet is told to have another size: all is to be worked out anew.
-    pub fn resize(&mut self, fleet: usize) {
+    pub fn set_fleet_size(&mut self, fleet: usize) {
         self.fleet = fleet.max(self.number.map_or(1, |number| number + 1));
         let endpoints: Vec<Endpoint> = self.table.endpoints().copied().collect();
         self.table = Table::new(self.fleet);
@@ -106,17 +106,17 @@
 
     /// Takes the whole list, and works all of it out; every endpoint of mean weight is to be in `subset_count` subsets, or in
     /// more where gateways would have too few endpoints.
-    pub fn update(&mut self, endpoints: Vec<Endpoint>, subset_count: f64) {
+    pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>, subset_count: f64) {
         let named: BTreeSet<u32> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         let gone = self.table.endpoints().map(|endpoint| endpoint.id).filter(|id| !named.contains(id));
         let gone: Vec<u32> = gone.collect();
-        self.change(&gone, endpoints, subset_count);
+        self.apply_change(&gone, endpoints, subset_count);
         self.finish();
     }
 
     /// Follows a change of the list: these left, and these came or are other than they were. Nothing that left is drawn any
-    /// more; what came can be drawn, and has its place in the subsets once [`Subsetter::work`] is done.
-    pub fn change(&mut self, gone: &[u32], came: Vec<Endpoint>, subset_count: f64) {
+    /// more; what came can be drawn, and has its place in the subsets once [`Subsetter::advance`] is done.
+    pub fn apply_change(&mut self, gone: &[u32], came: Vec<Endpoint>, subset_count: f64) {
         if self.subset_count != subset_count {
             self.subset_count = subset_count;
             self.table.set_count(subset_count);
@@ -155,21 +155,21 @@
     }
 
     /// Whether the subset is that of the list.
-    pub fn is_worked_out(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         self.table.is_done() && self.taking.is_none()
     }
 
     /// Works all of it out.
     pub fn finish(&mut self) {
-        while !self.is_worked_out() {
+        while !self.is_up_to_date() {
             let mut units = usize::MAX;
-            self.work(&mut units);
+            self.advance(&mut units);
         }
     }
 
     /// Goes on working the subset out for as long as `units` allow, each some nanoseconds; takes off what it used. Returns
     /// whether a subset holds from now on, which may be that of a list that has changed meanwhile.
-    pub fn work(&mut self, units: &mut usize) -> bool {
+    pub fn advance(&mut self, units: &mut usize) -> bool {
         if let Some(next) = self.next.take() {
             self.taking = None;
             *units = units.saturating_sub(ORDER_UNITS * next.endpoints.len());
@@ -221,7 +221,7 @@
 
     /// What a turn costs at an endpoint: 1 in the mean.
     fn cost(&self, endpoint: &Endpoint) -> Cost {
-        let far = if endpoint.near { 1.0 } else { FAR };
+        let far = if endpoint.same_zone { 1.0 } else { FAR };
         let cost = |count: usize| count as f64 / weight(endpoint) * far;
         let mean = if self.means.cost > 0.0 { self.means.cost } else { cost(self.count(endpoint)) };
         Cost { own: cost(self.count(endpoint)) / mean, shared: cost(self.fleet) / mean }
@@ -266,14 +266,14 @@
 
     /// This endpoint was drawn and could not take an RPC: its turn is lost. Guards against a herd of all gateways at a
     /// server that was bad, full or cold, once it is able again. Harm: it gets a little less than its share.
-    pub fn passed_over(&mut self, id: u32) {
+    pub fn skip_turn(&mut self, id: u32) {
         self.turns.passed_over(id);
     }
 
     /// From now on the whole fleet draws from these (they are cold, and have a budget in common), and no longer from
     /// others it did. Guards against a herd at each that comes: for a gateway's first turn there it waits a random part of
     /// the time between two. Afterwards it waits for the same part of the shorter time between two of its own turns.
-    pub fn share(&mut self, ids: Vec<u32>) {
+    pub fn set_shared(&mut self, ids: Vec<u32>) {
         self.turns.share(ids);
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// An RPC went to this endpoint.
-    pub fn took(&mut self, id: u32) {
+    pub fn record_sent(&mut self, id: u32) {
         self.turns.took(id, &self.order[..self.subset_len]);
     }
 }
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -128,7 +128,8 @@
 
 /// The servers of this gateway's part.
 fn part() -> BTreeSet<u32> {
-    let member = |id: u32| Endpoint { id, key: u64::from(id), zone: id as u16 % 2, weight: 1.0, near: false };
+    let member =
+        |id: u32| Endpoint { id, key: u64::from(id), zone: id as u16 % 2, weight: 1.0, same_zone: false };
     let members: Vec<Endpoint> = (1..=SERVERS).map(member).collect();
     subsetting::subsets(&members, GATEWAYS, 18.0).swap_remove(0).into_iter().collect()
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -11,7 +11,7 @@
         key: key(&format!("s{at:04}")),
         zone: at as u16 % zones,
         weight: 1.0,
-        near: false,
+        same_zone: false,
     };
     (0..count).map(one).collect()
 }
@@ -78,7 +78,7 @@
             let mut list = members.clone();
             list.rotate_left(number % count + 1);
             let mut own = Subsetter::new(Some(number), fleet, salt);
-            own.update(list, SUBSET_COUNT);
+            own.set_endpoints(list, SUBSET_COUNT);
             assert_eq!(own.order().len(), count);
             assert_eq!(
                 own.order()[..own.subset_len()].iter().copied().collect::<BTreeSet<_>>(),
@@ -112,7 +112,7 @@
     }
     // Few gateways: a heavy server is in all parts and its turns come more often there.
     let mut spread = Subsetter::new(Some(0), 20, 1);
-    spread.update(members.clone(), SUBSET_COUNT);
+    spread.set_endpoints(members.clone(), SUBSET_COUNT);
     let own: Vec<u32> = spread.order()[..spread.subset_len()].to_vec();
     let sent = send(&mut spread, &own, 2000, |_| 1.0);
     let each = |kind: u32| {
@@ -129,7 +129,7 @@
     for _ in 0..count {
         let three = chance.choose_multiple(own.iter().copied(), 3);
         let id = spread.pick(&three.iter().map(|id| (*id, bears(*id))).collect::<Vec<_>>()).unwrap();
-        spread.took(id);
+        spread.record_sent(id);
         sent[id as usize] += 1;
     }
     sent
@@ -138,7 +138,7 @@
 #[test]
 fn turns_come_out_nearly_even_pass_over_the_worst_and_are_not_caught_up_with() {
     let mut spread = Subsetter::new(Some(3), 60, 5);
-    spread.update(members(60, 2), SUBSET_COUNT);
+    spread.set_endpoints(members(60, 2), SUBSET_COUNT);
     let own: Vec<u32> = spread.order()[..spread.subset_len()].to_vec();
     // What they bear differs, as a few samples make it seem: all have had nearly as many turns.
     let sent = send(&mut spread, &own, own.len() * 20, |id| 1.0 + f64::from(id * 7 % 10) / 11.0);
@@ -160,7 +160,7 @@
             let shared = spread.shared().iter().filter(|id| !part.contains(id));
             let three = chance.choose_multiple(part.iter().chain(shared).copied(), 3);
             let id = spread.pick(&three.iter().map(|id| (*id, 1.0)).collect::<Vec<_>>()).unwrap();
-            spread.took(id);
+            spread.record_sent(id);
             sent[id as usize] += 1;
         }
     }
@@ -172,14 +172,14 @@
     let mut chance = fastrand::Rng::with_seed(8);
     let mut fleet: Vec<Subsetter> =
         (0..100).map(|number| Subsetter::new(Some(number), 100, number as u64)).collect();
-    fleet.iter_mut().for_each(|spread| spread.update(members(50, 2), SUBSET_COUNT));
+    fleet.iter_mut().for_each(|spread| spread.set_endpoints(members(50, 2), SUBSET_COUNT));
     rounds(&mut fleet, &mut chance, 30);
     // Ten more come, cold. Were all owed even one turn by each gateway, they would have five times the mean; they get
     // under twice of it at first, though no cold budget holds them back here, and the mean in the long run.
     let new: Vec<u32> = (50..60).collect();
     for spread in &mut fleet {
-        spread.update(members(60, 2), SUBSET_COUNT);
-        spread.share(new.clone());
+        spread.set_endpoints(members(60, 2), SUBSET_COUNT);
+        spread.set_shared(new.clone());
     }
     let each = |sent: &[usize], from: usize, to: usize| {
         sent[from..to].iter().sum::<usize>() as f64 / (to - from) as f64
@@ -190,7 +190,7 @@
         assert!(over > least && over < most, "in {count} rounds {over} of the mean: {sent:?}");
     }
     // Warm, they are left to those in whose part they are, who neither owe them turns nor hold back for long.
-    fleet.iter_mut().for_each(|spread| spread.share(Vec::new()));
+    fleet.iter_mut().for_each(|spread| spread.set_shared(Vec::new()));
     for (count, least, most) in [(6, 0.1, 1.4), (30, 0.6, 1.2), (100, 0.85, 1.15)] {
         let sent = rounds(&mut fleet, &mut chance, count);
         let over = each(&sent, 50, 60) / each(&sent, 0, 60);
@@ -203,7 +203,7 @@
     let mut chance = fastrand::Rng::with_seed(4);
     let mut fleet: Vec<Subsetter> =
         (0..100).map(|number| Subsetter::new(Some(number), 100, number as u64)).collect();
-    fleet.iter_mut().for_each(|spread| spread.update(members(60, 2), SUBSET_COUNT));
+    fleet.iter_mut().for_each(|spread| spread.set_endpoints(members(60, 2), SUBSET_COUNT));
     rounds(&mut fleet, &mut chance, 30);
     // One is bad for long, drawn and passed over: once it is well the fleet sends it no more than the others.
     let mut sent = vec![0; 60];
@@ -212,11 +212,11 @@
             let part: Vec<u32> = spread.order()[..spread.subset_len()].to_vec();
             let mut three = chance.choose_multiple(part.iter().copied(), 3);
             if round < 30 && three.contains(&7) {
-                spread.passed_over(7);
+                spread.skip_turn(7);
                 three.retain(|id| *id != 7);
             }
             let id = spread.pick(&three.iter().map(|id| (*id, 1.0)).collect::<Vec<_>>()).unwrap();
-            spread.took(id);
+            spread.record_sent(id);
             sent[id as usize] += usize::from(round >= 30);
         }
     }
@@ -228,11 +228,11 @@
 fn what_is_told_wrong_harms_only_a_little() {
     // A number beyond the fleet counts as the fleet's last; a list of nothing, or of one, is taken as it is.
     let mut spread = Subsetter::new(Some(9), 4, 1);
-    spread.update(Vec::new(), SUBSET_COUNT);
+    spread.set_endpoints(Vec::new(), SUBSET_COUNT);
     assert_eq!((spread.order().len(), spread.subset_len(), spread.pick(&[])), (0, 0, None));
     let mut odd = members(1, 1);
     odd[0].weight = f64::NAN;
-    spread.update(odd, SUBSET_COUNT);
+    spread.set_endpoints(odd, SUBSET_COUNT);
     assert_eq!((spread.order(), spread.subset_len()), (&[0][..], 1));
     // Two with one number: each server is in at most one part more.
     let members = members(60, 2);
@@ -243,10 +243,10 @@
     assert!(met.iter().zip(&wrong).all(|(met, wrong)| met.abs_diff(*wrong) <= 1));
     // Without a number a part of the mean size is drawn by the life's salt.
     let mut without = Subsetter::new(None, 100, 8);
-    without.update(members.clone(), SUBSET_COUNT);
+    without.set_endpoints(members.clone(), SUBSET_COUNT);
     assert_eq!(without.subset_len(), 11);
     // A few gateways draw from all.
     let mut few = Subsetter::new(Some(1), 4, 8);
-    few.update(members, SUBSET_COUNT);
+    few.set_endpoints(members, SUBSET_COUNT);
     assert_eq!(few.subset_len(), 60);
 }
--- a/tests/subsetting.rs
+++ b/tests/subsetting.rs
@@ -12,7 +12,7 @@
         key: key(&format!("s{at:04}")),
         zone: at as u16 % zones,
         weight: 1.0,
-        near: false,
+        same_zone: false,
     };
     (0..count).map(endpoint).collect()
 }
@@ -53,16 +53,16 @@
     let all = endpoints(90, 3);
     let mut one_by_one = Subsetter::new(Some(5), 200, 1);
     for count in 60..=90 {
-        one_by_one.update(all[..count].to_vec(), SUBSET_COUNT);
+        one_by_one.set_endpoints(all[..count].to_vec(), SUBSET_COUNT);
     }
     let mut left = all.clone();
     for at in [70, 3, 41] {
         left.remove(at);
-        one_by_one.update(left.clone(), SUBSET_COUNT);
+        one_by_one.set_endpoints(left.clone(), SUBSET_COUNT);
     }
     let mut at_once = Subsetter::new(Some(5), 200, 2);
     left.reverse();
-    at_once.update(left.clone(), SUBSET_COUNT);
+    at_once.set_endpoints(left.clone(), SUBSET_COUNT);
     assert_eq!(one_by_one.order(), at_once.order());
     assert_eq!(own(&at_once), work_out(&left, 200)[5]);
 }
@@ -72,7 +72,7 @@
     let all = endpoints(2000, 4);
     let mut subsetter = Subsetter::new(Some(7), 600, 1);
     for (count, least, most) in [(2, 2, 2), (2000, 50, 80), (0, 0, 0), (20, 1, 3)] {
-        subsetter.update(all[..count].to_vec(), SUBSET_COUNT);
+        subsetter.set_endpoints(all[..count].to_vec(), SUBSET_COUNT);
         assert!((least..=most).contains(&subsetter.subset_len()), "{count}: {}", subsetter.subset_len());
         assert_eq!(subsetter.order().len(), count);
     }
@@ -88,7 +88,7 @@
     assert!(new as f64 <= 0.02 * pairs as f64, "{new} of {pairs}");
     let mut subsetter = Subsetter::new(Some(9), 400, 3);
     for (list, subset) in [(&all, &before[9]), (&left, &after[9]), (&all, &before[9])] {
-        subsetter.update(list.clone(), SUBSET_COUNT);
+        subsetter.set_endpoints(list.clone(), SUBSET_COUNT);
         assert_eq!(own(&subsetter), *subset);
     }
 }
@@ -123,30 +123,30 @@
         weighed.iter_mut().for_each(|endpoint| endpoint.weight = chance.f64() + 0.5);
         let number = chance.usize(..fleet);
         let mut in_steps = Subsetter::new(Some(number), fleet, 1);
-        in_steps.update(all.clone(), SUBSET_COUNT);
+        in_steps.set_endpoints(all.clone(), SUBSET_COUNT);
         let mut listed: BTreeSet<u32> = (0..all.len() as u32).collect();
         for _ in 0..60 {
             let changed = chance.u32(..all.len() as u32);
             if listed.remove(&changed) {
-                in_steps.change(&[changed], Vec::new(), SUBSET_COUNT);
+                in_steps.apply_change(&[changed], Vec::new(), SUBSET_COUNT);
             } else {
                 listed.insert(changed);
-                in_steps.change(&[], vec![weighed[changed as usize]], SUBSET_COUNT);
+                in_steps.apply_change(&[], vec![weighed[changed as usize]], SUBSET_COUNT);
             }
             assert_drawn_are(&in_steps, &listed);
             let mut units = chance.usize(..20_000);
-            in_steps.work(&mut units);
+            in_steps.advance(&mut units);
             assert_drawn_are(&in_steps, &listed);
         }
         // What never left has the weight that it was listed with first.
         let mut left = Vec::new();
         for id in &listed {
-            in_steps.change(&[], vec![weighed[*id as usize]], SUBSET_COUNT);
+            in_steps.apply_change(&[], vec![weighed[*id as usize]], SUBSET_COUNT);
             left.push(weighed[*id as usize]);
         }
         in_steps.finish();
         let mut at_once = Subsetter::new(Some(number), fleet, 2);
-        at_once.update(left.clone(), SUBSET_COUNT);
+        at_once.set_endpoints(left.clone(), SUBSET_COUNT);
         assert_eq!(in_steps.order(), at_once.order(), "seed {seed}");
         assert_eq!(own(&in_steps), work_out(&left, fleet)[number], "seed {seed}");
     }
@@ -157,12 +157,12 @@
     const STEP: usize = 50_000;
     let all = endpoints(count, 3);
     let mut subsetter = Subsetter::new(Some(5), fleet, 1);
-    subsetter.update(all, SUBSET_COUNT);
-    subsetter.change(&[1], Vec::new(), SUBSET_COUNT);
+    subsetter.set_endpoints(all, SUBSET_COUNT);
+    subsetter.apply_change(&[1], Vec::new(), SUBSET_COUNT);
     let (mut work, mut longest) = (0, 0);
-    while !subsetter.is_worked_out() {
+    while !subsetter.is_up_to_date() {
         let mut units = STEP;
-        subsetter.work(&mut units);
+        subsetter.advance(&mut units);
         work += STEP - units;
         longest = longest.max(STEP - units);
     }
