--- a/src/subsetting/filling.rs
+++ b/src/subsetting/local_fill.rs
@@ -1,7 +1,7 @@
 //! Filling a subset up by the gateway's own choice, where the table leaves it smaller than it should be.
 
+use super::assignment::SUBSET_LEAST;
 use super::table::{Line, raised_count};
-use super::taking::SUBSET_LEAST;
 use super::{Endpoint, weight};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/src/subsetting/mod.rs
+++ b/src/subsetting/mod.rs
@@ -7,22 +7,22 @@
 //! are worked out on their own, so that every gateway has its share of each zone, and the loss of one moves nothing in the
 //! others.
 //!
-//! Within its subset a gateway draws a few at random and sends to the one that has had fewest [`turns`] for its share.
+//! Within its subset a gateway draws a few at random and sends to the one that has had fewest [`stride`] for its share.
 
 //!
 //! A change of the list is followed at once as far as it must be (what has left is drawn no more, what has come can be drawn),
 //! and the table is worked out anew in steps of bounded work, many changes at once.
 
+mod assignment;
 mod candidates;
-mod filling;
+mod local_fill;
+mod stride;
 mod table;
-mod taking;
-mod turns;
 
+use assignment::Taking;
 use std::collections::{BTreeMap, BTreeSet};
+use stride::{Cost, Turns};
 use table::{Line, Table};
-use taking::Taking;
-use turns::{Cost, Turns};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// A turn at an endpoint of another zone costs so much more.
@@ -193,7 +193,7 @@
     fn next_order(&mut self, mut line: Line) -> NextOrder {
         let endpoints: Vec<Endpoint> = self.table.endpoints().copied().collect();
         if let Some(number) = self.number {
-            filling::fill_up(&mut line, &endpoints, self.fleet, self.subset_count, number);
+            local_fill::fill_up(&mut line, &endpoints, self.fleet, self.subset_count, number);
         }
         self.means.weight = table::mean_weight(endpoints.iter());
         self.means.cost = 1.0;
@@ -309,7 +309,7 @@
     }
     for (gateway, ids) in subsets.iter_mut().enumerate() {
         let mut line = Line { subset_len: ids.len(), ids: std::mem::take(ids) };
-        filling::fill_up(&mut line, endpoints, fleet, subset_count, gateway);
+        local_fill::fill_up(&mut line, endpoints, fleet, subset_count, gateway);
         line.ids.truncate(line.subset_len);
         *ids = line.ids;
     }
--- a/src/subsetting/table.rs
+++ b/src/subsetting/table.rs
@@ -5,8 +5,8 @@
 //! proportion to the endpoints of the service, whatever the size of the fleet. The candidates are kept while endpoints come
 //! and go, and the table is worked out in steps of bounded work: a call never takes longer than it is allowed to.
 
+use super::assignment::{Plan, Taking};
 use super::candidates::{Candidates, last_rank};
-use super::taking::{Plan, Taking};
 use super::{Endpoint, weight};
 use std::collections::BTreeMap;
 
