--- a/crates/agreement/src/state.rs
+++ b/crates/agreement/src/state.rs
@@ -7,9 +7,9 @@
 mod tests;
 
 use crate::Nanos;
+use crate::config::Terms;
 use crate::lease::{Content, Lease};
 use crate::message::{LeaseMessage, MessageKind};
-use crate::terms::Terms;
 use grants::Grants;
 use std::collections::BTreeMap;
 
--- a/crates/agreement/src/state/tests.rs
+++ b/crates/agreement/src/state/tests.rs
@@ -3,9 +3,9 @@
 //! that covers the whole change of a version. Mistakes seeded by changing a gateway's state from here have to be found.
 
 use super::{Agreement, Mode, VoterPhase};
+use crate::config::Terms;
 use crate::lease::Content;
 use crate::message::{LeaseMessage, MessageKind};
-use crate::terms::Terms;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 use crate::services::Services;
 use crate::shutdown::longest_deadline;
 use agreement::Nanos;
-use agreement::terms::Terms;
+use agreement::config::Terms;
 use agreement::version::{Fallback, Version};
 use martenramp::host::Settings;
 use serde_json::Value;
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -10,7 +10,7 @@
 use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
-use agreement::terms::Terms;
+use agreement::config::Terms;
 use agreement::version::{Fallback, Version};
 use gateway::services::Services;
 use lab::chance::{self, Stream};
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -5,7 +5,7 @@
 use super::agreeing::{Agreeing, VersionFile};
 use super::discovery::number_of;
 use crate::replica::batches;
-use agreement::terms::Terms;
+use agreement::config::Terms;
 use gateway::counter::{self, Call, Line};
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -6,11 +6,11 @@
 use crate::alloc::uncounted;
 use crate::deployment::{START, WHOLE_INDEX};
 use crate::measure::{Operation, Traffic};
+use agreement::config::Terms;
 use agreement::lease::Content;
 use agreement::lists::{ListedServer, Lists};
 use agreement::message::LeaseMessage;
 use agreement::state::Agreement;
-use agreement::terms::Terms;
 use martenramp::host::Nanos;
 
 const SECOND: Nanos = 1_000_000_000;
