--- a/crates/etcd-standin/benches/watch.rs
+++ b/crates/etcd-standin/benches/watch.rs
@@ -21,7 +21,7 @@
         }
     });
     let (mut follower, read) = (Follower::new(b"/nodes/"), Instant::now());
-    follower.until(&standin, |members| members.view().len() == NODES);
+    follower.until(&standin, |members| members.merged().len() == NODES);
     println!("first read of {NODES} nodes: {:.1} ms", read.elapsed().as_secs_f64() * 1e3);
     let (messages_before, bytes_before) = standin.written();
     let mut took = Vec::with_capacity(DRAINS);
@@ -35,9 +35,9 @@
                 standin.with(|store| store.put(key.as_bytes(), &node(&address, "draining"), 0).unwrap());
             });
             let started = Instant::now();
-            let number = follower.members.number(&address);
+            let number = follower.members.server_number(&address);
             follower.until(&standin, |members| {
-                members.view().iter().any(|listed| listed.server == number && !listed.ready)
+                members.merged().iter().any(|listed| listed.server == number && !listed.ready)
             });
             started.elapsed().saturating_sub(Duration::from_millis(2))
         });
@@ -66,7 +66,7 @@
     standin.set_down(false);
     let back = Instant::now();
     standin.with(|store| store.put(b"/nodes/new", &node("127.0.2.1:10000", "ready"), 0).unwrap());
-    follower.until(&standin, |members| members.view().len() == NODES + 1);
+    follower.until(&standin, |members| members.merged().len() == NODES + 1);
     println!(
         "after an outage of 50 ms and a compaction: a new node seen {:.1} ms after etcd was back",
         back.elapsed().as_secs_f64() * 1e3
--- a/crates/etcd-standin/src/client.rs
+++ b/crates/etcd-standin/src/client.rs
@@ -2,9 +2,9 @@
 //! drives the membership watcher until a condition holds. Not for the gateway, whose peers are non-blocking.
 
 use crate::Standin;
-use membership::etcd::{self, Chunks, Stream};
+use membership::etcd::{self, ChunkedDecoder, WatchStreamDecoder};
 use membership::nodes::Members;
-use membership::watcher::{Next, Watcher};
+use membership::watcher::{Action, Watcher};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
     let (mut stream, mut got) = request(standin, "/v3/kv/range", body)?;
     let mut buffer = [0u8; 65536];
     loop {
-        if let Ok(reply) = etcd::range_reply(&got) {
+        if let Ok(reply) = etcd::parse_range_reply(&got) {
             return Some(reply);
         }
         let read = stream.read(&mut buffer).ok().filter(|read| *read > 0)?;
@@ -46,8 +46,8 @@
 /// An open watch stream.
 pub struct Watch {
     stream: TcpStream,
-    chunks: Chunks,
-    messages: Stream,
+    chunks: ChunkedDecoder,
+    messages: WatchStreamDecoder,
     pending: Vec<u8>,
 }
 
@@ -55,7 +55,12 @@
     /// Opens a watch with this request.
     pub fn open(standin: &Standin, body: &str) -> Option<Watch> {
         let (stream, pending) = request(standin, "/v3/watch", body)?;
-        Some(Watch { stream, chunks: Chunks::default(), messages: Stream::default(), pending })
+        Some(Watch {
+            stream,
+            chunks: ChunkedDecoder::default(),
+            messages: WatchStreamDecoder::default(),
+            pending,
+        })
     }
 
     /// The next messages, or none when the stream ended or broke.
@@ -90,7 +95,7 @@
     /// When it started.
     pub start: Instant,
     /// What is to be done next.
-    pub next: Next,
+    pub next: Action,
     watch: Option<Watch>,
 }
 
@@ -98,7 +103,7 @@
     /// A follower of this prefix.
     pub fn new(prefix: &[u8]) -> Follower {
         let mut watcher = Watcher::new(prefix, 1);
-        let next = watcher.read();
+        let next = watcher.start_range();
         Follower { watcher, members: Members::default(), start: Instant::now(), next, watch: None }
     }
 
@@ -116,34 +121,35 @@
             }
             let at = self.now();
             let (watcher, members) = (&mut self.watcher, &mut self.members);
-            self.next = match std::mem::replace(&mut self.next, Next::Nothing) {
-                Next::Range { body, .. } => match range(standin, &body) {
-                    Some(reply) => watcher.ranged(at, reply, members),
-                    None => watcher.broke(at),
+            self.next = match std::mem::replace(&mut self.next, Action::Nothing) {
+                Action::Range { body, .. } => match range(standin, &body) {
+                    Some(reply) => watcher.handle_range_reply(at, reply, members),
+                    None => watcher.handle_failure(at),
                 },
-                Next::Watch { body, .. } => match Watch::open(standin, &body) {
+                Action::Watch { body, .. } => match Watch::open(standin, &body) {
                     Some(opened) => {
                         self.watch = Some(opened);
-                        Next::Nothing
+                        Action::Nothing
                     }
-                    None => watcher.broke(at),
+                    None => watcher.handle_failure(at),
                 },
-                Next::Wait { until } => {
+                Action::Wait { until } => {
                     while now(self.start) < until {
                         std::thread::yield_now();
                     }
-                    watcher.woke(now(self.start), members)
+                    watcher.handle_timer(now(self.start), members)
                 }
-                Next::Nothing => match self.watch.as_mut().and_then(Watch::take) {
+                Action::Nothing => match self.watch.as_mut().and_then(Watch::take) {
                     Some(messages) => {
-                        let mut next = Next::Nothing;
+                        let mut next = Action::Nothing;
                         for message in messages {
-                            let reply = etcd::watch_message(&message).expect("the stand-in's messages read");
-                            next = watcher.watched(now(self.start), reply, members);
+                            let reply =
+                                etcd::parse_watch_message(&message).expect("the stand-in's messages read");
+                            next = watcher.handle_watch_message(now(self.start), reply, members);
                         }
                         next
                     }
-                    None => watcher.broke(at),
+                    None => watcher.handle_failure(at),
                 },
             };
         }
--- a/crates/etcd-standin/tests/loopback.rs
+++ b/crates/etcd-standin/tests/loopback.rs
@@ -4,7 +4,7 @@
 use etcd_standin::Standin;
 use etcd_standin::client::{Follower, Watch, node, range};
 use membership::etcd;
-use membership::watcher::Next;
+use membership::watcher::Action;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -17,7 +17,7 @@
         }
     });
     let mut follower = Follower::new(b"/nodes/");
-    follower.until(&standin, |members| members.view().len() == 3);
+    follower.until(&standin, |members| members.merged().len() == 3);
 
     // A drain written in etcd is seen, well within the bound of 2 s.
     let drained_at = Instant::now();
@@ -26,50 +26,50 @@
             std::thread::sleep(Duration::from_millis(20));
             standin.with(|store| store.put(b"/nodes/b", &node("127.0.0.1:2", "draining"), 0).unwrap());
         });
-        follower.until(&standin, |members| !members.view()[1].ready);
+        follower.until(&standin, |members| !members.merged()[1].ready);
         drained_at.elapsed()
     });
     assert!(feeder < Duration::from_secs(2), "the drain took {feeder:?}");
 
     // Changes and a compaction past the revision the watch will ask for: the watch is cancelled, a fresh read
     // replaces the list, and nothing is replayed wrongly.
-    let rereads = follower.watcher.reread;
+    let rereads = follower.watcher.rereads;
     standin.with(|store| {
         store.delete(b"/nodes/a", &[]);
         store.put(b"/nodes/d", &node("127.0.0.1:4", "ready"), 0).unwrap();
         let revision = store.revision;
         store.compact(revision).unwrap();
     });
-    let body = etcd::watch_body(b"/nodes/", follower.watcher.revision + 1);
+    let body = etcd::watch_request_body(b"/nodes/", follower.watcher.revision + 1);
     let mut stale = Watch::open(&standin, &body).unwrap();
-    let cancelled = etcd::watch_message(&stale.take().unwrap()[0]).unwrap();
+    let cancelled = etcd::parse_watch_message(&stale.take().unwrap()[0]).unwrap();
     assert!(matches!(cancelled, etcd::Reply::Cancelled { compacted: Some(_) }), "{cancelled:?}");
     let at = follower.now();
-    follower.next = follower.watcher.watched(at, cancelled, &mut follower.members);
-    assert!(matches!(follower.next, Next::Range { .. }));
+    follower.next = follower.watcher.handle_watch_message(at, cancelled, &mut follower.members);
+    assert!(matches!(follower.next, Action::Range { .. }));
     follower.until(&standin, |members| {
-        let view = members.view();
+        let view = members.merged();
         view.iter().filter(|listed| listed.ready).count() == 2 && view.len() == 3
     });
-    assert_eq!(follower.watcher.reread, rereads + 1);
+    assert_eq!(follower.watcher.rereads, rereads + 1);
 
     // etcd unreachable: the stream ends, the list stays as it was; back up, followed again.
     standin.set_down(true);
-    let before = follower.members.view().len();
+    let before = follower.members.merged().len();
     let outage = Instant::now();
     let mut tries = 0;
     while outage.elapsed() < Duration::from_millis(600) {
         tries += 1;
-        let Next::Range { body, .. } = follower.watcher.read() else { unreachable!() };
+        let Action::Range { body, .. } = follower.watcher.start_range() else { unreachable!() };
         assert!(range(&standin, &body).is_none(), "down means no answer");
         let at = follower.now();
-        follower.next = follower.watcher.broke(at);
+        follower.next = follower.watcher.handle_failure(at);
     }
     assert!(tries > 0);
-    assert_eq!(follower.members.view().len(), before, "an outage keeps the last known list");
+    assert_eq!(follower.members.merged().len(), before, "an outage keeps the last known list");
     standin.set_down(false);
     standin.with(|store| store.put(b"/nodes/e", &node("127.0.0.1:5", "ready"), 0).unwrap());
-    follower.until(&standin, |members| members.view().len() == 4);
+    follower.until(&standin, |members| members.merged().len() == 4);
     let (messages, bytes) = standin.written();
     assert!(messages > 0 && bytes > 0);
 }
--- a/crates/membership/src/etcd.rs
+++ b/crates/membership/src/etcd.rs
@@ -19,12 +19,12 @@
 }
 
 /// The body of a range request for every key under `prefix`.
-pub fn range_body(prefix: &[u8]) -> String {
+pub fn range_request_body(prefix: &[u8]) -> String {
     json!({"key": STANDARD.encode(prefix), "range_end": STANDARD.encode(prefix_end(prefix))}).to_string()
 }
 
 /// The body of a watch create request from `revision` on, with progress notifications.
-pub fn watch_body(prefix: &[u8], revision: i64) -> String {
+pub fn watch_request_body(prefix: &[u8], revision: i64) -> String {
     let create = json!({"key": STANDARD.encode(prefix), "range_end": STANDARD.encode(prefix_end(prefix)),
         "start_revision": revision.to_string(), "progress_notify": true});
     json!({"create_request": create}).to_string()
@@ -32,7 +32,7 @@
 
 /// A key and its value, decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct KeyValue {
     /// The key.
     pub key: Vec<u8>,
     /// Its value.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A key was set.
-    Put(Entry),
+    Put(KeyValue),
     /// A key was deleted.
     Delete(Vec<u8>),
 }
@@ -58,10 +58,10 @@
         /// The store's revision.
         revision: i64,
         /// The keys of the range.
-        entries: Vec<Entry>,
+        entries: Vec<KeyValue>,
     },
     /// One message of a watch stream: changes up to `revision` (none for a progress notification).
-    Watched {
+    Events {
         /// The store's revision.
         revision: i64,
         /// What changed.
@@ -125,8 +125,8 @@
     STANDARD.decode(text).map_err(|e| format!("not base64: {e}"))
 }
 
-fn entry(kv: &Kv) -> Result<Entry, String> {
-    Ok(Entry {
+fn entry(kv: &Kv) -> Result<KeyValue, String> {
+    Ok(KeyValue {
         key: bytes(&kv.key)?,
         value: bytes(&kv.value)?,
         mod_revision: number(&kv.mod_revision).unwrap_or(0),
@@ -134,7 +134,7 @@
 }
 
 /// Reads one range reply.
-pub fn range_reply(body: &[u8]) -> Result<Reply, String> {
+pub fn parse_range_reply(body: &[u8]) -> Result<Reply, String> {
     let body: Body = serde_json::from_slice(body).map_err(|e| format!("range reply: {e}"))?;
     let revision = number(&body.header.revision).ok_or("range reply without a revision")?;
     let entries = body.kvs.iter().map(entry).collect::<Result<_, _>>()?;
@@ -142,7 +142,7 @@
 }
 
 /// Reads one message of a watch stream, `{"result": {...}}` or `{"error": {...}}`.
-pub fn watch_message(message: &Value) -> Result<Reply, String> {
+pub fn parse_watch_message(message: &Value) -> Result<Reply, String> {
     if let Some(error) = message.get("error") {
         return Err(format!("watch error: {error}"));
     }
@@ -165,19 +165,19 @@
         }
     };
     let changes = body.events.iter().map(change).collect::<Result<_, _>>()?;
-    Ok(Reply::Watched { revision, changes })
+    Ok(Reply::Events { revision, changes })
 }
 
 /// Splits a watch stream's bytes into whole JSON messages; what is not whole yet stays in the buffer.
 #[derive(Default)]
-pub struct Stream {
+pub struct WatchStreamDecoder {
     buffer: Vec<u8>,
 }
 
 /// A watch stream's message may be no larger: a bound on what one peer can make the gateway hold.
-pub const MESSAGE_MOST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-impl Stream {
+impl WatchStreamDecoder {
     /// Takes bytes; gives the messages now whole, or an error if the stream can't be read on.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Value>, String> {
         self.buffer.extend_from_slice(bytes);
@@ -192,8 +192,8 @@
             }
         };
         self.buffer.drain(..used);
-        if self.buffer.len() > MESSAGE_MOST {
-            return Err(format!("watch stream: a message over {MESSAGE_MOST} bytes"));
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
+            return Err(format!("watch stream: a message over {MAX_MESSAGE_BYTES} bytes"));
         }
         Ok(messages)
     }
@@ -201,7 +201,7 @@
 
 /// HTTP/1.1's chunked transfer coding, as the JSON gateway sends a watch stream: fed bytes, gives the data.
 #[derive(Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     head: Vec<u8>,
     /// Bytes of data still due in the chunk being read, and whether its closing CRLF is.
     due: usize,
@@ -213,7 +213,7 @@
 /// A chunk's size line may be no longer: a bound against a peer that never ends one.
 const SIZE_LINE_MOST: usize = 1024;
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Takes bytes; gives the data they carry, or an error for a coding that is broken.
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<Vec<u8>, String> {
         let mut data = Vec::new();
--- a/crates/membership/src/nodes.rs
+++ b/crates/membership/src/nodes.rs
@@ -26,7 +26,7 @@
     /// Its weight.
     pub weight: f64,
     /// Clock time of its last start; 0 for long ago.
-    pub came_up: Nanos,
+    pub started_at: Nanos,
 }
 
 /// A node's value in etcd: `{"address": ..., "zone": ..., "state": "ready" | "draining", "weight": ..., "since_ms": ...}`.
@@ -52,7 +52,7 @@
 }
 
 /// Reads a node's value; the error says what is wrong with it.
-pub fn parse(value: &[u8]) -> Result<(String, Node), String> {
+pub fn parse_node(value: &[u8]) -> Result<(String, Node), String> {
     let value: Value = serde_json::from_slice(value).map_err(|e| format!("node value: {e}"))?;
     let ready = match value.state.as_str() {
         "ready" => true,
@@ -66,7 +66,7 @@
         zone: value.zone,
         ready,
         weight: value.weight,
-        came_up: value.since_ms.saturating_mul(1_000_000),
+        started_at: value.since_ms.saturating_mul(1_000_000),
     };
     Ok((value.address, node))
 }
@@ -88,13 +88,13 @@
 
 impl Members {
     /// A source's whole list, replacing what it said before.
-    pub fn replace(&mut self, now: Nanos, source: Source, nodes: BTreeMap<String, Node>) {
+    pub fn replace_list(&mut self, now: Nanos, source: Source, nodes: BTreeMap<String, Node>) {
         let held = self.sources.entry(source).or_default();
         (held.nodes, held.heard) = (nodes, Some(now));
     }
 
     /// One node as a source now lists it; `None` removes it from that source.
-    pub fn change(&mut self, now: Nanos, source: Source, address: &str, node: Option<Node>) {
+    pub fn update(&mut self, now: Nanos, source: Source, address: &str, node: Option<Node>) {
         let held = self.sources.entry(source).or_default();
         held.heard = Some(now);
         match node {
@@ -104,17 +104,17 @@
     }
 
     /// The source said something, if only that it lives (a progress notification).
-    pub fn heard(&mut self, now: Nanos, source: Source) {
+    pub fn record_contact(&mut self, now: Nanos, source: Source) {
         self.sources.entry(source).or_default().heard = Some(now);
     }
 
     /// How long since a source last spoke; none if it never did.
-    pub fn silent_for(&self, now: Nanos, source: Source) -> Option<Nanos> {
+    pub fn time_since_contact(&self, now: Nanos, source: Source) -> Option<Nanos> {
         Some(now.saturating_sub(self.sources.get(&source)?.heard?))
     }
 
     /// The number a server has for the module.
-    pub fn number(&mut self, address: &str) -> u32 {
+    pub fn server_number(&mut self, address: &str) -> u32 {
         let next = self.numbers.len() as u32;
         *self.numbers.entry(address.to_string()).or_insert(next)
     }
@@ -126,18 +126,18 @@
 
     /// The set as the module gets it, in order of address: ready only where every source that lists a node says so;
     /// a node that no source lists any more is gone.
-    pub fn view(&mut self) -> Vec<Listed> {
+    pub fn merged(&mut self) -> Vec<Listed> {
         let mut merged: BTreeMap<String, Node> = BTreeMap::new();
         for held in self.sources.values() {
             for (address, node) in &held.nodes {
                 let kept = merged.entry(address.clone()).or_insert_with(|| node.clone());
                 kept.ready &= node.ready;
-                kept.came_up = kept.came_up.max(node.came_up);
+                kept.started_at = kept.started_at.max(node.started_at);
             }
         }
         let mut list = Vec::with_capacity(merged.len());
         for (address, node) in merged {
-            let server = self.number(&address);
+            let server = self.server_number(&address);
             let zones = self.zones.len() as u16;
             let zone = *self.zones.entry(node.zone.clone()).or_insert(zones);
             list.push(Listed {
@@ -146,7 +146,7 @@
                 zone,
                 ready: node.ready,
                 weight: node.weight,
-                came_up: node.came_up,
+                came_up: node.started_at,
                 ..Listed::default()
             });
         }
--- a/crates/membership/src/watcher.rs
+++ b/crates/membership/src/watcher.rs
@@ -20,7 +20,7 @@
         from: i64,
     },
     /// Waiting before the next endpoint is tried.
-    Resting {
+    BackingOff {
         /// When the rest is over.
         until: Nanos,
     },
@@ -28,7 +28,7 @@
 
 /// What the driver is to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// POST this body to `/v3/kv/range` at the endpoint.
     Range {
         /// By its place in the configuration.
@@ -53,11 +53,11 @@
 }
 
 /// The first rest after a failure, and the longest.
-pub const REST_FIRST: Nanos = 100_000_000;
+pub const INITIAL_BACKOFF: Nanos = 100_000_000;
 /// The longest rest after a failure.
-pub const REST_MOST: Nanos = 5_000_000_000;
+pub const MAX_BACKOFF: Nanos = 5_000_000_000;
 /// With no message at all for so long, a watch is taken as broken (etcd sends progress notifications meanwhile).
-pub const SILENT_MOST: Nanos = 15_000_000_000;
+pub const WATCH_SILENCE_TIMEOUT: Nanos = 15_000_000_000;
 
 /// The state of following one prefix.
 pub struct Watcher {
@@ -72,9 +72,9 @@
     /// Each key's address, for deletes, which carry only the key.
     keys: BTreeMap<Vec<u8>, String>,
     /// Values that could not be read, and fresh ranges taken: for the logs.
-    pub unreadable: u64,
+    pub unreadable_values: u64,
     /// Fresh ranges that were taken.
-    pub reread: u64,
+    pub rereads: u64,
 }
 
 impl Watcher {
@@ -86,10 +86,10 @@
             at: 0,
             phase: Phase::Idle,
             revision: 0,
-            rest: REST_FIRST,
+            rest: INITIAL_BACKOFF,
             keys: BTreeMap::new(),
-            unreadable: 0,
-            reread: 0,
+            unreadable_values: 0,
+            rereads: 0,
         }
     }
 
@@ -99,96 +99,98 @@
     }
 
     /// Idle or rested: a range is asked.
-    pub fn read(&mut self) -> Next {
+    pub fn start_range(&mut self) -> Action {
         self.phase = Phase::Reading;
-        Next::Range { endpoint: self.at, body: etcd::range_body(&self.prefix) }
+        Action::Range { endpoint: self.at, body: etcd::range_request_body(&self.prefix) }
     }
 
     /// The range's answer: the list replaced whole, then a watch from the next revision.
-    pub fn ranged(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Next {
-        let Reply::Range { revision, entries } = reply else { return self.broke(now) };
+    pub fn handle_range_reply(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Action {
+        let Reply::Range { revision, entries } = reply else { return self.handle_failure(now) };
         let mut nodes = BTreeMap::new();
         self.keys.clear();
         for entry in entries {
-            match nodes::parse(&entry.value) {
+            match nodes::parse_node(&entry.value) {
                 Ok((address, node)) => {
                     self.keys.insert(entry.key, address.clone());
                     nodes.insert(address, node);
                 }
-                Err(_) => self.unreadable += 1,
+                Err(_) => self.unreadable_values += 1,
             }
         }
-        members.replace(now, Source::Etcd, nodes);
-        (self.revision, self.rest) = (revision, REST_FIRST);
+        members.replace_list(now, Source::Etcd, nodes);
+        (self.revision, self.rest) = (revision, INITIAL_BACKOFF);
         self.phase = Phase::Watching { from: revision + 1 };
-        Next::Watch { endpoint: self.at, body: etcd::watch_body(&self.prefix, revision + 1) }
+        Action::Watch { endpoint: self.at, body: etcd::watch_request_body(&self.prefix, revision + 1) }
     }
 
     /// One message of the watch stream.
-    pub fn watched(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Next {
+    pub fn handle_watch_message(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Action {
         match reply {
-            Reply::Created { .. } => members.heard(now, Source::Etcd),
-            Reply::Cancelled { .. } => return self.fresh(),
-            Reply::Watched { revision, .. } if revision < self.revision => return self.fresh(),
-            Reply::Watched { revision, changes } => {
-                members.heard(now, Source::Etcd);
+            Reply::Created { .. } => members.record_contact(now, Source::Etcd),
+            Reply::Cancelled { .. } => return self.restart_from_range(),
+            Reply::Events { revision, .. } if revision < self.revision => return self.restart_from_range(),
+            Reply::Events { revision, changes } => {
+                members.record_contact(now, Source::Etcd);
                 changes.into_iter().for_each(|change| self.apply(now, change, members));
                 self.revision = self.revision.max(revision);
             }
-            Reply::Range { .. } => return self.broke(now),
+            Reply::Range { .. } => return self.handle_failure(now),
         }
-        Next::Nothing
+        Action::Nothing
     }
 
     fn apply(&mut self, now: Nanos, change: Change, members: &mut Members) {
         match change {
-            Change::Put(entry) => match nodes::parse(&entry.value) {
+            Change::Put(entry) => match nodes::parse_node(&entry.value) {
                 Ok((address, node)) => {
                     if let Some(old) =
                         self.keys.insert(entry.key, address.clone()).filter(|old| *old != address)
                     {
-                        members.change(now, Source::Etcd, &old, None::<Node>);
+                        members.update(now, Source::Etcd, &old, None::<Node>);
                     }
-                    members.change(now, Source::Etcd, &address, Some(node));
+                    members.update(now, Source::Etcd, &address, Some(node));
                 }
-                Err(_) => self.unreadable += 1,
+                Err(_) => self.unreadable_values += 1,
             },
             Change::Delete(key) => {
                 if let Some(address) = self.keys.remove(&key) {
-                    members.change(now, Source::Etcd, &address, None);
+                    members.update(now, Source::Etcd, &address, None);
                 }
             }
         }
     }
 
     /// Compacted past what the watch asked for, or a member restored from an older state: read afresh.
-    fn fresh(&mut self) -> Next {
-        self.reread += 1;
-        self.read()
+    fn restart_from_range(&mut self) -> Action {
+        self.rereads += 1;
+        self.start_range()
     }
 
     /// The connection broke, an answer could not be read, or the watch was silent too long: rest, then the next
     /// endpoint. The list stays as it was.
-    pub fn broke(&mut self, now: Nanos) -> Next {
+    pub fn handle_failure(&mut self, now: Nanos) -> Action {
         self.at = (self.at + 1) % self.endpoints;
         let until = now + self.rest;
-        self.rest = (self.rest * 2).min(REST_MOST);
-        self.phase = Phase::Resting { until };
-        Next::Wait { until }
+        self.rest = (self.rest * 2).min(MAX_BACKOFF);
+        self.phase = Phase::BackingOff { until };
+        Action::Wait { until }
     }
 
     /// Time passed: a rest that is over leads to a range; a watch silent too long is broken.
-    pub fn woke(&mut self, now: Nanos, members: &Members) -> Next {
+    pub fn handle_timer(&mut self, now: Nanos, members: &Members) -> Action {
         match self.phase {
-            Phase::Resting { until } if now >= until => self.read(),
-            Phase::Resting { until } => Next::Wait { until },
+            Phase::BackingOff { until } if now >= until => self.start_range(),
+            Phase::BackingOff { until } => Action::Wait { until },
             Phase::Watching { .. }
-                if members.silent_for(now, Source::Etcd).is_some_and(|quiet| quiet > SILENT_MOST) =>
+                if members
+                    .time_since_contact(now, Source::Etcd)
+                    .is_some_and(|quiet| quiet > WATCH_SILENCE_TIMEOUT) =>
             {
-                self.broke(now)
+                self.handle_failure(now)
             }
-            Phase::Idle => self.read(),
-            _ => Next::Nothing,
+            Phase::Idle => self.start_range(),
+            _ => Action::Nothing,
         }
     }
 }
