--- a/crates/agreement/src/config.rs
+++ b/crates/agreement/src/config.rs
@@ -8,24 +8,24 @@
 
 /// The parameters of an agreement, the same at all gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct AgreementConfig {
     /// Numbers of the gateways that vote.
     pub voters: BTreeSet<u32>,
     /// How long the leases are that a voter grants.
-    pub lease: Nanos,
+    pub lease_duration: Nanos,
     /// How far any gateway's clock may be from true time.
-    pub clock: Nanos,
+    pub max_clock_error: Nanos,
 }
 
-impl Terms {
+impl AgreementConfig {
     /// The contract's bound: for no longer do two gateways act on contents that contradict each other.
-    pub fn bound(&self) -> Nanos {
-        self.clock_difference()
+    pub fn contradiction_bound(&self) -> Nanos {
+        self.max_clock_difference()
     }
 
     /// How far the clocks of two gateways, or of two incarnations of one, may be apart.
-    pub fn clock_difference(&self) -> Nanos {
-        2 * self.clock
+    pub fn max_clock_difference(&self) -> Nanos {
+        2 * self.max_clock_error
     }
 
     /// So many voters are a majority.
@@ -41,6 +41,6 @@
 
     /// How often a voter renews its lease.
     pub fn renewal_interval(&self) -> Nanos {
-        (self.lease / RENEWALS_PER_LEASE).max(1)
+        (self.lease_duration / RENEWALS_PER_LEASE).max(1)
     }
 }
--- a/crates/agreement/src/lists.rs
+++ b/crates/agreement/src/lists.rs
@@ -10,7 +10,7 @@
 /// Removals are told to others for so long.
 const ANNOUNCED_FOR: Nanos = 60_000_000_000;
 /// So many of the last removals are told to others: as many as a datagram holds.
-pub const MAX_ANNOUNCED: usize = 7;
+pub const MAX_ANNOUNCED_REMOVALS: usize = 7;
 
 /// A server as a list has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,14 +20,14 @@
     /// Whether it may get new work.
     pub ready: bool,
     /// Its last start, Unix time; 0 is long ago.
-    pub since: Nanos,
+    pub started_at: Nanos,
 }
 
 /// What was made of a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListReview {
     /// The list is ignored: it would leave no server ready where some were.
-    pub is_empty: bool,
+    pub leaves_none_ready: bool,
     /// It is older than what is held: servers that it lacks stay.
     pub is_older: bool,
     /// Servers that it calls ready but that are not to get new work.
@@ -38,7 +38,7 @@
 
 /// What a voter tells others of its list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Announcement {
+pub struct RemovalAnnouncement {
     /// The index of the list.
     pub index: u64,
     /// Keys of the servers that were last taken out of work.
@@ -54,7 +54,7 @@
 
 /// The lists of one gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Lists {
+pub struct ListTracker {
     /// The highest index taken, from the source that is heeded now.
     index: u64,
     /// Ready by the own list, with when they started.
@@ -64,7 +64,7 @@
     suspended: BTreeMap<u64, u64>,
 }
 
-impl Lists {
+impl ListTracker {
     /// The highest index taken from the source that is heeded now.
     pub fn index(&self) -> u64 {
         self.index
@@ -84,20 +84,20 @@
         // Guards against a discovery that comes up with nothing. Harm: if really all servers are gone, they are found to
         // be by their refusals.
         if whole && !self.ready.is_empty() && !list.iter().any(|server| server.ready) {
-            review.is_empty = true;
+            review.leaves_none_ready = true;
             return review;
         }
         for server in list {
             let newer = |removed: &Removal| {
                 let told_by_source = !whole && !review.is_older;
-                index > removed.index || server.since > removed.since || told_by_source
+                index > removed.index || server.started_at > removed.since || told_by_source
             };
             match (server.ready, self.removed.get(&server.key)) {
-                (false, _) => self.remove(now, server.key, index.max(self.index), server.since),
+                (false, _) => self.remove(now, server.key, index.max(self.index), server.started_at),
                 (true, Some(removed)) if !newer(removed) => review.held_back.push(server.key),
                 (true, _) => {
                     self.removed.remove(&server.key);
-                    self.ready.insert(server.key, server.since);
+                    self.ready.insert(server.key, server.started_at);
                 }
             }
         }
@@ -150,13 +150,13 @@
     }
 
     /// What to tell others: the index held, and the last servers taken out of work; nothing if there were none of late.
-    pub fn announcement(&self, now: Nanos) -> Option<Announcement> {
+    pub fn announcement(&self, now: Nanos) -> Option<RemovalAnnouncement> {
         let fresh = self.removed.iter().filter(|(_, removed)| now < removed.at.saturating_add(ANNOUNCED_FOR));
         let mut fresh: Vec<(Nanos, u64)> = fresh.map(|(key, removed)| (removed.at, *key)).collect();
         fresh.sort_unstable_by(|one, two| two.cmp(one));
-        fresh.truncate(MAX_ANNOUNCED);
+        fresh.truncate(MAX_ANNOUNCED_REMOVALS);
         let removed = || fresh.iter().map(|removal| removal.1).collect();
-        (!fresh.is_empty()).then(|| Announcement { index: self.index, removed: removed() })
+        (!fresh.is_empty()).then(|| RemovalAnnouncement { index: self.index, removed: removed() })
     }
 }
 
--- a/crates/agreement/src/lists/tests.rs
+++ b/crates/agreement/src/lists/tests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-fn server(key: u64, ready: bool, since: Nanos) -> ListedServer {
-    ListedServer { key, ready, since }
+fn server(key: u64, ready: bool, started_at: Nanos) -> ListedServer {
+    ListedServer { key, ready, started_at }
 }
 
-fn four() -> Lists {
-    let mut lists = Lists::default();
+fn four() -> ListTracker {
+    let mut lists = ListTracker::default();
     let all: Vec<ListedServer> = (1..5).map(|key| server(key, true, 0)).collect();
     assert_eq!(lists.apply(1, 40, true, &all), ListReview::default());
     lists
@@ -40,8 +40,8 @@
 #[test]
 fn a_good_list_is_never_emptied() {
     let mut lists = four();
-    assert!(lists.apply(2, 41, true, &[]).is_empty);
-    assert!(lists.apply(3, 42, true, &[server(1, false, 0)]).is_empty);
+    assert!(lists.apply(2, 41, true, &[]).leaves_none_ready);
+    assert!(lists.apply(3, 42, true, &[server(1, false, 0)]).leaves_none_ready);
     assert_eq!((lists.ready.len(), lists.index()), (4, 40));
 }
 
--- a/crates/agreement/src/message/tests.rs
+++ b/crates/agreement/src/message/tests.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn notices_fit_and_decode_as_encoded() {
-    let removed = vec![u64::MAX; crate::lists::MAX_ANNOUNCED];
+    let removed = vec![u64::MAX; crate::lists::MAX_ANNOUNCED_REMOVALS];
     let notice = ListNotice { gateway: u32::MAX, index: u64::MAX, removed };
     let bytes = notice.encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
--- a/crates/agreement/src/rules.rs
+++ b/crates/agreement/src/rules.rs
@@ -163,8 +163,8 @@
         for (at, name) in QUOTAS.iter().enumerate() {
             let setting = format!("tariffs.{plan}.{name}");
             let (old_quota, new_quota) = (quota(&old.settings, plan, at), quota(&new.settings, plan, at));
-            let old_fallback = old_quota * old.fallback.quota;
-            let new_fallback = new_quota * new.fallback.quota;
+            let old_fallback = old_quota * old.fallback.quota_share;
+            let new_fallback = new_quota * new.fallback.quota_share;
             if below(new_quota, old_fallback) {
                 let (setting, quota, fallback) = (setting.clone(), new_quota, old_fallback);
                 objections.push(Objection::QuotaBelowFallback { setting, quota, fallback });
@@ -183,7 +183,7 @@
 
 fn fleet_objections(old: &Version, new: &Version) -> Vec<Objection> {
     let (old_fleet, new_fleet) = (fleet(&old.settings), fleet(&new.settings));
-    let (old_fallback, new_fallback) = (old.fallback.gateways, new.fallback.gateways);
+    let (old_fallback, new_fallback) = (old.fallback.max_gateways, new.fallback.max_gateways);
     let mut objections = Vec::new();
     if new_fleet > old_fallback {
         objections.push(Objection::FleetBeyondFallback { fleet: new_fleet, fallback: old_fallback });
@@ -199,7 +199,7 @@
 
 fn attempts_objections(old: &Version, new: &Version) -> Vec<Objection> {
     let (old_cap, new_cap) = (attempts_cap(&old.settings), attempts_cap(&new.settings));
-    let (old_fallback, new_fallback) = (old.fallback.attempts, new.fallback.attempts);
+    let (old_fallback, new_fallback) = (old.fallback.max_attempts, new.fallback.max_attempts);
     let mut objections = Vec::new();
     if new_cap < old_fallback || new_fallback < old_fallback {
         objections.push(Objection::AttemptsBelowFallback(old_fallback));
--- a/crates/agreement/src/state.rs
+++ b/crates/agreement/src/state.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 use crate::Nanos;
-use crate::config::Terms;
+use crate::config::AgreementConfig;
 use crate::lease::{Content, Lease};
 use crate::message::{LeaseMessage, MessageKind};
 use grants::Grants;
@@ -113,7 +113,7 @@
 /// One gateway's part in the agreement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
-    terms: Terms,
+    config: AgreementConfig,
     /// So many voters have to be for a content.
     quorum: usize,
     gateway: Option<u32>,
@@ -142,7 +142,7 @@
     /// A gateway that starts with this content, which holds from `start` on (long past for one that has held). `gateway`
     /// is none for one that was not told its own number; `incarnation` is drawn anew by each process.
     pub fn new(
-        terms: Terms,
+        config: AgreementConfig,
         gateway: Option<u32>,
         incarnation: u32,
         now: Nanos,
@@ -151,9 +151,11 @@
     ) -> Agreement {
         let scheduled = ScheduledContent { content, start };
         Agreement {
-            quorum: terms.quorum(),
-            silent_until: now.saturating_add(terms.lease).saturating_add(terms.clock_difference()),
-            terms,
+            quorum: config.quorum(),
+            silent_until: now
+                .saturating_add(config.lease_duration)
+                .saturating_add(config.max_clock_difference()),
+            config,
             gateway,
             incarnation,
             current: scheduled,
@@ -174,17 +176,17 @@
     /// voter asks nobody. Harm: told to some while others remember, a version can hold again that another has followed.
     pub fn skip_recovery(&mut self) {
         let report = RecoveryReport { remembers: true, version: 0 };
-        self.reports = self.terms.voters.iter().map(|voter| (*voter, report)).collect();
+        self.reports = self.config.voters.iter().map(|voter| (*voter, report)).collect();
     }
 
     /// What the gateways are configured with.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn config(&self) -> &AgreementConfig {
+        &self.config
     }
 
     /// Whether this gateway grants leases.
     pub fn is_voter(&self) -> bool {
-        self.gateway.is_some_and(|gateway| self.terms.voters.contains(&gateway))
+        self.gateway.is_some_and(|gateway| self.config.voters.contains(&gateway))
     }
 
     /// The content that is held.
@@ -193,7 +195,7 @@
     }
 
     /// What waits for its start.
-    pub fn waiting(&self) -> Option<ScheduledContent> {
+    pub fn scheduled(&self) -> Option<ScheduledContent> {
         self.next
     }
 
@@ -224,7 +226,7 @@
         if content.version < newest.version {
             return Err(Rejection::OlderVersion);
         }
-        let start = start.max(now + NOTICE_LEASES * self.terms.lease);
+        let start = start.max(now + NOTICE_LEASES * self.config.lease_duration);
         self.next = Some(ScheduledContent { content, start });
         self.dropped = None;
         Ok(Offer::Scheduled)
@@ -256,20 +258,20 @@
     pub fn receive(&mut self, now: Nanos, message: &LeaseMessage) -> Receipt {
         // Two clocks within the bound are apart by twice of it. Guards against acting on an old content for too long by a
         // clock that is behind. Harm: a sender whose clock is ahead counts for nothing.
-        if message.sent > now.saturating_add(self.terms.clock_difference()) {
+        if message.sent > now.saturating_add(self.config.max_clock_difference()) {
             return Receipt::SentAhead;
         }
         let lease = message.lease;
         if self.drop_unstarted(now, lease.content) {
             return Receipt::TwoContents;
         }
-        let from_voter = self.terms.voters.contains(&message.gateway);
+        let from_voter = self.config.voters.contains(&message.gateway);
         if from_voter {
             self.note_report(message);
         }
         let plausible = message.kind == MessageKind::Grant
             && lease.from < lease.until
-            && lease.until - lease.from <= LONGEST_LEASES * self.terms.lease;
+            && lease.until - lease.from <= LONGEST_LEASES * self.config.lease_duration;
         if !from_voter || !plausible || lease.until <= now {
             return Receipt::Ignored;
         }
@@ -329,7 +331,7 @@
         }
         let is_voter = self.is_voter();
         // Who does not vote sends only where two contents met, and seldom.
-        let interval = if is_voter { self.terms.renewal_interval() } else { self.terms.lease };
+        let interval = if is_voter { self.config.renewal_interval() } else { self.config.lease_duration };
         self.next_message_at = now + interval;
         let Some(gateway) = self.gateway else { return Vec::new() };
         let mut messages = if is_voter { self.voter_messages(now, gateway) } else { Vec::new() };
@@ -379,7 +381,7 @@
         let highest = others.iter().map(|report| report.version).max().unwrap_or(0);
         let remembering = others.iter().filter(|report| report.remembers).count();
         let enough =
-            remembering >= self.terms.recovery_quorum() || others.len() + 1 >= self.terms.voters.len();
+            remembering >= self.config.recovery_quorum() || others.len() + 1 >= self.config.voters.len();
         let newest = self.newest();
         if enough && highest <= newest.content.version {
             self.phase = VoterPhase::Granting;
@@ -407,7 +409,7 @@
             self.preferred = self.current;
         }
         let waiting = self.next.filter(|next| *next != self.preferred);
-        let until = waiting.map_or(NEVER, |next| next.start).min(now + self.terms.lease);
+        let until = waiting.map_or(NEVER, |next| next.start).min(now + self.config.lease_duration);
         if now < self.preferred.start || until <= now {
             return None;
         }
--- a/crates/agreement/src/state/tests.rs
+++ b/crates/agreement/src/state/tests.rs
@@ -3,7 +3,7 @@
 //! that covers the whole change of a version. Mistakes seeded by changing a gateway's state from here have to be found.
 
 use super::{Agreement, Mode, VoterPhase};
-use crate::config::Terms;
+use crate::config::AgreementConfig;
 use crate::lease::Content;
 use crate::message::{LeaseMessage, MessageKind};
 use stateright::{Checker, Model, Property};
@@ -69,8 +69,12 @@
 }
 
 impl World {
-    fn terms(&self) -> Terms {
-        Terms { voters: (0..GATEWAYS as u32).collect(), lease: self.lease, clock: self.clock }
+    fn config(&self) -> AgreementConfig {
+        AgreementConfig {
+            voters: (0..GATEWAYS as u32).collect(),
+            lease_duration: self.lease,
+            max_clock_error: self.clock,
+        }
     }
 
     fn clock(&self, now: u64, gateway: usize) -> u64 {
@@ -78,7 +82,7 @@
     }
 
     fn gateway(&self, number: usize, life: u32, born: u64, content: Content, start: u64) -> Agreement {
-        let mut gateway = Agreement::new(self.terms(), Some(number as u32), life, born, content, start);
+        let mut gateway = Agreement::new(self.config(), Some(number as u32), life, born, content, start);
         match self.mistake {
             Some(Mistake::SmallQuorum) => gateway.quorum -= 1,
             Some(Mistake::NoSilence) => gateway.silent_until = born,
@@ -164,7 +168,7 @@
             let comes = state.now < START - self.lease + self.comes_within;
             if comes
                 && gateway.content().version == OLD
-                && gateway.waiting().is_none()
+                && gateway.scheduled().is_none()
                 && gateway.dropped.is_none()
             {
                 actions.push(Action::Give(at));
@@ -225,8 +229,10 @@
                     .collect();
                 let new: BTreeSet<&Content> = acted.iter().filter(|content| content.version == NEW).collect();
                 let old = acted.iter().any(|content| content.version == OLD);
-                let late = state.new_since.is_some_and(|since| state.now > since + world.terms().bound());
-                let together = old && !new.is_empty() && world.terms().bound() == 0;
+                let late = state
+                    .new_since
+                    .is_some_and(|since| state.now > since + world.config().contradiction_bound());
+                let together = old && !new.is_empty() && world.config().contradiction_bound() == 0;
                 new.len() <= 1 && !together && !(old && late)
             }),
             Property::sometimes("all act on the new version", |_, state: &State| {
--- a/crates/agreement/src/version.rs
+++ b/crates/agreement/src/version.rs
@@ -20,18 +20,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fallback {
     /// Of every quota, ceiling and cap, the share that is used.
-    pub quota: f64,
+    pub quota_share: f64,
     /// The largest fleet that a successor may tell.
-    pub gateways: f64,
+    pub max_gateways: f64,
     /// The fewest attempts of an RPC that a successor may allow.
-    pub attempts: f64,
+    pub max_attempts: f64,
 }
 
 impl Fallback {
     /// The bounds where a file tells none: half of every quota, the fleet as it is, two attempts.
-    pub fn of(settings: &Settings) -> Fallback {
-        let attempts = attempts_cap(settings).min(USUAL_ATTEMPTS);
-        Fallback { quota: USUAL_QUOTA_SHARE, gateways: fleet(settings), attempts }
+    pub fn default_for(settings: &Settings) -> Fallback {
+        let max_attempts = attempts_cap(settings).min(USUAL_ATTEMPTS);
+        Fallback { quota_share: USUAL_QUOTA_SHARE, max_gateways: fleet(settings), max_attempts }
     }
 }
 
@@ -73,9 +73,9 @@
     pub fn content(&self) -> Content {
         let shared: BTreeMap<&String, &String> =
             self.settings.iter().filter(|(name, _)| !PER_GATEWAY.contains(&name.as_str())).collect();
-        let Fallback { quota, gateways, attempts } = self.fallback;
+        let Fallback { quota_share, max_gateways, max_attempts } = self.fallback;
         let mut text = format!(
-            "{}\n{}\nGround {{ quota: {quota:?}, gateways: {gateways:?}, attempts: {attempts:?} }}\n",
+            "{}\n{}\nGround {{ quota: {quota_share:?}, gateways: {max_gateways:?}, attempts: {max_attempts:?} }}\n",
             self.number, self.start
         );
         for (name, value) in shared {
@@ -88,13 +88,13 @@
     /// The settings that a gateway acts on while it can't confirm this version.
     pub fn fallback_settings(&self) -> Settings {
         let mut settings = self.settings.clone();
-        let Fallback { quota, gateways, attempts } = self.fallback;
+        let Fallback { quota_share, max_gateways, max_attempts } = self.fallback;
         for plan in 0..count(&self.settings, "tariffs") {
             for name in QUOTAS {
                 let name = format!("tariffs.{plan}.{name}");
                 let full = number(&self.settings, &name, 0.0);
                 if full > 0.0 {
-                    settings.insert(name, (full * quota).to_string());
+                    settings.insert(name, (full * quota_share).to_string());
                 }
             }
             settings.remove(&format!("tariffs.{plan}.overWorth")); // no borrowing
@@ -103,25 +103,25 @@
             // Repeated only after proof that nothing ran.
             settings.insert(format!("classes.{class}.idempotency"), "single_shot".to_string());
         }
-        settings.insert("balancers".to_string(), gateways.to_string());
-        let cap = attempts_cap(&self.settings).min(attempts);
+        settings.insert("balancers".to_string(), max_gateways.to_string());
+        let cap = attempts_cap(&self.settings).min(max_attempts);
         settings.insert("ceilings.attemptsCap".to_string(), cap.to_string());
         settings
     }
 
     /// What is wrong with this version by itself.
     pub fn faults(&self) -> Vec<VersionFault> {
-        let Fallback { quota, gateways, attempts } = self.fallback;
+        let Fallback { quota_share, max_gateways, max_attempts } = self.fallback;
         let fleet = fleet(&self.settings);
         let mut faults = Vec::new();
-        if !(quota > 0.0 && quota <= 1.0) {
-            faults.push(VersionFault::QuotaShare(quota));
+        if !(quota_share > 0.0 && quota_share <= 1.0) {
+            faults.push(VersionFault::QuotaShare(quota_share));
         }
-        if !gateways.is_finite() || gateways < fleet {
-            faults.push(VersionFault::FleetTooSmall { fallback: gateways, fleet });
+        if !max_gateways.is_finite() || max_gateways < fleet {
+            faults.push(VersionFault::FleetTooSmall { fallback: max_gateways, fleet });
         }
-        if !attempts.is_finite() || attempts < 1.0 {
-            faults.push(VersionFault::NoAttempt(attempts));
+        if !max_attempts.is_finite() || max_attempts < 1.0 {
+            faults.push(VersionFault::NoAttempt(max_attempts));
         }
         faults
     }
--- a/crates/agreement/tests/rules.rs
+++ b/crates/agreement/tests/rules.rs
@@ -25,7 +25,7 @@
 
 fn version(number: u64, quota: f64, fleet: f64) -> Version {
     let settings = settings(quota, fleet);
-    Version { number, start: 0, fallback: Fallback::of(&settings), settings }
+    Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 fn of(settings: &Settings, name: &str) -> f64 {
@@ -50,14 +50,14 @@
     let mut chains = 0;
     for _ in 0..300 {
         let mut chain = vec![version(1, 100.0, 20.0)];
-        chain[0].fallback.gateways = 60.0;
+        chain[0].fallback.max_gateways = 60.0;
         for _ in 0..60 {
             let last = &chain[chain.len() - 1];
             let quota = of(&last.settings, "tariffs.0.perSecond") * (0.3 + 2.0 * chance.f64());
             let fleet = (1.0 + 80.0 * chance.f64()).round();
             let mut next = version(last.number + 1, quota, fleet);
-            next.fallback.quota = 0.05 + 0.95 * chance.f64();
-            next.fallback.gateways = (1.0 + 80.0 * chance.f64()).round();
+            next.fallback.quota_share = 0.05 + 0.95 * chance.f64();
+            next.fallback.max_gateways = (1.0 + 80.0 * chance.f64()).round();
             if objections(last, &next).is_empty() {
                 chain.push(next);
             }
@@ -92,7 +92,7 @@
     assert_eq!(told(&|_| ()), "");
     assert!(told(&|new| new.number = 4).contains("not above 4"));
     assert!(told(&|new| new.settings = settings(40.0, 20.0)).contains("below the old ground of 50"));
-    assert!(told(&|new| new.fallback.quota = 0.1).contains("the ground falls from 50 to 10"));
+    assert!(told(&|new| new.fallback.quota_share = 0.1).contains("the ground falls from 50 to 10"));
     assert!(
         told(&|new| new.settings = settings(300.0, 20.0))
             .contains("the new ground of 150 is above the old 100")
@@ -111,7 +111,7 @@
     );
     // A cap where there was none contradicts those who have none on their fallback.
     assert!(told(&|new| drop(new.settings.insert("tariffs.0.maxOut".into(), "5".into()))).contains("maxOut"));
-    assert!(told(&|new| new.fallback.quota = f64::NAN).contains("share of quotas"));
+    assert!(told(&|new| new.fallback.quota_share = f64::NAN).contains("share of quotas"));
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let mut started = one.clone();
     started.start = 5;
     let mut bounded = one.clone();
-    bounded.fallback.quota = 0.6;
+    bounded.fallback.quota_share = 0.6;
     seen.extend([started.content().digest, bounded.content().digest]);
     let count = seen.len();
     seen.sort();
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 use crate::services::Services;
 use crate::shutdown::longest_deadline;
 use agreement::Nanos;
-use agreement::config::Terms;
+use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use martenramp::host::Settings;
 use serde_json::Value;
@@ -39,7 +39,7 @@
 /// The version that the settings are, and how gateways agree on it.
 pub struct Agreed {
     pub version: Version,
-    pub terms: Terms,
+    pub terms: AgreementConfig,
     /// Where other gateways' datagrams come in, and where this one sends what all of them are to hear.
     pub listen: SocketAddr,
     pub all: SocketAddr,
@@ -260,14 +260,14 @@
         Value::Null => Ok(default),
         told => told.as_f64().filter(|told| *told > 0.0).ok_or(format!("'{name}' is no amount above 0")),
     };
-    let usual = Fallback::of(settings);
+    let usual = Fallback::default_for(settings);
     let ground = Fallback {
-        quota: amount(&told["ground"], "quota", usual.quota)?,
-        gateways: amount(&told["ground"], "gateways", usual.gateways)?,
-        attempts: amount(&told["ground"], "attempts", usual.attempts)?,
+        quota_share: amount(&told["ground"], "quota", usual.quota_share)?,
+        max_gateways: amount(&told["ground"], "gateways", usual.max_gateways)?,
+        max_attempts: amount(&told["ground"], "attempts", usual.max_attempts)?,
     };
     let voters = match &told["voters"] {
-        Value::Null => (0..VOTERS.min(usual.gateways as u32)).collect(),
+        Value::Null => (0..VOTERS.min(usual.max_gateways as u32)).collect(),
         Value::Array(list) => {
             let numbers =
                 list.iter().map(|number| number.as_u64().and_then(|number| u32::try_from(number).ok()));
@@ -276,10 +276,14 @@
         _ => return Err("'voters' is no list".to_string()),
     };
     let nanos = |name, default| Ok::<_, String>((amount(told, name, default)?.min(3600.0) * 1e9) as Nanos);
-    let terms = Terms { voters, lease: nanos("lease", LEASE)?, clock: nanos("clock", CLOCK)? };
+    let terms = AgreementConfig {
+        voters,
+        lease_duration: nanos("lease", LEASE)?,
+        max_clock_error: nanos("clock", CLOCK)?,
+    };
     let start = start_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far ahead")?;
     // A voter's word has to hold for a hearer whose clock is ahead of the voter's by twice the bound, until the next word.
-    if terms.lease < 4 * terms.clock {
+    if terms.lease_duration < 4 * terms.max_clock_error {
         return Err("'lease' is below four times 'clock'".to_string());
     }
     let version = Version { number, start, fallback: ground, settings: settings.clone() };
--- a/crates/gateway/src/gateway/agreeing.rs
+++ b/crates/gateway/src/gateway/agreeing.rs
@@ -6,7 +6,7 @@
 use crate::entry::Entry;
 use crate::services::Services;
 use agreement::lease::Content;
-use agreement::lists::{Announcement, ListedServer, Lists};
+use agreement::lists::{ListTracker, ListedServer, RemovalAnnouncement};
 use agreement::message::{LeaseMessage, ListNotice};
 use agreement::rules::objections;
 use agreement::state::{Agreement, Decision, Mode, Offer, Receipt};
@@ -35,7 +35,7 @@
     ahead: u64,
     ahead_logged: Nanos,
     number: Option<u32>,
-    lists: Lists,
+    lists: ListTracker,
     /// Servers by their keys, as the own list told of them last.
     entries: BTreeMap<u64, Entry>,
     tells_list_at: Nanos,
@@ -76,7 +76,7 @@
             services: host.config.services.clone(),
         };
         let acting = Decision { content, mode: Mode::Fallback };
-        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.terms().bound() / MS);
+        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
         self.agreement = Some(AgreementLink {
             state,
             held,
@@ -88,7 +88,7 @@
             ahead: 0,
             ahead_logged: 0,
             number,
-            lists: Lists::default(),
+            lists: ListTracker::default(),
             entries: BTreeMap::new(),
             tells_list_at: 0,
         });
@@ -127,8 +127,8 @@
         let words = agreement.state.poll_messages(now);
         words.iter().for_each(|word| self.host.net.tell(agreement.all, &word.encode()));
         if agreement.state.is_voter() && now >= agreement.tells_list_at {
-            agreement.tells_list_at = now + agreement.state.terms().renewal_interval();
-            if let (Some(Announcement { index, removed }), Some(gateway)) =
+            agreement.tells_list_at = now + agreement.state.config().renewal_interval();
+            if let (Some(RemovalAnnouncement { index, removed }), Some(gateway)) =
                 (agreement.lists.announcement(now), agreement.number)
             {
                 self.host.net.tell(agreement.all, &ListNotice { gateway, index, removed }.encode());
@@ -180,7 +180,7 @@
     /// A voter told of the list that it holds: what is out of work there gets nothing new here, if the list here is older.
     fn hear_of_list(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
-        if !agreement.state.terms().voters.contains(&notice.gateway) {
+        if !agreement.state.config().voters.contains(&notice.gateway) {
             return;
         }
         let held = agreement.lists.index();
@@ -203,13 +203,13 @@
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
-            since: entry.since_ms.saturating_mul(MS),
+            started_at: entry.since_ms.saturating_mul(MS),
         };
         let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
         let verdict = agreement.lists.apply(self.host.net.now, told.index, told.whole, &list);
         let count = verdict.held_back.len();
-        if verdict.is_empty || verdict.is_older || count > 0 {
-            let why = if verdict.is_empty {
+        if verdict.leaves_none_ready || verdict.is_older || count > 0 {
+            let why = if verdict.leaves_none_ready {
                 "empty"
             } else if verdict.is_older {
                 "went-back"
@@ -218,7 +218,7 @@
             };
             warn!(self.host.log, "list"; "why" => why, "index" => told.index, "held" => agreement.lists.index(), "held_back" => count);
         }
-        if verdict.is_empty {
+        if verdict.leaves_none_ready {
             return None;
         }
         let held_back: HashSet<u64> = verdict.held_back.into_iter().collect();
@@ -262,7 +262,7 @@
         }
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
-                let start = agreement.state.waiting().map_or(0, |waits| waits.start);
+                let start = agreement.state.scheduled().map_or(0, |waits| waits.start);
                 info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short(content),
                     "starts_in_ms" => start.saturating_sub(now) / MS);
                 agreement.waits = Some(Held { version, methods, plans, services });
@@ -271,7 +271,7 @@
                 info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short(content))
             }
             Err(refused) => {
-                if agreement.state.waiting().is_none() {
+                if agreement.state.scheduled().is_none() {
                     agreement.waits = None;
                 }
                 warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short(content),
@@ -292,7 +292,7 @@
         let acts_on = if mode == Mode::Confirmed { "version" } else { "ground" };
         let waits = agreement
             .state
-            .waiting()
+            .scheduled()
             .map_or(String::new(), |waits| format!(", waits={}", waits.content.version));
         format!(
             "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{waits}\n",
--- a/crates/scale/src/hollow/agreeing.rs
+++ b/crates/scale/src/hollow/agreeing.rs
@@ -4,7 +4,7 @@
 use super::Nanos;
 use super::gateway::Agreed;
 use agreement::lease::Content;
-use agreement::lists::{Announcement, ListedServer, Lists};
+use agreement::lists::{ListTracker, ListedServer, RemovalAnnouncement};
 use agreement::message::{LeaseMessage, ListNotice};
 use agreement::rules::objections;
 use agreement::state::{Agreement, Decision, Mode, Offer};
@@ -42,7 +42,7 @@
     acting: Decision,
     number: u32,
     zone: usize,
-    lists: Lists,
+    lists: ListTracker,
     /// Servers by their keys, as the own list told of them last.
     entries: BTreeMap<u64, Entry>,
     tells_list_at: Nanos,
@@ -65,7 +65,7 @@
             acting: Decision { content, mode: Mode::Fallback },
             number,
             zone,
-            lists: Lists::default(),
+            lists: ListTracker::default(),
             entries: BTreeMap::new(),
             tells_list_at: 0,
             looks_at: 0,
@@ -94,12 +94,12 @@
         let mut datagrams: Vec<Vec<u8>> =
             self.state.poll_messages(now).iter().map(LeaseMessage::encode).collect();
         if self.state.is_voter() && now >= self.tells_list_at {
-            self.tells_list_at = now + self.state.terms().renewal_interval();
+            self.tells_list_at = now + self.state.config().renewal_interval();
             let gateway = self.number;
             let told = self.lists.announcement(now);
-            datagrams.extend(
-                told.map(|Announcement { index, removed }| ListNotice { gateway, index, removed }.encode()),
-            );
+            datagrams.extend(told.map(|RemovalAnnouncement { index, removed }| {
+                ListNotice { gateway, index, removed }.encode()
+            }));
         }
         datagrams
     }
@@ -143,7 +143,7 @@
     }
 
     fn hear_of_list(&mut self, notice: &ListNotice) -> Vec<Entry> {
-        if !self.state.terms().voters.contains(&notice.gateway) {
+        if !self.state.config().voters.contains(&notice.gateway) {
             return Vec::new();
         }
         let keys = self.lists.apply_notice(notice.index, &notice.removed);
@@ -157,11 +157,11 @@
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
-            since: entry.since_ms.saturating_mul(MS),
+            started_at: entry.since_ms.saturating_mul(MS),
         };
         let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
         let verdict = self.lists.apply(now, told.index, told.whole, &list);
-        if verdict.is_empty {
+        if verdict.leaves_none_ready {
             return None;
         }
         for (entry, seen) in told.entries.iter_mut().zip(&list) {
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -10,7 +10,7 @@
 use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
-use agreement::config::Terms;
+use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use gateway::services::Services;
 use lab::chance::{self, Stream};
@@ -98,7 +98,7 @@
     pub(super) draws: ChaCha8Rng,
     settings: Settings,
     zones: Vec<String>,
-    terms: Option<Terms>,
+    terms: Option<AgreementConfig>,
     versions: Vec<Arc<VersionFile>>,
     /// The region that is cut off from all others.
     pub(super) apart: Option<usize>,
@@ -133,10 +133,10 @@
             draws: chance::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
-            terms: scenario.agreement.as_ref().map(|terms| Terms {
+            terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
                 voters: (0..terms.voters as u32).collect(),
-                lease: nanos(terms.lease),
-                clock: nanos(terms.clock),
+                lease_duration: nanos(terms.lease),
+                max_clock_error: nanos(terms.clock),
             }),
             versions: Vec::new(),
             apart: None,
@@ -380,7 +380,7 @@
         let name = format!("tariffs.{}.perSecond", self.load.plan);
         let rate = settings.get(&name).and_then(|text| text.parse::<f64>().ok()).unwrap_or(1.0);
         settings.insert(name, (rate * (1.0 + number as f64 * 1e-4)).to_string());
-        Version { number, start, fallback: Fallback::of(&self.settings), settings }
+        Version { number, start, fallback: Fallback::default_for(&self.settings), settings }
     }
 
     /// A new version is put out; it starts two leases after the last machine has it.
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -5,7 +5,7 @@
 use super::agreeing::{Agreeing, VersionFile};
 use super::discovery::number_of;
 use crate::replica::batches;
-use agreement::config::Terms;
+use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, Line};
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
@@ -36,7 +36,7 @@
 /// The file with a version that a gateway starts on, and the terms of the agreement.
 pub struct Agreed {
     pub file: Arc<VersionFile>,
-    pub terms: Terms,
+    pub terms: AgreementConfig,
     /// Nothing has to be remembered: the fleet's first start.
     pub fresh: bool,
 }
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -6,9 +6,9 @@
 use crate::alloc::uncounted;
 use crate::deployment::{START, WHOLE_INDEX};
 use crate::measure::{Operation, Traffic};
-use agreement::config::Terms;
+use agreement::config::AgreementConfig;
 use agreement::lease::Content;
-use agreement::lists::{ListedServer, Lists};
+use agreement::lists::{ListTracker, ListedServer};
 use agreement::message::LeaseMessage;
 use agreement::state::Agreement;
 use martenramp::host::Nanos;
@@ -66,7 +66,8 @@
 }
 
 fn member(number: u32, voters: u32) -> Agreement {
-    let terms = Terms { voters: (0..voters).collect(), lease: LEASE, clock: CLOCK };
+    let terms =
+        AgreementConfig { voters: (0..voters).collect(), lease_duration: LEASE, max_clock_error: CLOCK };
     let content = Content { version: 1, digest: 1 };
     let mut member = Agreement::new(terms, Some(number), number, START, content, 0);
     member.skip_recovery();
@@ -122,14 +123,18 @@
 
 fn seen(servers: u64) -> Vec<ListedServer> {
     (0..servers)
-        .map(|number| ListedServer { key: number.wrapping_mul(0x9e37_79b9_7f4a_7c15), ready: true, since: 0 })
+        .map(|number| ListedServer {
+            key: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ready: true,
+            started_at: 0,
+        })
         .collect()
 }
 
 /// A whole list that says what is held already.
 pub fn judged_whole(servers: u64) -> Result<Operation, ScaleError> {
     let list = uncounted(|| seen(servers));
-    let mut lists = Lists::default();
+    let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
     let mut index = WHOLE_INDEX;
     let step = move || {
@@ -143,7 +148,7 @@
 /// A change of one server, away or back.
 pub fn judged_change(servers: u64) -> Result<Operation, ScaleError> {
     let list = uncounted(|| seen(servers));
-    let mut lists = Lists::default();
+    let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
     let one = list[list.len() / 2];
     uncounted(|| drop(list));
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -56,7 +56,7 @@
 
 fn version(number: u64, plans: usize) -> Version {
     let settings = service(plans).settings();
-    Version { number, start: 0, fallback: Fallback::of(&settings), settings }
+    Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 /// The file is read, as at a start and at SIGHUP.
