--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -4,7 +4,7 @@
 
 /// A content of the settings: a version and the digest of what it holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Content {
+pub struct ContentId {
     /// The version's number, which only rises.
     pub version: u64,
     /// The digest of everything that gateways have to agree on.
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lease {
     /// What the voter is for.
-    pub content: Content,
+    pub content: ContentId,
     /// The first instant of the lease.
     pub from: Nanos,
     /// The first instant after the lease.
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -2,7 +2,7 @@
 //! late, duplicated or reordered at will, and is never answered.
 
 use crate::Nanos;
-use crate::lease::{Content, Lease};
+use crate::lease::{ContentId, Lease};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -81,7 +81,7 @@
         let body: Body =
             serde_json::from_slice(bytes.get(..bytes.len().min(MAX_DATAGRAM_BYTES + 1))?).ok()?;
         let digest = u128::from_str_radix(&body.digest, 16).ok()?;
-        let content = Content { version: body.version, digest };
+        let content = ContentId { version: body.version, digest };
         let lease = Lease { content, from: body.from, until: body.until };
         let message = LeaseMessage {
             gateway: body.gateway,
--- a/crates/agreement/src/message/tests.rs
+++ b/crates/agreement/src/message/tests.rs
@@ -6,7 +6,7 @@
 fn messages_decode_as_encoded_and_corrupted_ones_are_nothing() {
     let mut chance = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
-        let content = Content { version: chance.u64(..), digest: chance.u128(..) };
+        let content = ContentId { version: chance.u64(..), digest: chance.u128(..) };
         let lease = Lease { content, from: chance.u64(..), until: chance.u64(..) };
         let kind = [MessageKind::Grant, MessageKind::Query, MessageKind::Holding][chance.usize(..3)];
         let message = LeaseMessage {
@@ -28,7 +28,7 @@
         let noise: Vec<u8> = (0..chance.usize(..300)).map(|_| chance.u8(..)).collect();
         assert_eq!(LeaseMessage::decode(&noise), None);
     }
-    let content = Content { version: 1, digest: 1 };
+    let content = ContentId { version: 1, digest: 1 };
     let lease = Lease { content, from: 1, until: 2 };
     let text = String::from_utf8(
         LeaseMessage { gateway: 1, incarnation: 1, sent: 1, kind: MessageKind::Grant, lease }.encode(),
@@ -61,7 +61,7 @@
 /// Gateways of different releases have to read each other's datagrams.
 #[test]
 fn the_bytes_of_a_datagram_are_those_of_format_1() {
-    let lease = Lease { content: Content { version: 2, digest: 7 }, from: 100, until: 200 };
+    let lease = Lease { content: ContentId { version: 2, digest: 7 }, from: 100, until: 200 };
     for (kind, says) in
         [(MessageKind::Grant, "for"), (MessageKind::Query, "asks"), (MessageKind::Holding, "holds")]
     {
--- a/crates/agreement/src/state.rs
+++ b/crates/agreement/src/state.rs
@@ -8,7 +8,7 @@
 
 use crate::Nanos;
 use crate::config::AgreementConfig;
-use crate::lease::{Content, Lease};
+use crate::lease::{ContentId, Lease};
 use crate::message::{LeaseMessage, MessageKind};
 use grants::Grants;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The content that is held.
-    pub content: Content,
+    pub content: ContentId,
     /// Whether it or only its fallback may be acted on.
     pub mode: Mode,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ScheduledContent {
     /// The content.
-    pub content: Content,
+    pub content: ContentId,
     /// When it starts to hold, Unix time.
     pub start: Nanos,
 }
@@ -125,7 +125,7 @@
     next: Option<ScheduledContent>,
     mode: Mode,
     /// Where two contents of a version met: the one dropped here, told on until a higher version is taken.
-    dropped: Option<Content>,
+    dropped: Option<ContentId>,
     phase: VoterPhase,
     /// While it recovers: what each voter told.
     reports: BTreeMap<u32, RecoveryReport>,
@@ -146,7 +146,7 @@
         gateway: Option<u32>,
         incarnation: u32,
         now: Nanos,
-        content: Content,
+        content: ContentId,
         start: Nanos,
     ) -> Agreement {
         let scheduled = ScheduledContent { content, start };
@@ -190,7 +190,7 @@
     }
 
     /// The content that is held.
-    pub fn content(&self) -> Content {
+    pub fn content(&self) -> ContentId {
         self.current.content
     }
 
@@ -211,7 +211,7 @@
 
     /// A content came. A start that is less than two leases ahead is put off to that, so that gateways with two contents
     /// of one version can hear of it first.
-    pub fn offer(&mut self, now: Nanos, content: Content, start: Nanos) -> Result<Offer, Rejection> {
+    pub fn offer(&mut self, now: Nanos, content: ContentId, start: Nanos) -> Result<Offer, Rejection> {
         let newest = self.newest().content;
         if content == newest || content == self.current.content {
             return Ok(Offer::Known);
@@ -237,7 +237,7 @@
     }
 
     /// Two contents of one version have met: the one here is dropped if it has not begun to hold.
-    fn drop_unstarted(&mut self, now: Nanos, other: Content) -> bool {
+    fn drop_unstarted(&mut self, now: Nanos, other: ContentId) -> bool {
         let conflicts =
             |held: &ScheduledContent| held.content.version == other.version && held.content != other;
         if let Some(next) = self.next.filter(|next| conflicts(next) && self.preferred != *next) {
@@ -295,7 +295,7 @@
         self.reports.insert(message.gateway, report);
     }
 
-    fn has_majority(&self, content: Content, at: Nanos) -> bool {
+    fn has_majority(&self, content: ContentId, at: Nanos) -> bool {
         self.grants.votes_for(content, at) >= self.quorum
     }
 
@@ -359,7 +359,7 @@
     }
 
     /// A message that grants nothing: its lease is empty.
-    fn ungranted(&self, now: Nanos, gateway: u32, kind: MessageKind, content: Content) -> LeaseMessage {
+    fn ungranted(&self, now: Nanos, gateway: u32, kind: MessageKind, content: ContentId) -> LeaseMessage {
         let lease = Lease { content, from: now, until: now };
         LeaseMessage { gateway, incarnation: self.incarnation, sent: now, kind, lease }
     }
--- a/crates/agreement/src/state/grants.rs
+++ b/crates/agreement/src/state/grants.rs
@@ -1,7 +1,7 @@
 //! The leases that voters were heard to grant.
 
 use crate::Nanos;
-use crate::lease::{Content, Lease};
+use crate::lease::{ContentId, Lease};
 use std::collections::BTreeMap;
 
 /// So many leases are kept of each voter for each content.
@@ -41,7 +41,7 @@
 
     /// How many voters are for this content at this instant. A voter that was heard to be for two contents at once, or in
     /// two incarnations at once (two processes that go by one number), is for none.
-    pub(super) fn votes_for(&self, content: Content, at: Nanos) -> usize {
+    pub(super) fn votes_for(&self, content: ContentId, at: Nanos) -> usize {
         let is_for = |grants: &&Vec<Grant>| {
             let mut current = grants.iter().filter(|grant| grant.lease.covers(at));
             let Some(first) = current.next() else { return false };
--- a/crates/agreement/src/state/tests.rs
+++ b/crates/agreement/src/state/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{Agreement, Mode, VoterPhase};
 use crate::config::AgreementConfig;
-use crate::lease::Content;
+use crate::lease::ContentId;
 use crate::message::{LeaseMessage, MessageKind};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 const GATEWAYS: usize = 3;
 const START: u64 = 10;
 
-fn content(version: u64, digest: u128) -> Content {
-    Content { version, digest }
+fn content(version: u64, digest: u128) -> ContentId {
+    ContentId { version, digest }
 }
 
 const OLD: u64 = 1;
@@ -81,7 +81,7 @@
         now.saturating_add_signed(self.clocks[gateway])
     }
 
-    fn gateway(&self, number: usize, life: u32, born: u64, content: Content, start: u64) -> Agreement {
+    fn gateway(&self, number: usize, life: u32, born: u64, content: ContentId, start: u64) -> Agreement {
         let mut gateway = Agreement::new(self.config(), Some(number as u32), life, born, content, start);
         match self.mistake {
             Some(Mistake::SmallQuorum) => gateway.quorum -= 1,
@@ -221,13 +221,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("contradict no longer than the bound", |world: &World, state: &State| {
-                let acted: BTreeSet<Content> = state
+                let acted: BTreeSet<ContentId> = state
                     .gateways
                     .iter()
                     .filter(|gateway| gateway.mode() == Mode::Confirmed)
                     .map(Agreement::content)
                     .collect();
-                let new: BTreeSet<&Content> = acted.iter().filter(|content| content.version == NEW).collect();
+                let new: BTreeSet<&ContentId> =
+                    acted.iter().filter(|content| content.version == NEW).collect();
                 let old = acted.iter().any(|content| content.version == OLD);
                 let late = state
                     .new_since
--- a/crates/agreement/src/version.rs
+++ b/crates/agreement/src/version.rs
@@ -1,6 +1,6 @@
 //! A version of the settings, its fallback, and the content by which gateways know that they hold the same.
 
-use crate::lease::Content;
+use crate::lease::ContentId;
 use martenramp::host::{Nanos, Settings};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_128;
@@ -70,7 +70,7 @@
 impl Version {
     /// The content by which gateways know that they hold the same: everything but what each has for itself. The text that
     /// the digest is of is shared by all releases, so it never follows a rename.
-    pub fn content(&self) -> Content {
+    pub fn content_id(&self) -> ContentId {
         let shared: BTreeMap<&String, &String> =
             self.settings.iter().filter(|(name, _)| !PER_GATEWAY.contains(&name.as_str())).collect();
         let Fallback { quota_share, max_gateways, max_attempts } = self.fallback;
@@ -82,7 +82,7 @@
             // Lengths first, so that no two contents run together to the same text.
             text += &format!("{}:{name}={}:{value}\n", name.len(), value.len());
         }
-        Content { version: self.number, digest: xxh3_128(text.as_bytes()) }
+        ContentId { version: self.number, digest: xxh3_128(text.as_bytes()) }
     }
 
     /// The settings that a gateway acts on while it can't confirm this version.
--- a/crates/agreement/tests/rules.rs
+++ b/crates/agreement/tests/rules.rs
@@ -120,9 +120,9 @@
     let mut own = one.clone();
     own.settings.insert("me".into(), "7".into());
     own.settings.insert("zone".into(), "1".into());
-    assert_eq!(one.content(), own.content());
+    assert_eq!(one.content_id(), own.content_id());
     let mut chance = fastrand::Rng::with_seed(3);
-    let mut seen = vec![one.content().digest];
+    let mut seen = vec![one.content_id().digest];
     for _ in 0..500 {
         let mut other = one.clone();
         let names: Vec<String> = {
@@ -133,13 +133,13 @@
         };
         let name = names[chance.usize(..names.len())].clone();
         other.settings.insert(name, format!("{}", chance.u64(..)));
-        seen.push(other.content().digest);
+        seen.push(other.content_id().digest);
     }
     let mut started = one.clone();
     started.start = 5;
     let mut bounded = one.clone();
     bounded.fallback.quota_share = 0.6;
-    seen.extend([started.content().digest, bounded.content().digest]);
+    seen.extend([started.content_id().digest, bounded.content_id().digest]);
     let count = seen.len();
     seen.sort();
     seen.dedup();
@@ -148,7 +148,7 @@
     let put = |name: &str, value: &str| {
         let mut other = one.clone();
         other.settings.insert(name.into(), value.into());
-        other.content()
+        other.content_id()
     };
     assert_ne!(put("a", "b\n1:c=1:d"), put("a", "b"));
 }
@@ -163,7 +163,7 @@
         .into_iter()
         .collect();
     let text = "7\n5\nGround { quota: 0.5, gateways: 20.0, attempts: 2.0 }\n1:a=2:12\n1:b=1:x\n";
-    assert_eq!(one.content().digest, xxhash_rust::xxh3::xxh3_128(text.as_bytes()));
+    assert_eq!(one.content_id().digest, xxhash_rust::xxh3::xxh3_128(text.as_bytes()));
 }
 
 #[test]
--- a/crates/gateway/src/gateway/agreeing.rs
+++ b/crates/gateway/src/gateway/agreeing.rs
@@ -5,7 +5,7 @@
 use crate::config::Method;
 use crate::entry::Entry;
 use crate::services::Services;
-use agreement::lease::Content;
+use agreement::lease::ContentId;
 use agreement::lists::{ListTracker, ListedServer, RemovalAnnouncement};
 use agreement::message::{LeaseMessage, ListNotice};
 use agreement::rules::objections;
@@ -47,7 +47,7 @@
     }
 }
 
-fn short(content: Content) -> String {
+fn short(content: ContentId) -> String {
     format!("{:016x}", content.digest >> 64)
 }
 
@@ -63,7 +63,7 @@
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
         let (all, clock_off) = (told.all, told.clock_off);
-        let (now, content) = (host.net.now.saturating_add_signed(clock_off), told.version.content());
+        let (now, content) = (host.net.now.saturating_add_signed(clock_off), told.version.content_id());
         let mut state =
             Agreement::new(told.terms, number, host.chance.u32(..), now, content, told.version.start);
         if told.fresh {
@@ -99,8 +99,8 @@
     /// The module acts on this from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
-        if agreement.held.version.content() != acting.content
-            && let Some(new) = agreement.waits.take_if(|waits| waits.version.content() == acting.content)
+        if agreement.held.version.content_id() != acting.content
+            && let Some(new) = agreement.waits.take_if(|waits| waits.version.content_id() == acting.content)
         {
             agreement.held = new;
             self.host.config.methods = std::mem::take(&mut agreement.held.methods);
@@ -247,7 +247,7 @@
     ) {
         let Some(agreement) = &mut self.agreement else { return };
         let (now, content) =
-            (self.host.net.now.saturating_add_signed(agreement.clock_off), version.content());
+            (self.host.net.now.saturating_add_signed(agreement.clock_off), version.content_id());
         let (log, number) = (&self.host.log, content.version);
         // What is not newer than what is held the state machine judges.
         let newer =
--- a/crates/scale/src/hollow/agreeing.rs
+++ b/crates/scale/src/hollow/agreeing.rs
@@ -3,7 +3,7 @@
 
 use super::Nanos;
 use super::gateway::Agreed;
-use agreement::lease::Content;
+use agreement::lease::ContentId;
 use agreement::lists::{ListTracker, ListedServer, RemovalAnnouncement};
 use agreement::message::{LeaseMessage, ListNotice};
 use agreement::rules::objections;
@@ -20,7 +20,7 @@
 /// A version of the settings as it lies on the machines.
 pub struct VersionFile {
     pub version: Version,
-    pub content: Content,
+    pub content: ContentId,
     /// What may be acted on while it can't be confirmed.
     pub ground: Settings,
     /// When it was put out.
@@ -29,7 +29,7 @@
 
 impl VersionFile {
     pub fn new(version: Version, put_out: Nanos) -> VersionFile {
-        let (content, ground) = (version.content(), version.fallback_settings());
+        let (content, ground) = (version.content_id(), version.fallback_settings());
         VersionFile { version, content, ground, put_out }
     }
 }
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -7,7 +7,7 @@
 use crate::deployment::{START, WHOLE_INDEX};
 use crate::measure::{Operation, Traffic};
 use agreement::config::AgreementConfig;
-use agreement::lease::Content;
+use agreement::lease::ContentId;
 use agreement::lists::{ListTracker, ListedServer};
 use agreement::message::LeaseMessage;
 use agreement::state::Agreement;
@@ -68,7 +68,7 @@
 fn member(number: u32, voters: u32) -> Agreement {
     let terms =
         AgreementConfig { voters: (0..voters).collect(), lease_duration: LEASE, max_clock_error: CLOCK };
-    let content = Content { version: 1, digest: 1 };
+    let content = ContentId { version: 1, digest: 1 };
     let mut member = Agreement::new(terms, Some(number), number, START, content, 0);
     member.skip_recovery();
     member
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -80,7 +80,7 @@
 pub fn digested(plans: usize) -> Result<Operation, ScaleError> {
     let version = version(1, plans);
     let step = move || {
-        std::hint::black_box(version.content());
+        std::hint::black_box(version.content_id());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
