--- a/crates/agreement/tests/rules.rs
+++ b/crates/agreement/tests/rules.rs
@@ -25,7 +25,7 @@
 
 fn version(number: u64, quota: f64, fleet: f64) -> Version {
     let settings = settings(quota, fleet);
-    Version { number, start: 0, fallback: Fallback::of(&settings), settings }
+    Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 fn of(settings: &Settings, name: &str) -> f64 {
@@ -50,14 +50,14 @@
     let mut chains = 0;
     for _ in 0..300 {
         let mut chain = vec![version(1, 100.0, 20.0)];
-        chain[0].fallback.gateways = 60.0;
+        chain[0].fallback.max_gateways = 60.0;
         for _ in 0..60 {
             let last = &chain[chain.len() - 1];
             let quota = of(&last.settings, "tariffs.0.perSecond") * (0.3 + 2.0 * chance.f64());
             let fleet = (1.0 + 80.0 * chance.f64()).round();
             let mut next = version(last.number + 1, quota, fleet);
-            next.fallback.quota = 0.05 + 0.95 * chance.f64();
-            next.fallback.gateways = (1.0 + 80.0 * chance.f64()).round();
+            next.fallback.quota_share = 0.05 + 0.95 * chance.f64();
+            next.fallback.max_gateways = (1.0 + 80.0 * chance.f64()).round();
             if objections(last, &next).is_empty() {
                 chain.push(next);
             }
@@ -92,7 +92,7 @@
     assert_eq!(told(&|_| ()), "");
     assert!(told(&|new| new.number = 4).contains("not above 4"));
     assert!(told(&|new| new.settings = settings(40.0, 20.0)).contains("below the old ground of 50"));
-    assert!(told(&|new| new.fallback.quota = 0.1).contains("the ground falls from 50 to 10"));
+    assert!(told(&|new| new.fallback.quota_share = 0.1).contains("the ground falls from 50 to 10"));
     assert!(
         told(&|new| new.settings = settings(300.0, 20.0))
             .contains("the new ground of 150 is above the old 100")
@@ -111,7 +111,7 @@
     );
     // A cap where there was none contradicts those who have none on their fallback.
     assert!(told(&|new| drop(new.settings.insert("tariffs.0.maxOut".into(), "5".into()))).contains("maxOut"));
-    assert!(told(&|new| new.fallback.quota = f64::NAN).contains("share of quotas"));
+    assert!(told(&|new| new.fallback.quota_share = f64::NAN).contains("share of quotas"));
 }
 
 #[test]
@@ -120,9 +120,9 @@
     let mut own = one.clone();
     own.settings.insert("me".into(), "7".into());
     own.settings.insert("zone".into(), "1".into());
-    assert_eq!(one.content(), own.content());
+    assert_eq!(one.content_id(), own.content_id());
     let mut chance = fastrand::Rng::with_seed(3);
-    let mut seen = vec![one.content().digest];
+    let mut seen = vec![one.content_id().digest];
     for _ in 0..500 {
         let mut other = one.clone();
         let names: Vec<String> = {
@@ -133,13 +133,13 @@
         };
         let name = names[chance.usize(..names.len())].clone();
         other.settings.insert(name, format!("{}", chance.u64(..)));
-        seen.push(other.content().digest);
+        seen.push(other.content_id().digest);
     }
     let mut started = one.clone();
     started.start = 5;
     let mut bounded = one.clone();
-    bounded.fallback.quota = 0.6;
-    seen.extend([started.content().digest, bounded.content().digest]);
+    bounded.fallback.quota_share = 0.6;
+    seen.extend([started.content_id().digest, bounded.content_id().digest]);
     let count = seen.len();
     seen.sort();
     seen.dedup();
@@ -148,7 +148,7 @@
     let put = |name: &str, value: &str| {
         let mut other = one.clone();
         other.settings.insert(name.into(), value.into());
-        other.content()
+        other.content_id()
     };
     assert_ne!(put("a", "b\n1:c=1:d"), put("a", "b"));
 }
@@ -163,7 +163,7 @@
         .into_iter()
         .collect();
     let text = "7\n5\nGround { quota: 0.5, gateways: 20.0, attempts: 2.0 }\n1:a=2:12\n1:b=1:x\n";
-    assert_eq!(one.content().digest, xxhash_rust::xxh3::xxh3_128(text.as_bytes()));
+    assert_eq!(one.content_id().digest, xxhash_rust::xxh3::xxh3_128(text.as_bytes()));
 }
 
 #[test]
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -56,7 +56,7 @@
 
 fn version(number: u64, plans: usize) -> Version {
     let settings = service(plans).settings();
-    Version { number, start: 0, fallback: Fallback::of(&settings), settings }
+    Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 /// The file is read, as at a start and at SIGHUP.
@@ -80,7 +80,7 @@
 pub fn digested(plans: usize) -> Result<Operation, ScaleError> {
     let version = version(1, plans);
     let step = move || {
-        std::hint::black_box(version.content());
+        std::hint::black_box(version.content_id());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
