--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -4,7 +4,7 @@
 
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
-use gateway::list_update::{ListUpdate, ServerChange, WORK_PER_TURN};
+use gateway::list_diff::{ListDiff, ServerChange, WORK_PER_TURN};
 use gateway::servers::Servers;
 use gateway::services::Services;
 use rustix::time::{ClockId, clock_gettime};
@@ -109,7 +109,7 @@
 
 impl Held {
     fn take(&mut self, told: Told, work_a_turn: usize) -> Turns {
-        let (mut changes, mut turns) = (ListUpdate::new(told), Turns { count: 0, longest: 0.0 });
+        let (mut changes, mut turns) = (ListDiff::new(told), Turns { count: 0, longest: 0.0 });
         while !changes.is_done() {
             let (mut work, start) = (work_a_turn, processor_time());
             while let Some(batch) = changes.next_batch(&self.servers, &mut self.directory, &mut work) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use crate::http::{BODY_MOST, Bad, HEAD_MOST};
 use crate::invariants::{Counts, Invariant};
 use crate::list::{self, Told, Watch};
-use crate::list_update::{Batch, ListUpdate, ServerChange, WORK_PER_TURN};
+use crate::list_diff::{Batch, ListDiff, ServerChange, WORK_PER_TURN};
 use crate::phase::{CloseCause, Phase, UnsentAnswer};
 use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
 use crate::shutdown::Shutdown;
@@ -160,7 +160,7 @@
     old_watch: Option<(usize, Watch)>,
     /// Objects of the list that came and are not in force yet, and the one that is being brought into force.
     pending: VecDeque<Pending>,
-    changes: Option<ListUpdate>,
+    changes: Option<ListDiff>,
     /// A timer is set for the next batch of them.
     goes_on: bool,
     /// When the first timer for work on subsets is due.
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -91,7 +91,7 @@
                 self.host.log_turns(&done);
             }
         }
-        self.host.changes.iter_mut().for_each(ListUpdate::defer_to_next_turn);
+        self.host.changes.iter_mut().for_each(ListDiff::defer_to_next_turn);
         self.host.goes_on = true;
         self.host.timers.set(self.host.net.now + 1, TimerEvent::Changes);
     }
@@ -112,7 +112,7 @@
                 }
             }
         };
-        self.host.changes = Some(ListUpdate::new(told));
+        self.host.changes = Some(ListDiff::new(told));
         true
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// A list that took more than one turn leaves a line.
-    fn log_turns(&self, done: &ListUpdate) {
+    fn log_turns(&self, done: &ListDiff) {
         if done.turn_count() > 1 {
             info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod http;
 pub mod invariants;
 pub mod list;
-pub mod list_update;
+pub mod list_diff;
 pub mod logs;
 pub mod objects;
 pub mod phase;
--- a/crates/gateway/src/list_update.rs
+++ b/crates/gateway/src/list_diff.rs
@@ -38,7 +38,7 @@
 
 /// The list at hand.
 #[derive(Debug)]
-pub struct ListUpdate {
+pub struct ListDiff {
     index: u64,
     whole: bool,
     /// Not compared yet, the last one first: of two entries for one server the later one counts.
@@ -56,9 +56,9 @@
     turns: usize,
 }
 
-impl ListUpdate {
+impl ListDiff {
     pub fn new(told: Told) -> Self {
-        ListUpdate {
+        ListDiff {
             index: told.index,
             whole: told.whole,
             named: HashSet::with_capacity(told.entries.len()),
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use gateway::directory::Directory;
 use gateway::list::{self, Told, Watch};
-use gateway::list_update::{ListUpdate, ServerChange, WORK_PER_TURN};
+use gateway::list_diff::{ListDiff, ServerChange, WORK_PER_TURN};
 use gateway::objects::{DEPTH_MOST, ELEMENT_MOST, FRAME_MOST};
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
@@ -298,7 +298,7 @@
 
     /// Brings a list into force with so much work a turn.
     fn take(&mut self, told: Told, work_a_turn: usize) -> Effort {
-        let mut changes = ListUpdate::new(told);
+        let mut changes = ListDiff::new(told);
         let mut effort = Effort { fewest_ready: usize::MAX, turns: 1, ..Effort::default() };
         let mut work = work_a_turn;
         while !changes.is_done() {
@@ -341,7 +341,7 @@
     for size in [100, 20_000] {
         let mut held = Held::default();
         assert_eq!(held.take(told(true, names(0, size), "ready"), usize::MAX).changed, size);
-        let (mut work, mut changes) = (1000, ListUpdate::new(told(false, names(7, 8), "draining")));
+        let (mut work, mut changes) = (1000, ListDiff::new(told(false, names(7, 8), "draining")));
         let batch = changes.next_batch(&held.servers, &mut held.directory, &mut work).unwrap();
         assert!(changes.is_done() && batch.unavailable.len() == 1 && batch.available.is_empty());
         assert_eq!(1000 - work, 3, "one compared and one changed, among {size}");
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -5,7 +5,7 @@
 use crate::deployment::{START, Service, zones};
 use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
-use gateway::list_update::{ListUpdate, ServerChange};
+use gateway::list_diff::{ListDiff, ServerChange};
 use gateway::servers::Servers;
 use martenramp::brain::Brain;
 use martenramp::host::{Listed, Nanos};
@@ -89,7 +89,7 @@
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
 pub fn batches(told: Told, servers: &mut Servers, directory: &mut Directory) -> Vec<Vec<Listed>> {
-    let mut changes = ListUpdate::new(told);
+    let mut changes = ListDiff::new(told);
     let mut lists = Vec::new();
     while !changes.is_done() {
         let mut work = usize::MAX;
