--- a/crates/gateway/src/list_diff.rs
+++ b/crates/gateway/src/list_diff.rs
@@ -1,9 +1,9 @@
 //! A list between its last byte and the moment when all of it is in force: what it changes is found and handed on in
 //! batches, each of bounded work, so that a list of any length never takes a whole turn of the poll.
 
-use crate::directory::Directory;
 use crate::entry::Entry;
-use crate::list::Told;
+use crate::list::ListUpdate;
+use crate::name_ids::NameIds;
 use crate::servers::Servers;
 use martenramp::host::Listed;
 use martenramp::subsetting;
@@ -57,10 +57,10 @@
 }
 
 impl ListDiff {
-    pub fn new(told: Told) -> Self {
+    pub fn new(told: ListUpdate) -> Self {
         ListDiff {
             index: told.index,
-            whole: told.whole,
+            whole: told.is_snapshot,
             named: HashSet::with_capacity(told.entries.len()),
             entries: told.entries,
             walked_to: 0,
@@ -97,7 +97,7 @@
     pub fn next_batch(
         &mut self,
         servers: &Servers,
-        directory: &mut Directory,
+        directory: &mut NameIds,
         work: &mut usize,
     ) -> Option<Batch> {
         if !self.compared {
@@ -131,7 +131,7 @@
     }
 
     /// Compares entries with what is held; what is as it was goes no further.
-    fn compare(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) {
+    fn compare(&mut self, servers: &Servers, directory: &mut NameIds, work: &mut usize) {
         while *work > 0
             && let Some(entry) = self.entries.pop()
         {
@@ -143,12 +143,12 @@
             if !self.named.insert(key) {
                 continue;
             }
-            let listed = directory.listed(key, &entry);
+            let listed = directory.to_listed(key, &entry);
             let address = (!entry.gone).then_some(entry.address);
-            let held = servers.held(key);
+            let held = servers.by_key(key);
             let unchanged = match address {
                 Some(address) => held.is_some_and(|held| held.is_listed_as(&listed, address)),
-                None => held.is_none_or(|held| !held.listed),
+                None => held.is_none_or(|held| !held.is_listed),
             };
             match (unchanged, listed.ready) {
                 (true, _) => {}
@@ -168,8 +168,8 @@
             let mut walked = 0;
             for (number, server) in servers.by_number.range(self.walked_to..).take(WALKED_FOR_ONE) {
                 (self.walked_to, walked) = (number + 1, walked + 1);
-                if server.listed && !self.named.contains(&server.told.key) {
-                    self.unavailable.push(ServerChange { listed: server.told.clone(), address: None });
+                if server.is_listed && !self.named.contains(&server.last_listed.key) {
+                    self.unavailable.push(ServerChange { listed: server.last_listed.clone(), address: None });
                 }
             }
             if walked < WALKED_FOR_ONE {
