--- a/benches/membership_figures.rs
+++ b/benches/membership_figures.rs
@@ -1,7 +1,7 @@
 //! What the list costs one gateway of 5,800 before 170,000 servers in 7,100 services of which it meets 64, printed:
 //! `cargo bench --bench membership_figures`. Times are the mean of so many events, bytes those held by the decision module.
 
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, Host, Listed, Nanos, Settings};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -16,7 +16,7 @@
 use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, End, Ended, Host, Nanos};
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
--- a/crates/lab/src/gates.rs
+++ b/crates/lab/src/gates.rs
@@ -2,7 +2,7 @@
 //! The baselines are no policy of the product; they are what every emulated figure is compared with.
 
 use crate::Nanos;
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, End, Ended, Host, Listed, Settings};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The decision module, `martenramp::brain`.
+    /// The decision module, `martenramp::admission`.
     #[default]
     Design,
     /// Each gateway an even split of every store, no reserve line, no brake, the least-open server.
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -11,7 +11,7 @@
 use gateway::list::{self, Told, Watch};
 use gateway::servers::Servers;
 use lab::gates::Wishes;
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, End, Ended, Settings};
 use martenramp::subsetting;
 use std::collections::BTreeMap;
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -7,7 +7,7 @@
 use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
 use gateway::servers::Servers;
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Listed, Nanos};
 
 /// The head of a watch's answer.
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, End, Ended, Listed, Settings};
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
--- a/src/brain.rs
+++ b/src/admission.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-mod counting;
-mod quota_room;
-mod server_choice;
+mod counter_calls;
+mod quota_check;
 mod server_list;
+mod server_selection;
 
 /// From the design: the reserve line, and when the brake acts.
 const RESERVE: f64 = 0.3;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! martenramp: admission decisions for a service sold by plan.
 //!
-//! [`brain`] holds every decision, [`subsetting`] which servers a gateway draws from, [`host`] what both need from whoever
+//! [`admission`] holds every decision, [`subsetting`] which servers a gateway draws from, [`host`] what both need from whoever
 //! runs them.
-//! A host hands events to a [`brain::Brain`] and carries out what comes back:
+//! A host hands events to a [`admission::Brain`] and carries out what comes back:
 //!
 //! ```
-//! use martenramp::brain::Brain;
+//! use martenramp::admission::Brain;
 //! use martenramp::host::{Arrival, Host, Nanos, Settings};
 //!
 //! #[derive(Default)]
@@ -26,8 +26,8 @@
 //! assert_eq!(host.0, ["1 pushed back"]);
 //! ```
 
+pub mod admission;
 mod attempts;
-pub mod brain;
 pub mod host;
 mod quota;
 mod samples;
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -1,9 +1,9 @@
 //! A fleet of gateways, each a module of its own, against servers that start cold: what all together send one in the told
 //! span stays under N + 2 root(N) + 2 RPCs of mean work, N being what the settings allow it then.
 
-mod fake;
+mod harness;
 
-use fake::{MS, SEC, START, Story, gateway, server};
+use harness::{MS, SEC, START, Story, gateway, server};
 use martenramp::host::{End, Listed, Nanos};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
--- a/tests/stories.rs
+++ b/tests/failure_handling.rs
@@ -1,8 +1,8 @@
 //! What the module must do when things fail: one short story for each failure met.
 
-mod fake;
+mod harness;
 
-use fake::{MS, SEC, Story, gateway, server, story};
+use harness::{MS, SEC, Story, gateway, server, story};
 use martenramp::host::{Arrival, End, Listed};
 
 #[test]
@@ -11,7 +11,7 @@
     let rpc = s.rpc_of(9, 2, 1.0, SEC / 3 + 123);
     s.pass(2 * SEC);
     assert_eq!(s.notes.pushed.len(), 1);
-    assert!(s.notes.pushed[0].0 == rpc && s.notes.pushed[0].2 <= fake::START + SEC / 3 + MS);
+    assert!(s.notes.pushed[0].0 == rpc && s.notes.pushed[0].2 <= harness::START + SEC / 3 + MS);
 }
 
 #[test]
@@ -21,7 +21,7 @@
     // The customer is new here: half of the burst of 10 is this gateway's.
     assert_eq!(s.notes.out.len(), 5);
     assert!(!s.notes.pushed.is_empty(), "the last can't get room in time and hear so at once");
-    assert!(s.notes.pushed.iter().all(|pushed| pushed.1 > 0 && pushed.2 == fake::START));
+    assert!(s.notes.pushed.iter().all(|pushed| pushed.1 > 0 && pushed.2 == harness::START));
     s.pass(500 * MS);
     assert!(s.sent(ids[5]) == 1 && s.notes.out.len() <= 8, "half the rate without a counter");
 }
@@ -472,7 +472,7 @@
     s.answered(60, 2, 160 * MS);
     let part = met(&s, 0);
     for server in part.keys() {
-        s.list(false, &[Listed { ready: false, ..fake::server(*server, 0) }]);
+        s.list(false, &[Listed { ready: false, ..harness::server(*server, 0) }]);
     }
     let from = s.notes.out.len();
     s.answered(30, 2, 160 * MS);
@@ -726,7 +726,7 @@
     let out = s.rpc(0, 1.0);
     assert_eq!(s.sent(out), 1);
     // The new settings allow one call-out only and a tenth of the quota.
-    let text = fake::settings("ceilings.attemptsCap=1 tariffs.0.perSecond=1 tariffs.0.depth=1");
+    let text = harness::settings("ceilings.attemptsCap=1 tariffs.0.perSecond=1 tariffs.0.depth=1");
     s.brain.settle(s.notes.now, text);
     s.end(out, End::NoConnection);
     s.pass(100 * MS);
@@ -742,7 +742,7 @@
     s.pass(100 * MS);
     assert_eq!(s.sent(one), 1, "what came in later has one call-out");
     // Back: the quota is there again, filled as it was drawn.
-    s.brain.settle(s.notes.now, fake::settings(""));
+    s.brain.settle(s.notes.now, harness::settings(""));
     s.pass(2 * SEC);
     let again: Vec<u32> = (0..4).map(|_| s.rpc(2, 1.0)).collect();
     assert!(again.iter().all(|id| s.sent(*id) == 1));
@@ -782,14 +782,14 @@
     let mut s = story("tariffs.0.perSecond=1000 tariffs.0.depth=1000").with_servers(0);
     let ids: Vec<u32> = (0..40).map(|_| s.rpc(2, 0.1)).collect();
     assert!(s.notes.out.is_empty(), "there is no server yet");
-    s.list(true, &(1..=200).map(|id| fake::server(id, 0)).collect::<Vec<_>>());
+    s.list(true, &(1..=200).map(|id| harness::server(id, 0)).collect::<Vec<_>>());
     s.pass(40 * MS);
     assert!(ids.iter().all(|id| s.sent(*id) == 1), "{:?}", s.notes.out.len());
     // The same where all leave but one: the line is short again.
     let mut s = story("tariffs.0.perSecond=1000 tariffs.0.depth=1000").with_servers(0);
     let ids: Vec<u32> = (0..40).map(|_| s.rpc(2, 0.1)).collect();
     ids[..39].iter().for_each(|id| s.brain.client_left(*id));
-    s.list(true, &[fake::server(1, 0)]);
+    s.list(true, &[harness::server(1, 0)]);
     s.pass(40 * MS);
     assert_eq!((s.notes.out.len(), s.sent(ids[39])), (1, 1));
 }
--- a/tests/fake/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,7 +1,7 @@
 //! What the module's stories share: a tiny host that writes down what the module asks for and rings its timers in order.
 #![allow(dead_code)] // each test uses a part of it
 
-use martenramp::brain::Brain;
+use martenramp::admission::Brain;
 use martenramp::host::{Arrival, End, Ended, Host, Listed, Nanos, Settings};
 
 pub const MS: Nanos = 1_000_000;
--- a/tests/serving.rs
+++ b/tests/liveness.rs
@@ -1,9 +1,9 @@
 //! No gateway turns away all that it gets for long: whatever its few samples, its brake, its part of the servers or the
 //! counter say, some call-out reaches a server.
 
-mod fake;
+mod harness;
 
-use fake::{MS, SEC, START, Story, gateway, server};
+use harness::{MS, SEC, START, Story, gateway, server};
 use martenramp::host::{End, Listed, Nanos};
 use martenramp::subsetting::{self, Endpoint};
 use std::cmp::Reverse;
