--- a/benches/membership_figures.rs
+++ b/benches/membership_figures.rs
@@ -1,8 +1,8 @@
 //! What the list costs one gateway of 5,800 before 170,000 servers in 7,100 services of which it meets 64, printed:
 //! `cargo bench --bench membership_figures`. Times are the mean of so many events, bytes those held by the decision module.
 
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, Host, Listed, Nanos, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, DiscoveredServer, Host, Nanos, Settings};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -39,22 +39,22 @@
 struct Silent;
 
 impl Host for Silent {
-    fn call_out(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
-    fn push_back(&mut self, _rpc: u32, _come_back: Nanos) {}
+    fn send_attempt(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
+    fn reject(&mut self, _rpc: u32, _come_back: Nanos) {}
     fn abort(&mut self, _rpc: u32) {}
-    fn wake(&mut self, _after: Nanos, _token: u32) {}
-    fn count(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
+    fn set_timer(&mut self, _after: Nanos, _token: u32) {}
+    fn add_to_counter(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
 }
 
-fn entry(server: u32) -> Listed {
-    Listed {
+fn entry(server: u32) -> DiscoveredServer {
+    DiscoveredServer {
         server,
         service: server % SERVICES,
         key: martenramp::subsetting::key(&format!("s{server:06}")),
         zone: (server / SERVICES % ZONES) as u16,
         ready: true,
         weight: 1.0,
-        ..Listed::default()
+        ..DiscoveredServer::default()
     }
 }
 
@@ -66,21 +66,22 @@
     println!("{name:40} {each:10.4} ms each of {count:6}, {:10.1} KB more held", grown / 1e3);
 }
 
-fn change(brain: &mut Brain, server: u32) {
-    brain.listed(NOW, false, &[Listed { ready: false, ..entry(server) }]);
-    brain.listed(NOW, false, &[entry(server)]);
+fn change(brain: &mut AdmissionController, server: u32) {
+    brain.on_server_list(NOW, false, &[DiscoveredServer { ready: false, ..entry(server) }]);
+    brain.on_server_list(NOW, false, &[entry(server)]);
 }
 
 fn main() {
     let settings = [("me", "17".to_string()), ("balancers", FLEET.to_string())];
     let settings: Settings = settings.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
-    let mut brain = Brain::new(1, settings);
-    let list: Vec<Listed> = (0..SERVERS).map(entry).collect();
-    report("whole list", 1, || brain.listed(NOW, true, &list));
+    let mut brain = AdmissionController::new(1, settings);
+    let list: Vec<DiscoveredServer> = (0..SERVERS).map(entry).collect();
+    report("whole list", 1, || brain.on_server_list(NOW, true, &list));
     report("a service asked for first", MET, || {
         for service in 1..=MET {
-            let arrival = Arrival { id: service, service, deadline: NOW, width: 1, ..Arrival::default() };
-            brain.rpc(&mut Silent, NOW, &arrival);
+            let arrival =
+                Arrival { id: service, service, deadline: NOW, gateway_count: 1, ..Arrival::default() };
+            brain.on_arrival(&mut Silent, NOW, &arrival);
         }
     });
     report("one change, service met", 2 * CHANGES, || {
@@ -89,13 +90,15 @@
     report("one change, service not met", 2 * CHANGES, || {
         (0..CHANGES).for_each(|at| change(&mut brain, 1 + MET + at));
     });
-    let zone: Vec<Listed> = list.iter().filter(|at| at.zone == 2).cloned().collect();
-    let gone: Vec<Listed> = zone.iter().map(|at| Listed { ready: false, ..at.clone() }).collect();
+    let zone: Vec<DiscoveredServer> = list.iter().filter(|at| at.zone == 2).cloned().collect();
+    let gone: Vec<DiscoveredServer> =
+        zone.iter().map(|at| DiscoveredServer { ready: false, ..at.clone() }).collect();
     println!("a zone has {} servers", zone.len());
-    report("a zone gone", 1, || brain.listed(NOW, false, &gone));
+    report("a zone gone", 1, || brain.on_server_list(NOW, false, &gone));
     report("a zone back, cold", 1, || {
-        let cold: Vec<Listed> = zone.iter().map(|at| Listed { came_up: NOW, ..at.clone() }).collect();
-        brain.listed(NOW, false, &cold);
+        let cold: Vec<DiscoveredServer> =
+            zone.iter().map(|at| DiscoveredServer { started_at: NOW, ..at.clone() }).collect();
+        brain.on_server_list(NOW, false, &cold);
     });
-    report("the whole list again", 1, || brain.listed(NOW, true, &list));
+    report("the whole list again", 1, || brain.on_server_list(NOW, true, &list));
 }
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -5,7 +5,7 @@
 use crate::entry::Entry;
 use crate::list::Told;
 use crate::servers::Servers;
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 use martenramp::subsetting;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 /// One server that is other than it was.
 #[derive(Debug)]
 pub struct Change {
-    pub listed: Listed,
+    pub listed: DiscoveredServer,
     /// Nothing for a server that is gone.
     pub address: Option<SocketAddr>,
 }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -2,7 +2,7 @@
 //! after another and answered in that order; calls for one name share a connection, so that its answers keep
 //! their order.
 
-use martenramp::host::{End, Nanos};
+use martenramp::host::{CallOutcome, Nanos};
 use std::collections::VecDeque;
 use std::io::Write;
 
@@ -106,21 +106,23 @@
     }
 
     /// The time of a call is over: how it ended, if it was still out. One not written was never added.
-    pub fn time_out(&mut self, serial: u64) -> Option<(Call, End)> {
+    pub fn time_out(&mut self, serial: u64) -> Option<(Call, CallOutcome)> {
         if let Some(at) = self.waiting.iter().position(|call| call.serial == serial) {
-            return self.waiting.remove(at).map(|call| (call, End::NoConnection));
+            return self.waiting.remove(at).map(|call| (call, CallOutcome::NoConnection));
         }
         let call = self.written.iter_mut().flatten().find(|call| call.serial == serial)?;
         let ended = *call;
         call.serial = 0; // its answer is still to come, and is passed over then
-        Some((ended, End::TimedOut))
+        Some((ended, CallOutcome::TimedOut))
     }
 
     /// The connection is gone: all that was out on it, and how it ended.
-    pub fn broke(&mut self) -> Vec<(Call, End)> {
+    pub fn broke(&mut self) -> Vec<(Call, CallOutcome)> {
         self.up = false;
-        let waiting = std::mem::take(&mut self.waiting).into_iter().map(|call| (call, End::NoConnection));
-        let written = std::mem::take(&mut self.written).into_iter().flatten().map(|call| (call, End::Reset));
+        let waiting =
+            std::mem::take(&mut self.waiting).into_iter().map(|call| (call, CallOutcome::NoConnection));
+        let written =
+            std::mem::take(&mut self.written).into_iter().flatten().map(|call| (call, CallOutcome::Reset));
         written.chain(waiting).filter(|ended| ended.0.serial != 0).collect()
     }
 
@@ -129,7 +131,7 @@
         &mut self,
         now: Nanos,
         input: &[u8],
-        ended: &mut Vec<(Call, End, f64)>,
+        ended: &mut Vec<(Call, CallOutcome, f64)>,
     ) -> Result<usize, &'static str> {
         let mut at = 0;
         while let Some((used, how, total)) = answer(&input[at..])? {
@@ -138,7 +140,7 @@
             match self.written.pop_front() {
                 // Guards against a spoilt answer: it may have added, and what follows on the connection means
                 // nothing. Harm: the other calls out here count as added too.
-                Some(Some(call)) if how == End::Error => {
+                Some(Some(call)) if how == CallOutcome::Error => {
                     ended.extend((call.serial != 0).then_some((call, how, total)));
                     return Err("answer-without-number");
                 }
@@ -153,22 +155,22 @@
 
 /// The first whole answer: its length, and how the call ended. Whatever is no number is no total, and an error
 /// that is not known may have added.
-fn answer(input: &[u8]) -> Result<Option<(usize, End, f64)>, &'static str> {
+fn answer(input: &[u8]) -> Result<Option<(usize, CallOutcome, f64)>, &'static str> {
     let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
         return if input.len() > ANSWER_MOST { Err("answer-too-long") } else { Ok(None) };
     };
     let line = std::str::from_utf8(&input[..end]).map_err(|_| "bad-answer")?;
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|total| total.is_finite());
     let done = |total: Option<f64>| match total {
-        Some(total) => (End::Ok, total),
-        None => (End::Error, 0.0),
+        Some(total) => (CallOutcome::Ok, total),
+        None => (CallOutcome::Error, 0.0),
     };
     let (used, (how, total)) = match line.as_bytes().first() {
-        Some(b'-') if line.starts_with("-BUSY") => (end + 2, (End::Full, 0.0)),
-        Some(b'-') if line.starts_with("-ERR") => (end + 2, (End::NotSent, 0.0)), // no such call: nothing was added
-        Some(b'-' | b'+') => (end + 2, (End::Error, 0.0)),
+        Some(b'-') if line.starts_with("-BUSY") => (end + 2, (CallOutcome::Full, 0.0)),
+        Some(b'-') if line.starts_with("-ERR") => (end + 2, (CallOutcome::NotSent, 0.0)), // no such call: nothing was added
+        Some(b'-' | b'+') => (end + 2, (CallOutcome::Error, 0.0)),
         Some(b':') => (end + 2, done(number(&line[1..]))),
-        Some(b'$') if line == "$-1" => (end + 2, (End::Error, 0.0)),
+        Some(b'$') if line == "$-1" => (end + 2, (CallOutcome::Error, 0.0)),
         Some(b'$') => {
             let size: usize = line[1..].parse().map_err(|_| "bad-answer")?;
             if size > ANSWER_MOST {
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,7 +1,7 @@
 //! The names that entries of the list use, as the numbers that the module knows them by.
 
 use crate::entry::Entry;
-use martenramp::host::{Listed, Nanos};
+use martenramp::host::{DiscoveredServer, Nanos};
 use std::collections::HashMap;
 
 const MS: Nanos = 1_000_000;
@@ -37,9 +37,9 @@
     }
 
     /// What the module is told of an entry with this key; the server's number is filled in when it is taken.
-    pub fn listed(&mut self, key: u64, entry: &Entry) -> Listed {
+    pub fn listed(&mut self, key: u64, entry: &Entry) -> DiscoveredServer {
         let kind = self.kinds.iter().position(|known| **known == *entry.kind);
-        Listed {
+        DiscoveredServer {
             server: 0,
             service: entry.service,
             key,
@@ -48,7 +48,7 @@
             cell: entry.cell,
             ready: entry.ready,
             weight: entry.weight,
-            came_up: entry.since_ms.saturating_mul(MS),
+            started_at: entry.since_ms.saturating_mul(MS),
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -16,8 +16,8 @@
 use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, End, Ended, Host, Nanos};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Host, Nanos};
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::io;
@@ -129,7 +129,7 @@
 pub type ReadAgain = Box<dyn Fn() -> Result<Config, String>>;
 
 pub struct Gateway {
-    brain: Brain,
+    brain: AdmissionController,
     read_again: ReadAgain,
     host: PolicyHost,
     /// Where the settings have a version.
@@ -175,8 +175,8 @@
     /// How often each invariant was looked at, kept and broken.
     counts: Counts,
     /// Ends that the module is to be told of.
-    ended: VecDeque<Ended>,
-    counted: VecDeque<(Call, End, f64)>,
+    ended: VecDeque<AttemptResult>,
+    counted: VecDeque<(Call, CallOutcome, f64)>,
     /// Clients whose buffer may hold a further message.
     again: VecDeque<usize>,
     has_list: bool,
@@ -297,7 +297,7 @@
             behind_since: None,
             config,
         };
-        let brain = Brain::new(host.config.seed, host.config.settings.clone());
+        let brain = AdmissionController::new(host.config.seed, host.config.settings.clone());
         Gateway { brain, read_again, host, agreement: None }
     }
 }
@@ -475,7 +475,7 @@
         let now = self.host.net.now;
         while let Some(what) = self.host.timers.due(now) {
             match what {
-                TimerEvent::Wake(token) => self.brain.woke(&mut self.host, now, token),
+                TimerEvent::Wake(token) => self.brain.on_timer(&mut self.host, now, token),
                 TimerEvent::CallOut(id, rpc, nth) => self.host.call_out_over(id, rpc, nth),
                 TimerEvent::Dial(id) => self.host.dial_over(id),
                 TimerEvent::Write(id) => self.host.to_write.push_back(id),
@@ -521,9 +521,9 @@
         let now = self.host.net.now;
         loop {
             if let Some(ended) = self.host.ended.pop_front() {
-                self.brain.ended(&mut self.host, now, &ended);
+                self.brain.on_attempt_end(&mut self.host, now, &ended);
             } else if let Some((call, how, total)) = self.host.counted.pop_front() {
-                self.brain.counted(&mut self.host, now, call.name, how, total);
+                self.brain.on_counter_reply(&mut self.host, now, call.name, how, total);
             } else if let Some(id) = self.host.again.pop_front() {
                 self.client_came(id);
             } else {
@@ -543,7 +543,7 @@
 }
 
 impl Host for PolicyHost {
-    fn call_out(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
+    fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
@@ -552,10 +552,10 @@
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         if rpc.state == RpcState::Answered || until <= now {
-            return self.end_call_out(server, attempt, End::NotSent, 0.0, Vec::new());
+            return self.end_call_out(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
         }
         let Some(to) = self.link_to(server) else {
-            return self.end_call_out(server, attempt, End::NoConnection, 0.0, Vec::new());
+            return self.end_call_out(server, attempt, CallOutcome::NoConnection, 0.0, Vec::new());
         };
         self.shift(id, RpcState::Out);
         let (Some(rpc), Some(link)) = (self.rpcs.get_mut(&id), self.links.get_mut(&to)) else { return };
@@ -567,7 +567,7 @@
         self.timers.set(until, TimerEvent::CallOut(to, id, attempt.nth));
     }
 
-    fn push_back(&mut self, id: u32, come_back: Nanos) {
+    fn reject(&mut self, id: u32, come_back: Nanos) {
         if self.refusal_is_harmless(id) {
             self.answer(id, if come_back > 0 { 429 } else { 503 }, come_back, "refused");
         } else {
@@ -580,15 +580,15 @@
         self.answer(id, if over { 504 } else { 502 }, 0, if over { "time-over" } else { "failed" });
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.timers.set(self.net.now.saturating_add(after), TimerEvent::Wake(token));
     }
 
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         self.last_call += 1;
         let call = Call { serial: self.last_call, name, add, forget };
         let Some(line) = self.line_for(name) else {
-            return self.counted.push_back((call, End::NoConnection, 0.0));
+            return self.counted.push_back((call, CallOutcome::NoConnection, 0.0));
         };
         let PolicyHost { net, lines, lines_on, .. } = self;
         let now = net.now;
--- a/crates/gateway/src/gateway/agreeing.rs
+++ b/crates/gateway/src/gateway/agreeing.rs
@@ -117,7 +117,7 @@
         info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
         self.host.config.settle(settings.clone());
-        self.brain.settle(now, settings);
+        self.brain.update_settings(now, settings);
     }
 
     /// Looks at what may be acted on by now, before anything is decided, and tells others what there is to tell.
--- a/crates/gateway/src/gateway/client_side.rs
+++ b/crates/gateway/src/gateway/client_side.rs
@@ -96,8 +96,8 @@
             service: self.host.config.services.of_class(message.method),
             deadline,
             units: message.units,
-            width: message.width,
-            first: message.first,
+            gateway_count: message.width,
+            first_gateway: message.first,
         };
         let rpc = Rpc {
             state: RpcState::Held,
@@ -115,7 +115,7 @@
         self.host.rpcs.insert(id, rpc);
         self.host.open_rpcs += 1;
         self.host.timers.set(deadline + OVERDUE, TimerEvent::Overdue(id));
-        self.brain.rpc(&mut self.host, now, &arrival);
+        self.brain.on_arrival(&mut self.host, now, &arrival);
     }
 
     /// Guards against an RPC that neither the module nor a time-out has ended; nothing else should come here.
@@ -124,7 +124,7 @@
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
             self.host.answer(id, if harmless { 503 } else { 504 }, 0, "overdue");
-            self.brain.client_left(id);
+            self.brain.on_client_left(id);
         }
     }
 
@@ -154,7 +154,7 @@
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.shift(rpc, RpcState::Answered);
-            self.brain.client_left(rpc);
+            self.brain.on_client_left(rpc);
         }
     }
 }
--- a/crates/gateway/src/gateway/discovery_side.rs
+++ b/crates/gateway/src/gateway/discovery_side.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::starts;
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 
 /// The part of a subset's work that one turn does: about a quarter of a millisecond.
 const SUBSET_UNITS_A_TURN: usize = 50_000;
@@ -131,12 +131,12 @@
             let came_up = host.started_at(&listed);
             let (server, stale) = host.servers.list_started(&listed, address, came_up);
             stale.into_iter().for_each(|id| host.end_link(id, "server-moved"));
-            list.push(Listed { server, came_up, ..listed });
+            list.push(DiscoveredServer { server, started_at: came_up, ..listed });
         }
         if host.has_list {
-            self.brain.listed_in_steps(host.net.now, &list);
+            self.brain.on_server_list_deferred(host.net.now, &list);
         } else {
-            self.brain.listed(host.net.now, false, &list);
+            self.brain.on_server_list(host.net.now, false, &list);
         }
         host.servers.forget();
         self.await_subsets();
@@ -151,7 +151,7 @@
 
     /// Sets a timer for when there is work on subsets.
     fn await_subsets(&mut self) {
-        let Some(due) = self.brain.subsets_due() else { return };
+        let Some(due) = self.brain.subset_work_due() else { return };
         // Timers are looked at once a turn, so what is due now is for the next one.
         let at = due.max(self.host.net.now + 1);
         if self.host.subsets_awaited.is_none_or(|awaited| at < awaited) {
@@ -163,8 +163,8 @@
 
 impl PolicyHost {
     /// When a server started that the list names.
-    fn started_at(&self, listed: &Listed) -> Nanos {
-        let stamp = listed.came_up;
+    fn started_at(&self, listed: &DiscoveredServer) -> Nanos {
+        let stamp = listed.started_at;
         match self.servers.held(listed.key).filter(|held| held.stamp == stamp) {
             Some(held) => held.came_up,
             None => {
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -4,16 +4,16 @@
 use super::*;
 
 /// The reason code of how an attempt ended.
-fn end_code(how: End) -> &'static str {
+fn end_code(how: CallOutcome) -> &'static str {
     match how {
-        End::Ok => "ok",
-        End::Error => "error",
-        End::Full => "turned-away",
-        End::TimedOut => "timed-out",
-        End::NoConnection => "no-connection",
-        End::Reset => "connection-reset",
-        End::Withdrawn => "withdrawn",
-        End::NotSent => "not-sent",
+        CallOutcome::Ok => "ok",
+        CallOutcome::Error => "error",
+        CallOutcome::Full => "turned-away",
+        CallOutcome::TimedOut => "timed-out",
+        CallOutcome::NoConnection => "no-connection",
+        CallOutcome::Reset => "connection-reset",
+        CallOutcome::Withdrawn => "withdrawn",
+        CallOutcome::NotSent => "not-sent",
     }
 }
 
@@ -34,9 +34,9 @@
     }
 
     /// An attempt ended; logged unless it went well, and always while the process stops.
-    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: End) {
+    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: CallOutcome) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if how == End::Ok && !self.is_stopping() {
+        if how == CallOutcome::Ok && !self.is_stopping() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
--- a/crates/gateway/src/gateway/server_side.rs
+++ b/crates/gateway/src/gateway/server_side.rs
@@ -56,7 +56,7 @@
         if let Err(obstacle) = self.may_send(id, &attempt) {
             info!(self.log, "not written"; "why" => obstacle.reason(), "rpc" => attempt.rpc, "attempt" => attempt.nth,
                 "ms" => (self.net.now - attempt.sent) / MS);
-            self.end_call_out(server, attempt, End::NotSent, 0.0, Vec::new());
+            self.end_call_out(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
             return self.rest_link(id);
         }
         let PolicyHost { net, links, rpcs, .. } = self;
@@ -69,9 +69,9 @@
     }
 
     /// How an attempt ended of which nothing was written. That a connection went while it rested says nothing of the server.
-    fn unwritten(&self, id: usize) -> End {
+    fn unwritten(&self, id: usize) -> CallOutcome {
         let rested = self.links.get(&id).is_some_and(|link| link.rested.is_some());
-        if rested { End::NotSent } else { End::NoConnection }
+        if rested { CallOutcome::NotSent } else { CallOutcome::NoConnection }
     }
 
     /// Asks the guard whether an attempt may be written on this connection.
@@ -128,7 +128,7 @@
                 }
                 let load = answer.load.clone().map_or(&[][..], |load| &net.input(id)[load]);
                 let load = if load.is_empty() { Vec::new() } else { servers::load(load, &self.columns) };
-                if answer.how == End::Ok {
+                if answer.how == CallOutcome::Ok {
                     self.pass_on(id, call.rpc, &answer);
                 }
                 let unasked = self.net.input(id).len() > answer.length;
@@ -181,14 +181,14 @@
 
     /// The connection can't be used on: its call-out ends by whether the last byte had been written.
     pub(super) fn break_off(&mut self, id: usize, why: &'static str) {
-        let how = if self.may_have_run(id) { End::Reset } else { End::NoConnection };
+        let how = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
         if let Some(rested) = self.links.get(&id).and_then(|link| link.rested).filter(|_| why == "reset") {
             self.servers.reuses.ended(self.net.now, rested, true);
         }
         self.give_up(id, how, why);
     }
 
-    pub(super) fn give_up(&mut self, id: usize, how: End, why: &'static str) {
+    pub(super) fn give_up(&mut self, id: usize, how: CallOutcome, why: &'static str) {
         let Some(link) = self.links.get(&id) else { return };
         if let Some(attempt) = link.attempt() {
             self.end_call_out(link.server, attempt, how, 0.0, Vec::new());
@@ -199,14 +199,14 @@
     /// The time of a call-out is over.
     pub(super) fn call_out_over(&mut self, id: usize, rpc: u32, nth: u16) {
         if self.links.get(&id).is_some_and(|link| link.carries(rpc, nth)) {
-            let how = if self.may_have_run(id) { End::TimedOut } else { End::NoConnection };
+            let how = if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
             self.give_up(id, how, "call-out-timed-out");
         }
     }
 
     pub(super) fn dial_over(&mut self, id: usize) {
         if self.links.get(&id).is_some_and(|link| !link.up) {
-            self.give_up(id, End::NoConnection, "never-came-up");
+            self.give_up(id, CallOutcome::NoConnection, "never-came-up");
         }
     }
 
@@ -214,14 +214,14 @@
         &mut self,
         server: u32,
         call: Attempt,
-        how: End,
+        how: CallOutcome,
         settled: f64,
         load: Vec<f64>,
     ) {
         self.log_attempt_end(&call, server, how);
         let Some(rpc) = self.rpcs.get_mut(&call.rpc) else { return };
         rpc.open = false;
-        if !matches!(how, End::NoConnection | End::NotSent | End::Full) {
+        if !matches!(how, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
             rpc.first_run = Some(rpc.first_run.map_or(call.sent, |first| first.min(call.sent)));
         }
         let closed = rpc.state == RpcState::Answered;
@@ -232,7 +232,16 @@
         }
         let took = self.net.now - call.sent;
         let (rpc, nth) = (call.rpc, call.nth);
-        self.ended.push_back(Ended { rpc, server, nth, how, took, closed, settled, load });
+        self.ended.push_back(AttemptResult {
+            rpc,
+            server,
+            attempt: nth,
+            outcome: how,
+            duration: took,
+            rpc_answered: closed,
+            settled_units: settled,
+            load_report: load,
+        });
     }
 
     pub(super) fn end_link(&mut self, id: usize, why: &'static str) {
--- a/crates/gateway/src/gateway/stopping.rs
+++ b/crates/gateway/src/gateway/stopping.rs
@@ -45,7 +45,7 @@
             }
         }
         let now = host.net.now;
-        self.brain.end_by(&mut self.host, now, answer_by);
+        self.brain.shut_down_by(&mut self.host, now, answer_by);
     }
 
     /// The process ends now. What should have been answered before is answered, and what clients still sent is read, so
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -4,7 +4,7 @@
 use crate::clients::Rpc;
 use crate::driver::Ending;
 use crate::http::{self, BODY_MOST, Chunks, HEAD_MOST, HEADERS_MOST, Length};
-use martenramp::host::{End, Listed, Nanos};
+use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -69,15 +69,15 @@
     pub open: usize,
     pub listed: bool,
     /// What the module was told of it last.
-    pub told: Listed,
+    pub told: DiscoveredServer,
 }
 
 impl Server {
-    fn new(told: &Listed, address: SocketAddr, stamp: Nanos) -> Self {
+    fn new(told: &DiscoveredServer, address: SocketAddr, stamp: Nanos) -> Self {
         Server {
             address,
             stamp,
-            came_up: told.came_up,
+            came_up: told.started_at,
             ready: told.ready,
             idle: Vec::new(),
             open: 0,
@@ -87,13 +87,13 @@
     }
 
     /// Whether the list said the same of it before, whatever the number there.
-    pub fn is_listed_as(&self, listed: &Listed, address: SocketAddr) -> bool {
-        let is_same = |one: &Listed, two: &Listed| {
+    pub fn is_listed_as(&self, listed: &DiscoveredServer, address: SocketAddr) -> bool {
+        let is_same = |one: &DiscoveredServer, two: &DiscoveredServer| {
             (one.service, one.key, one.zone, one.kind, one.cell)
                 == (two.service, two.key, two.zone, two.kind, two.cell)
                 && (one.ready, one.weight.to_bits()) == (two.ready, two.weight.to_bits())
         };
-        let is_same_life = self.stamp == listed.came_up;
+        let is_same_life = self.stamp == listed.started_at;
         self.listed && self.address == address && is_same_life && is_same(&self.told, listed)
     }
 
@@ -116,14 +116,14 @@
 impl Servers {
     /// Takes a listed server: its number, and the idle connections to what it was before: those to another address or an
     /// earlier life are of no more use.
-    pub fn list(&mut self, listed: &Listed, address: SocketAddr) -> (u32, Vec<usize>) {
-        self.list_started(listed, address, listed.came_up)
+    pub fn list(&mut self, listed: &DiscoveredServer, address: SocketAddr) -> (u32, Vec<usize>) {
+        self.list_started(listed, address, listed.started_at)
     }
 
     /// The same where the start that the list stamps was at another time by this process's clock.
     pub fn list_started(
         &mut self,
-        listed: &Listed,
+        listed: &DiscoveredServer,
         address: SocketAddr,
         came_up: Nanos,
     ) -> (u32, Vec<usize>) {
@@ -133,19 +133,19 @@
             *last
         });
         self.left.remove(&number);
-        let told = Listed { server: number, came_up, ..listed.clone() };
-        let stamp = listed.came_up;
+        let told = DiscoveredServer { server: number, started_at: came_up, ..listed.clone() };
+        let stamp = listed.started_at;
         let server = self.by_number.entry(number).or_insert_with(|| Server::new(&told, address, stamp));
         let moved = server.address != address || server.stamp != stamp;
         let stale = if moved { server.take_idle() } else { Vec::new() };
-        (server.address, server.stamp, server.came_up) = (address, stamp, told.came_up);
+        (server.address, server.stamp, server.came_up) = (address, stamp, told.started_at);
         (server.listed, server.ready) = (true, told.ready);
         server.told = told;
         (number, stale)
     }
 
     /// Takes a server off the list: what the module is to be told, and the idle connections, which are of no more use.
-    pub fn take_off(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
+    pub fn take_off(&mut self, key: u64) -> Option<(DiscoveredServer, Vec<usize>)> {
         let number = *self.numbers.get(&key)?;
         let server = self.by_number.get_mut(&number)?;
         (server.listed, server.ready, server.told.ready) = (false, false, false);
@@ -209,7 +209,7 @@
 /// A whole answer: what it means, and the length of its message in the buffer.
 #[derive(Debug, PartialEq)]
 pub struct Answer {
-    pub how: End,
+    pub how: CallOutcome,
     pub status: u16,
     pub body: Body,
     /// The header lines in the buffer.
@@ -328,9 +328,9 @@
         };
         let turned_away = http::text(head.headers, "x-turned-away") == Some("1");
         let how = match status {
-            200 => End::Ok,
-            503 | 504 if turned_away => End::Full,
-            _ => End::Error,
+            200 => CallOutcome::Ok,
+            503 | 504 if turned_away => CallOutcome::Full,
+            _ => CallOutcome::Error,
         };
         let settled = http::text(head.headers, "x-settled").and_then(|units| units.parse().ok());
         let closes = head.version == Some(0) || http::lists(head.headers, "connection", "close");
--- a/crates/gateway/tests/cuts.rs
+++ b/crates/gateway/tests/cuts.rs
@@ -7,7 +7,7 @@
 use gateway::driver::Ending;
 use gateway::list::{Told, Watch};
 use gateway::servers::{Answer, Link};
-use martenramp::host::End;
+use martenramp::host::CallOutcome;
 use standins::scripted::{
     Peer, Program, SEC, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
 };
@@ -201,7 +201,7 @@
         let (some, left) = fed(&cuts(&mut chance, short));
         assert_eq!(some[..], whole[..some.len()], "{round}: {short} of {text:?}");
         assert_eq!(some.len() + left.len(), calls as usize, "each call ends once");
-        assert!(left.iter().all(|end| end.1 == End::Reset));
+        assert!(left.iter().all(|end| end.1 == CallOutcome::Reset));
     }
 }
 
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -8,7 +8,7 @@
 use gateway::http::{Bad, Chunks};
 use gateway::list::Watch;
 use gateway::servers::{self, Attempt, Body, Link, Reuses, Servers};
-use martenramp::host::{End, Listed};
+use martenramp::host::{CallOutcome, DiscoveredServer};
 use martenramp::subsetting;
 use standins::scripted::{MS, SEC, WATCH, chunk, entry, list, rpc, settings};
 use std::net::SocketAddr;
@@ -80,11 +80,11 @@
 }
 
 /// What a link makes of an answer that comes whole, and of one that the connection's end follows.
-fn looked(text: &str, ended: bool) -> Result<Option<(End, String, bool)>, &'static str> {
+fn looked(text: &str, ended: bool) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
     looked_at(text, ended.then_some(Ending::Closed))
 }
 
-fn looked_at(text: &str, ended: Option<Ending>) -> Result<Option<(End, String, bool)>, &'static str> {
+fn looked_at(text: &str, ended: Option<Ending>) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
     let answer = Link::new(1, 0).look(text.as_bytes(), ended)?;
     Ok(answer.map(|answer| {
         let body = match &answer.body {
@@ -100,13 +100,13 @@
     let ok = |how, body: &str, reusable| Ok(Some((how, body.to_string(), reusable)));
     let length = "Content-Length: 2\r\n";
     for (status, lines, how) in [
-        (200, "", End::Ok),
-        (500, "", End::Error),
-        (503, "X-Turned-Away: 1\r\n", End::Full),
-        (504, "x-turned-away: 1\r\n", End::Full),
-        (503, "", End::Error),
-        (500, "X-Turned-Away: 1\r\n", End::Error),
-        (404, "", End::Error),
+        (200, "", CallOutcome::Ok),
+        (500, "", CallOutcome::Error),
+        (503, "X-Turned-Away: 1\r\n", CallOutcome::Full),
+        (504, "x-turned-away: 1\r\n", CallOutcome::Full),
+        (503, "", CallOutcome::Error),
+        (500, "X-Turned-Away: 1\r\n", CallOutcome::Error),
+        (404, "", CallOutcome::Error),
     ] {
         let text = format!("HTTP/1.1 {status} X\r\n{lines}{length}\r\nab");
         assert_eq!(looked(&text, false), ok(how, "ab", true), "{text}");
@@ -115,20 +115,20 @@
     }
     assert_eq!(
         looked("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false),
-        ok(End::Ok, "x", true)
+        ok(CallOutcome::Ok, "x", true)
     );
     let interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
     assert_eq!(
         looked(&(interim.repeat(99) + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), false),
-        ok(End::Ok, "x", true)
+        ok(CallOutcome::Ok, "x", true)
     );
     assert_eq!(looked(&interim.repeat(9_000), false), Err("head-too-large"), "however long, it is bounded");
     assert_eq!(
         looked("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", false),
-        ok(End::Ok, "x", false)
+        ok(CallOutcome::Ok, "x", false)
     );
     assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", false), Ok(None), "its end is the connection's");
-    assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", true), ok(End::Ok, "all", false));
+    assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", true), ok(CallOutcome::Ok, "all", false));
     for broken in [Ending::Reset, Ending::Failed("broken-pipe")] {
         assert_eq!(looked_at("HTTP/1.1 200 OK\r\n\r\nall", Some(broken)), Ok(None), "{broken:?} is no end");
         let turned_away = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\n";
@@ -195,8 +195,12 @@
 #[test]
 fn servers_are_known_by_name_and_their_old_connections_go_with_their_address() {
     let mut all = Servers::default();
-    let listed =
-        |name, came_up| Listed { key: subsetting::key(name), came_up, ready: true, ..Listed::default() };
+    let listed = |name, came_up| DiscoveredServer {
+        key: subsetting::key(name),
+        started_at: came_up,
+        ready: true,
+        ..DiscoveredServer::default()
+    };
     let (one, _) = all.list(&listed("a", 0), address(1));
     let (two, _) = all.list(&listed("b", 0), address(1));
     assert!(one != two);
@@ -362,7 +366,7 @@
     line.opened(&mut out, SEC);
     (1..=5).for_each(|serial| line.call(&mut out, SEC, call(serial, serial)));
     line.ping(&mut out, SEC);
-    assert_eq!(line.time_out(2), Some((call(2, 2), End::TimedOut)));
+    assert_eq!(line.time_out(2), Some((call(2, 2), CallOutcome::TimedOut)));
     assert_eq!(line.time_out(2), None);
     let text = b"$3\r\n7.5\r\n$4\r\n99.9\r\n-BUSY later\r\n-ERR no such call\r\n:8\r\n+PONG\r\n$2";
     let used = line.feed(SEC, text, &mut ended).unwrap();
@@ -370,7 +374,12 @@
     let ended: Vec<_> = ended.iter().map(|(call, how, total)| (call.serial, *how, *total)).collect();
     assert_eq!(
         ended,
-        [(1, End::Ok, 7.5), (3, End::Full, 0.0), (4, End::NotSent, 0.0), (5, End::Ok, 8.0)],
+        [
+            (1, CallOutcome::Ok, 7.5),
+            (3, CallOutcome::Full, 0.0),
+            (4, CallOutcome::NotSent, 0.0),
+            (5, CallOutcome::Ok, 8.0)
+        ],
         "the second was too late, and is nobody else's"
     );
     assert_eq!(line.feed(SEC, b"+PONG\r\n", &mut Vec::new()), Err("answer-without-call"));
@@ -385,10 +394,10 @@
         let fed = line.feed(SEC, format!("{spoilt}$1\r\n7\r\n").as_bytes(), &mut ended);
         assert_eq!(
             (fed, ended),
-            (Err("answer-without-number"), vec![(call(1, 1), End::Error, 0.0)]),
+            (Err("answer-without-number"), vec![(call(1, 1), CallOutcome::Error, 0.0)]),
             "{spoilt}"
         );
-        assert_eq!(line.broke(), [(call(2, 2), End::Reset)], "it may have been added");
+        assert_eq!(line.broke(), [(call(2, 2), CallOutcome::Reset)], "it may have been added");
     }
 }
 
@@ -396,13 +405,13 @@
 fn calls_on_a_broken_connection_may_have_counted_only_if_they_were_written() {
     let (mut line, mut out) = (Line::default(), Vec::new());
     line.call(&mut out, SEC, call(1, 1));
-    assert_eq!(line.time_out(1), Some((call(1, 1), End::NoConnection)), "never written");
+    assert_eq!(line.time_out(1), Some((call(1, 1), CallOutcome::NoConnection)), "never written");
     line.call(&mut out, SEC, call(2, 2));
-    assert_eq!(line.broke(), [(call(2, 2), End::NoConnection)]);
+    assert_eq!(line.broke(), [(call(2, 2), CallOutcome::NoConnection)]);
     line.opened(&mut out, SEC);
     line.call(&mut out, SEC, call(3, 3));
     assert!(!line.is_dead(SEC + DEAD_AFTER) && line.is_dead(SEC + DEAD_AFTER + 1));
-    assert_eq!(line.broke(), [(call(3, 3), End::Reset)]);
+    assert_eq!(line.broke(), [(call(3, 3), CallOutcome::Reset)]);
     assert!(!line.up && line.written.is_empty());
 }
 
--- a/crates/lab/src/gates.rs
+++ b/crates/lab/src/gates.rs
@@ -2,8 +2,8 @@
 //! The baselines are no policy of the product; they are what every emulated figure is compared with.
 
 use crate::Nanos;
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, End, Ended, Host, Listed, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Host, Settings};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -88,19 +88,19 @@
 pub struct Wishes(pub Vec<Wish>);
 
 impl Host for Wishes {
-    fn call_out(&mut self, rpc: u32, server: u32, limit: Nanos, _before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, _before: Nanos) {
         self.0.push(Wish::CallOut { rpc, server, limit });
     }
-    fn push_back(&mut self, rpc: u32, come_back: Nanos) {
+    fn reject(&mut self, rpc: u32, come_back: Nanos) {
         self.0.push(Wish::PushBack { rpc, come_back });
     }
     fn abort(&mut self, rpc: u32) {
         self.0.push(Wish::Abort { rpc });
     }
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.0.push(Wish::Wake { after, token });
     }
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         self.0.push(Wish::Count { name, add, forget });
     }
 }
@@ -108,37 +108,37 @@
 /// What an emulated gateway is told, as the real gateway tells the module.
 pub trait Gate {
     /// Discovery sent a list, whole or only what changed.
-    fn listed(&mut self, now: Nanos, whole: bool, list: &[Listed]);
+    fn listed(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]);
     /// An RPC arrived.
     fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival);
     /// A time that was asked for has come.
     fn woke(&mut self, host: &mut Wishes, now: Nanos, token: u32);
     /// An attempt ended.
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &Ended);
+    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult);
     /// A call to the counter ended.
-    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: End, total: f64);
+    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: CallOutcome, total: f64);
     /// A client gave its RPC up.
     fn client_left(&mut self, id: u32);
 }
 
-impl Gate for Brain {
-    fn listed(&mut self, now: Nanos, whole: bool, list: &[Listed]) {
-        Brain::listed(self, now, whole, list);
+impl Gate for AdmissionController {
+    fn listed(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
+        AdmissionController::on_server_list(self, now, whole, list);
     }
     fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival) {
-        Brain::rpc(self, host, now, arrival);
+        AdmissionController::on_arrival(self, host, now, arrival);
     }
     fn woke(&mut self, host: &mut Wishes, now: Nanos, token: u32) {
-        Brain::woke(self, host, now, token);
+        AdmissionController::on_timer(self, host, now, token);
     }
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &Ended) {
-        Brain::ended(self, host, now, ended);
+    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult) {
+        AdmissionController::on_attempt_end(self, host, now, ended);
     }
-    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: End, total: f64) {
-        Brain::counted(self, host, now, name, how, total);
+    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: CallOutcome, total: f64) {
+        AdmissionController::on_counter_reply(self, host, now, name, how, total);
     }
     fn client_left(&mut self, id: u32) {
-        Brain::client_left(self, id);
+        AdmissionController::on_client_left(self, id);
     }
 }
 
@@ -240,7 +240,7 @@
     /// Takes `units` from the customer's store if there is room; else the time until there is.
     fn take(&mut self, now: Nanos, arrival: &Arrival) -> Result<(), Nanos> {
         // The late one sees the whole store; a plain gateway keeps its even part of it.
-        let share = if self.kind == Kind::Late { 1.0 } else { f64::from(arrival.width.max(1)) };
+        let share = if self.kind == Kind::Late { 1.0 } else { f64::from(arrival.gateway_count.max(1)) };
         let rate = self.number(&format!("tariffs.{}.perSecond", arrival.plan), 0.0) / share;
         let burst = self.number(&format!("tariffs.{}.depth", arrival.plan), 0.0) / share;
         let room = match self.kind {
@@ -286,11 +286,11 @@
                 if let Some(rpc) = self.rpcs.get_mut(&id) {
                     (rpc.server, rpc.tries) = (Some(server), rpc.tries + 1);
                 }
-                host.call_out(id, server, 0, Nanos::MAX);
+                host.send_attempt(id, server, 0, Nanos::MAX);
             }
             None => {
                 self.rpcs.remove(&id);
-                host.push_back(id, 0);
+                host.reject(id, 0);
             }
         }
     }
@@ -304,13 +304,13 @@
 }
 
 impl Gate for Baseline {
-    fn listed(&mut self, _now: Nanos, _whole: bool, list: &[Listed]) {
+    fn listed(&mut self, _now: Nanos, _whole: bool, list: &[DiscoveredServer]) {
         self.ready = list.iter().filter(|listed| listed.ready).map(|listed| listed.server).collect();
     }
 
     fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival) {
         if let Err(wait) = self.take(now, arrival) {
-            return host.push_back(arrival.id, wait);
+            return host.reject(arrival.id, wait);
         }
         let out = Out { method: arrival.method, deadline: arrival.deadline, tries: 0, server: None };
         self.rpcs.insert(arrival.id, out);
@@ -319,9 +319,9 @@
 
     fn woke(&mut self, _host: &mut Wishes, _now: Nanos, _token: u32) {}
 
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &Ended) {
+    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult) {
         self.opened(ended.server, -1);
-        if ended.closed || ended.how == End::Ok {
+        if ended.rpc_answered || ended.outcome == CallOutcome::Ok {
             self.rpcs.remove(&ended.rpc);
             return;
         }
@@ -335,10 +335,10 @@
             return self.send(host, now, ended.rpc);
         }
         self.rpcs.remove(&ended.rpc);
-        host.push_back(ended.rpc, 0);
+        host.reject(ended.rpc, 0);
     }
 
-    fn counted(&mut self, _host: &mut Wishes, _now: Nanos, _name: u64, _how: End, _total: f64) {}
+    fn counted(&mut self, _host: &mut Wishes, _now: Nanos, _name: u64, _how: CallOutcome, _total: f64) {}
 
     fn client_left(&mut self, id: u32) {
         self.rpcs.remove(&id);
@@ -357,7 +357,7 @@
         Kind::Design => {
             let mut settings = settings.clone();
             settings.insert("me".to_string(), gateway.to_string());
-            Box::new(Brain::new(seed, settings))
+            Box::new(AdmissionController::new(seed, settings))
         }
         _ => Box::new(Baseline::new(kind, gateway, settings.clone(), ledger.clone())),
     }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario;
 use crate::{Nanos, nanos};
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -177,15 +177,15 @@
     }
 
     /// The list as discovery has it now.
-    pub fn listed(&self) -> Vec<Listed> {
-        let entry = |server: &Server| Listed {
+    pub fn listed(&self) -> Vec<DiscoveredServer> {
+        let entry = |server: &Server| DiscoveredServer {
             server: server.id,
             key: u64::from(server.id),
             zone: server.zone as u16,
             ready: server.up,
             weight: 1.0,
-            came_up: server.came_up,
-            ..Listed::default()
+            started_at: server.came_up,
+            ..DiscoveredServer::default()
         };
         self.all.iter().map(entry).collect()
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -19,7 +19,7 @@
 use crate::scenario::{Method, Plan, Scenario};
 use crate::servers::{AttemptRef, Servers};
 use crate::{MS, Nanos, SEC, nanos};
-use martenramp::host::{End, Settings};
+use martenramp::host::{CallOutcome, Settings};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -113,7 +113,7 @@
     Overdue { rpc: u32 },
     Wake { gateway: u32, incarnation: u32, token: u32 },
     AttemptAtServer { attempt: AttemptRef, server: u32, server_incarnation: u32 },
-    AttemptEnd { attempt: AttemptRef, how: End },
+    AttemptEnd { attempt: AttemptRef, how: CallOutcome },
     AttemptTimeout { attempt: AttemptRef },
     ServerFreed { server: u32, server_incarnation: u32 },
     CounterRequest(CounterCall),
@@ -266,13 +266,13 @@
                 self.at_server(now, attempt, server, server_incarnation)
             }
             Event::AttemptEnd { attempt, how } => self.attempt_ended(now, attempt, how),
-            Event::AttemptTimeout { attempt } => self.attempt_ended(now, attempt, End::TimedOut),
+            Event::AttemptTimeout { attempt } => self.attempt_ended(now, attempt, CallOutcome::TimedOut),
             Event::ServerFreed { server, server_incarnation } => {
                 self.servers.free(server, server_incarnation)
             }
             Event::CounterRequest(call) => self.counter_request(now, call),
-            Event::CounterReply { call, total } => self.counter_call_ended(now, call, End::Ok, total),
-            Event::CounterTimeout(call) => self.counter_call_ended(now, call, End::TimedOut, 0.0),
+            Event::CounterReply { call, total } => self.counter_call_ended(now, call, CallOutcome::Ok, total),
+            Event::CounterTimeout(call) => self.counter_call_ended(now, call, CallOutcome::TimedOut, 0.0),
             Event::List => self.list(now),
             Event::Trouble { index, starts } => self.trouble(now, index, starts),
             Event::Replace { server } => self.replace(now, server),
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, Event, RpcState, World, utility};
 use crate::Nanos;
 use crate::servers::{AttemptRef, Disposition};
-use martenramp::host::{End, Ended};
+use martenramp::host::{AttemptResult, CallOutcome};
 
 impl World {
     pub(super) fn send_attempt(&mut self, now: Nanos, gateway: u32, rpc: u32, server: u32, limit: Nanos) {
@@ -26,7 +26,7 @@
         let Some(at) = self.servers.all.get(server as usize) else {
             return self
                 .queue
-                .after(self.network.refuse, Event::AttemptEnd { attempt, how: End::NoConnection });
+                .after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection });
         };
         let (zone, server_incarnation) = (self.gateways[gateway as usize].lifecycle.zone, at.incarnation);
         self.gateways[gateway as usize]
@@ -35,7 +35,7 @@
         if !self.network.reaches(zone, at.zone) {
             return self
                 .queue
-                .after(self.dial_timeout, Event::AttemptEnd { attempt, how: End::NoConnection });
+                .after(self.dial_timeout, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection });
         }
         if let Some(hop) = self.network.hop() {
             self.queue.after(hop, Event::AttemptAtServer { attempt, server, server_incarnation });
@@ -50,26 +50,26 @@
         server_incarnation: u32,
     ) {
         match self.servers.accept(now, server, server_incarnation, attempt) {
-            Disposition::Refused => {
-                self.queue.after(self.network.refuse, Event::AttemptEnd { attempt, how: End::NoConnection })
-            }
-            Disposition::Full => self.answer(attempt, 0, End::Full),
+            Disposition::Refused => self
+                .queue
+                .after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection }),
+            Disposition::Full => self.answer(attempt, 0, CallOutcome::Full),
             Disposition::Serving { after, ok } => {
                 self.queue.after(after, Event::ServerFreed { server, server_incarnation });
-                self.answer(attempt, after, if ok { End::Ok } else { End::Error });
+                self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
             Disposition::Held => {}
         }
     }
 
-    pub(super) fn answer(&mut self, attempt: AttemptRef, after: Nanos, how: End) {
+    pub(super) fn answer(&mut self, attempt: AttemptRef, after: Nanos, how: CallOutcome) {
         if let Some(hop) = self.network.hop() {
             self.queue.after(after + hop, Event::AttemptEnd { attempt, how });
         }
     }
 
     /// An attempt ended at its gateway: answered, failed, or its time over. One that ended before is passed over.
-    pub(super) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptRef, how: End) {
+    pub(super) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptRef, how: CallOutcome) {
         let gateway = &mut self.gateways[attempt.gateway as usize];
         if gateway.lifecycle.incarnation != attempt.incarnation || !gateway.lifecycle.runs() {
             return;
@@ -83,7 +83,7 @@
         let open = live.is_some_and(|live| live.state.is_open());
         if let Some(live) = live.filter(|_| open) {
             let (arrived, deadline, stream) = (live.arrived, live.deadline, live.stream);
-            if how == End::Ok {
+            if how == CallOutcome::Ok {
                 let method = &self.methods[self.clients.streams[stream as usize].method as usize];
                 let earned = utility(method, arrived, deadline, now);
                 self.record.add(now, |counts| {
@@ -96,16 +96,16 @@
                 self.set_state(attempt.rpc, RpcState::Waiting);
             }
         }
-        let closed = !open || how == End::Ok;
-        let ended = Ended {
+        let closed = !open || how == CallOutcome::Ok;
+        let ended = AttemptResult {
             rpc: attempt.rpc,
             server: out.server,
-            nth: attempt.nth,
-            how,
-            took,
-            closed,
-            settled: 0.0,
-            load: Vec::new(),
+            attempt: attempt.nth,
+            outcome: how,
+            duration: took,
+            rpc_answered: closed,
+            settled_units: 0.0,
+            load_report: Vec::new(),
         };
         self.with_gate(attempt.gateway, |gate, wishes| gate.ended(wishes, now, &ended));
         self.carry(now, attempt.gateway);
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -2,7 +2,7 @@
 
 use super::{CounterCall, Event, World};
 use crate::{Nanos, nanos};
-use martenramp::host::End;
+use martenramp::host::CallOutcome;
 
 impl World {
     /// A gateway calls the counter: the request is on its way, or lost.
@@ -34,12 +34,12 @@
     }
 
     /// A call ended at its gateway: answered, or its time over. One that ended before is passed over.
-    pub(super) fn counter_call_ended(&mut self, now: Nanos, call: CounterCall, how: End, total: f64) {
+    pub(super) fn counter_call_ended(&mut self, now: Nanos, call: CounterCall, how: CallOutcome, total: f64) {
         let at = &mut self.gateways[call.gateway as usize];
         if at.lifecycle.incarnation != call.incarnation || !at.counter_calls.remove(&call.serial) {
             return;
         }
-        let missed = u64::from(how != End::Ok);
+        let missed = u64::from(how != CallOutcome::Ok);
         self.record.add(now, |counts| {
             counts.count_calls += 1;
             counts.count_missed += missed;
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -3,7 +3,7 @@
 use super::{Event, World};
 use crate::servers::AttemptRef;
 use crate::{Nanos, nanos};
-use martenramp::host::{End, Listed};
+use martenramp::host::{CallOutcome, DiscoveredServer};
 
 impl World {
     pub(super) fn list_changed(&mut self) {
@@ -16,7 +16,7 @@
 
     pub(super) fn list(&mut self, now: Nanos) {
         self.list_due = false;
-        let list: Vec<Listed> = self.servers.listed();
+        let list: Vec<DiscoveredServer> = self.servers.listed();
         for gateway in &mut self.gateways {
             if let Some(gate) = gateway.gate.as_deref_mut() {
                 gate.listed(now, true, &list);
@@ -41,7 +41,7 @@
             }
         }
         for attempt in reset {
-            self.queue.after(self.network.refuse, Event::AttemptEnd { attempt, how: End::Reset });
+            self.queue.after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::Reset });
         }
     }
 
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -66,8 +66,8 @@
             service: 0,
             deadline: deadline.saturating_sub(MARGIN),
             units,
-            width,
-            first,
+            gateway_count: width,
+            first_gateway: first,
         };
         self.with_gate(gateway, |gate, wishes| gate.rpc(wishes, now, &arrival));
         self.carry(now, gateway);
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Trouble;
 use crate::servers::Disposition;
 use crate::{Nanos, lifecycle, nanos};
-use martenramp::host::End;
+use martenramp::host::CallOutcome;
 
 impl World {
     /// A trouble of the scenario begins or ends.
@@ -84,7 +84,7 @@
         for (attempt, disposition) in self.servers.resume(server) {
             if let Disposition::Serving { after, ok } = disposition {
                 self.queue.after(after, Event::ServerFreed { server, server_incarnation });
-                self.answer(attempt, after, if ok { End::Ok } else { End::Error });
+                self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
         }
     }
--- a/crates/membership/src/nodes.rs
+++ b/crates/membership/src/nodes.rs
@@ -3,7 +3,7 @@
 //! falls silent keeps its last list; the module never loses servers because a source is quiet.
 
 use crate::Nanos;
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -126,7 +126,7 @@
 
     /// The set as the module gets it, in order of address: ready only where every source that lists a node says so;
     /// a node that no source lists any more is gone.
-    pub fn view(&mut self) -> Vec<Listed> {
+    pub fn view(&mut self) -> Vec<DiscoveredServer> {
         let mut merged: BTreeMap<String, Node> = BTreeMap::new();
         for held in self.sources.values() {
             for (address, node) in &held.nodes {
@@ -140,14 +140,14 @@
             let server = self.number(&address);
             let zones = self.zones.len() as u16;
             let zone = *self.zones.entry(node.zone.clone()).or_insert(zones);
-            list.push(Listed {
+            list.push(DiscoveredServer {
                 server,
                 key: martenramp::subsetting::key(&address),
                 zone,
                 ready: node.ready,
                 weight: node.weight,
-                came_up: node.came_up,
-                ..Listed::default()
+                started_at: node.came_up,
+                ..DiscoveredServer::default()
             });
         }
         list
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -17,7 +17,7 @@
 use lab::counter::Counter;
 use lab::queue::Queue;
 use lab::servers::{AttemptRef, Servers};
-use martenramp::host::{End, Settings};
+use martenramp::host::{CallOutcome, Settings};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     Arrive,
     Wake { gateway: usize, life: u32, token: u32 },
     AtServer { call: AttemptRef, server: u32, server_life: u32 },
-    Back { call: AttemptRef, how: End },
+    Back { call: AttemptRef, how: CallOutcome },
     Freed { server: u32, server_life: u32 },
     CountAt(CounterCall),
     CountBack { gateway: usize, life: u32, line: usize, bytes: Vec<u8> },
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -11,8 +11,8 @@
 use gateway::list::{self, Told, Watch};
 use gateway::servers::Servers;
 use lab::gates::Wishes;
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, End, Ended, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Settings};
 use martenramp::subsetting;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -89,7 +89,7 @@
 
 /// A gateway's state machines, and what its host has to remember for them.
 pub struct HollowGateway {
-    pub brain: Brain,
+    pub brain: AdmissionController,
     pub watch: Watch,
     /// A watch is open, or being asked for.
     pub watching: bool,
@@ -140,7 +140,7 @@
         });
         let settings = agreeing.as_ref().map_or(settings, |agreeing| agreeing.settings());
         HollowGateway {
-            brain: Brain::new(start.seed, settings),
+            brain: AdmissionController::new(start.seed, settings),
             watch: Watch::new(0, ENTRIES_MEMORY),
             watching: false,
             wishes: Wishes::default(),
@@ -218,7 +218,7 @@
                 listed.service = server % self.services;
                 self.names.insert(listed.server, server);
             }
-            self.brain.listed(now, false, &list);
+            self.brain.on_server_list(now, false, &list);
         }
         self.servers.forget();
         let left = &self.servers.by_number;
@@ -236,31 +236,31 @@
 
     pub fn rpc(&mut self, now: Nanos, arrival: &Arrival) {
         self.rpcs.insert(arrival.id, OpenRpc { arrived: now, deadline: arrival.deadline, call_outs: 0 });
-        self.brain.rpc(&mut self.wishes, now, arrival);
+        self.brain.on_arrival(&mut self.wishes, now, arrival);
     }
 
     pub fn woke(&mut self, now: Nanos, token: u32) {
-        self.brain.woke(&mut self.wishes, now, token);
+        self.brain.on_timer(&mut self.wishes, now, token);
     }
 
     /// A call-out that is still open ended. The RPC, if its answer went to the client with it.
-    pub fn call_out_ended(&mut self, now: Nanos, rpc: u32, nth: u16, how: End) -> Option<OpenRpc> {
+    pub fn call_out_ended(&mut self, now: Nanos, rpc: u32, nth: u16, how: CallOutcome) -> Option<OpenRpc> {
         let open = self.call_outs.remove(&(rpc, nth))?;
-        let answered = if how == End::Ok { self.rpcs.remove(&rpc) } else { None };
+        let answered = if how == CallOutcome::Ok { self.rpcs.remove(&rpc) } else { None };
         let closed = answered.is_some();
         let gone = !closed && !self.rpcs.contains_key(&rpc);
         let took = now - open.sent;
-        let ended = Ended {
+        let ended = AttemptResult {
             rpc,
             server: open.server,
-            nth,
-            how,
-            took,
-            closed: closed || gone,
-            settled: 0.0,
-            load: Vec::new(),
+            attempt: nth,
+            outcome: how,
+            duration: took,
+            rpc_answered: closed || gone,
+            settled_units: 0.0,
+            load_report: Vec::new(),
         };
-        self.brain.ended(&mut self.wishes, now, &ended);
+        self.brain.on_attempt_end(&mut self.wishes, now, &ended);
         answered
     }
 
@@ -289,14 +289,14 @@
             ended.extend(broke.into_iter().map(|(call, how)| (call, how, 0.0)));
         }
         for (call, how, total) in ended {
-            self.brain.counted(&mut self.wishes, now, call.name, how, total);
+            self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, total);
         }
     }
 
     /// The time of a call is over.
     pub fn count_timed_out(&mut self, now: Nanos, line: usize, serial: u64) {
         if let Some((call, how)) = self.lines[line].time_out(serial) {
-            self.brain.counted(&mut self.wishes, now, call.name, how, 0.0);
+            self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, 0.0);
         }
     }
 
@@ -307,7 +307,7 @@
         for line in 0..self.lines.len() {
             if self.lines[line].is_dead(now) {
                 for (call, how) in self.lines[line].broke() {
-                    self.brain.counted(&mut self.wishes, now, call.name, how, 0.0);
+                    self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, 0.0);
                 }
             } else if self.lines[line].up && now > self.lines[line].wrote + counter::PING_EVERY {
                 let mut bytes = Vec::new();
@@ -328,7 +328,7 @@
         let in_force = settings.as_ref().and_then(|_| agreeing.in_force());
         let looks_next = agreeing.looks_next(now);
         if let Some(settings) = settings {
-            self.brain.settle(now, settings);
+            self.brain.update_settings(now, settings);
         }
         AgreeOutcome { datagrams, looks_next, in_force }
     }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -9,7 +9,7 @@
 use lab::chance::{self, Stream};
 use lab::gates::Wish;
 use lab::servers::{AttemptRef, Disposition};
-use martenramp::host::{Arrival, End};
+use martenramp::host::{Arrival, CallOutcome};
 use rand::Rng;
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use rand_chacha::ChaCha8Rng;
@@ -132,8 +132,8 @@
             service: self.scenario.service_met(gateway, nth),
             deadline: now + method.deadline - MARGIN,
             units: method.units,
-            width: width as u32,
-            first: first as u32,
+            gateway_count: width as u32,
+            first_gateway: first as u32,
         };
         self.count(now, |counts| counts.rpcs += 1);
         let life = self.places[gateway].life;
@@ -198,18 +198,20 @@
         hollow.call_outs.insert((rpc, nth), CallOut { server, sent: now });
         let call = AttemptRef { gateway: gateway as u32, incarnation: life, rpc, nth };
         let Some(to) = hollow.server(server).filter(|_| until > now) else {
-            self.enter(now, gateway, life, work, |hollow| hollow.call_out_ended(now, rpc, nth, End::NotSent));
+            self.enter(now, gateway, life, work, |hollow| {
+                hollow.call_out_ended(now, rpc, nth, CallOutcome::NotSent)
+            });
             return;
         };
         self.count(now, |counts| counts.call_outs += 1);
         let (region, server_region) = (self.places[gateway].region, self.region_of_server(to));
         if self.is_apart(region, server_region) {
-            return self.queue.after(self.load.dial, Event::Back { call, how: End::NoConnection });
+            return self.queue.after(self.load.dial, Event::Back { call, how: CallOutcome::NoConnection });
         }
         let server_life = self.servers.all[to as usize].incarnation;
         let after = self.delay(region, server_region);
         self.queue.after(after, Event::AtServer { call, server: to, server_life });
-        self.queue.at(until, Event::Back { call, how: End::TimedOut });
+        self.queue.at(until, Event::Back { call, how: CallOutcome::TimedOut });
     }
 
     fn region_of_server(&self, server: u32) -> usize {
@@ -220,21 +222,21 @@
         let region = self.places[call.gateway as usize].region;
         let back = self.delay(region, self.region_of_server(server));
         let (after, how) = match self.servers.accept(now, server, server_life, call) {
-            Disposition::Refused => (back, End::NoConnection),
-            Disposition::Full => (back, End::Full),
+            Disposition::Refused => (back, CallOutcome::NoConnection),
+            Disposition::Full => (back, CallOutcome::Full),
             Disposition::Held => return,
             Disposition::Serving { after, ok } => {
                 if let Some(visits) = self.load.visits.as_mut().filter(|_| now >= self.frame.from) {
                     visits.push(Visit { server: server as usize, at: now, done: now + after });
                 }
                 self.queue.after(after, Event::Freed { server, server_life });
-                (after + back, if ok { End::Ok } else { End::Error })
+                (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
             }
         };
         self.queue.after(after, Event::Back { call, how });
     }
 
-    pub(super) fn call_ended(&mut self, now: Nanos, call: AttemptRef, how: End) {
+    pub(super) fn call_ended(&mut self, now: Nanos, call: AttemptRef, how: CallOutcome) {
         let (gateway, life) = (call.gateway as usize, call.incarnation);
         let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| {
             self.places[gateway].life == life && hollow.call_outs.contains_key(&(call.rpc, call.nth))
--- a/crates/scale/src/player.rs
+++ b/crates/scale/src/player.rs
@@ -8,7 +8,7 @@
 use crate::replica::Replica;
 use gateway::counter::{Call, Line};
 use gateway::timers::Timers;
-use martenramp::host::{Arrival, End, Ended, Host, Nanos};
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Host, Nanos};
 use std::collections::{HashMap, VecDeque};
 
 /// How long a client waits, and a server takes where nothing else is told.
@@ -39,11 +39,11 @@
 }
 
 impl Host for Asked {
-    fn call_out(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) {
         self.call_outs.push_back(CallOut { rpc, server, attempt: 0, sent: self.now });
     }
 
-    fn push_back(&mut self, _rpc: u32, _come_back: Nanos) {
+    fn reject(&mut self, _rpc: u32, _come_back: Nanos) {
         self.turned_away += 1;
     }
 
@@ -51,11 +51,11 @@
         self.turned_away += 1;
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.timers.set(self.now + after, token);
     }
 
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         self.counts.push_back((name, add, forget));
     }
 }
@@ -104,7 +104,7 @@
         self.asked.now += self.every;
         let now = self.asked.now;
         while let Some(token) = self.asked.timers.due(now) {
-            self.replica.brain.woke(&mut self.asked, now, token);
+            self.replica.brain.on_timer(&mut self.asked, now, token);
             self.answer_counts();
         }
     }
@@ -115,9 +115,16 @@
         let now = self.asked.now;
         let deadline = now + PATIENCE;
         let (id, width) = (self.last_rpc, WIDTH);
-        let arrival =
-            Arrival { id, plan, customer: tenant, deadline, units: 1.0, width, ..Arrival::default() };
-        self.replica.brain.rpc(&mut self.asked, now, &arrival);
+        let arrival = Arrival {
+            id,
+            plan,
+            customer: tenant,
+            deadline,
+            units: 1.0,
+            gateway_count: width,
+            ..Arrival::default()
+        };
+        self.replica.brain.on_arrival(&mut self.asked, now, &arrival);
         self.answer_counts();
     }
 
@@ -126,17 +133,17 @@
         let Some(open) = self.asked.call_outs.pop_front() else { return false };
         let now = self.asked.now.max(open.sent + self.served_in);
         self.asked.now = now;
-        let ended = Ended {
+        let ended = AttemptResult {
             rpc: open.rpc,
             server: open.server,
-            nth: open.attempt,
-            how: End::Ok,
-            took: now - open.sent,
-            closed: true,
-            settled: 0.0,
-            load: Vec::new(),
+            attempt: open.attempt,
+            outcome: CallOutcome::Ok,
+            duration: now - open.sent,
+            rpc_answered: true,
+            settled_units: 0.0,
+            load_report: Vec::new(),
         };
-        self.replica.brain.ended(&mut self.asked, now, &ended);
+        self.replica.brain.on_attempt_end(&mut self.asked, now, &ended);
         self.answer_counts();
         true
     }
@@ -177,7 +184,7 @@
             let _ = self.line.feed(now, &answer, &mut ended);
             alloc::uncounted(|| drop(answer));
             for (call, how, total) in ended {
-                self.replica.brain.counted(&mut self.asked, now, call.name, how, total);
+                self.replica.brain.on_counter_reply(&mut self.asked, now, call.name, how, total);
             }
         }
     }
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -7,8 +7,8 @@
 use gateway::directory::Directory;
 use gateway::list::{Told, Watch};
 use gateway::servers::Servers;
-use martenramp::admission::Brain;
-use martenramp::host::{Listed, Nanos};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{DiscoveredServer, Nanos};
 
 /// The head of a watch's answer.
 pub const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -53,7 +53,7 @@
     watch: Watch,
     servers: Servers,
     directory: Directory,
-    pub brain: Brain,
+    pub brain: AdmissionController,
 }
 
 impl Replica {
@@ -66,7 +66,7 @@
             watch,
             servers: Servers::default(),
             directory,
-            brain: Brain::new(1, service.settings()),
+            brain: AdmissionController::new(1, service.settings()),
         })
     }
 
@@ -81,14 +81,14 @@
     /// Takes a list or a change, as the gateway does for its connections' sake and the module's, but all in one turn.
     pub fn take(&mut self, now: Nanos, told: &Told) {
         for list in batches(told.clone(), &mut self.servers, &mut self.directory) {
-            self.brain.listed(now, false, &list);
+            self.brain.on_server_list(now, false, &list);
         }
         self.servers.forget();
     }
 }
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
-pub fn batches(told: Told, servers: &mut Servers, directory: &mut Directory) -> Vec<Vec<Listed>> {
+pub fn batches(told: Told, servers: &mut Servers, directory: &mut Directory) -> Vec<Vec<DiscoveredServer>> {
     let mut changes = Changes::new(told);
     let mut lists = Vec::new();
     while !changes.is_done() {
@@ -100,11 +100,11 @@
     lists
 }
 
-fn listed(change: Change, servers: &mut Servers) -> Option<Listed> {
+fn listed(change: Change, servers: &mut Servers) -> Option<DiscoveredServer> {
     match change.address {
         Some(address) => {
             let (server, _) = servers.list(&change.listed, address);
-            Some(Listed { server, ..change.listed })
+            Some(DiscoveredServer { server, ..change.listed })
         }
         None => servers.take_off(change.listed.key).map(|(listed, _)| listed),
     }
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -10,7 +10,7 @@
 use crate::replica::Replica;
 use gateway::counter::{Call, Line};
 use gateway::timers::Timers;
-use martenramp::host::{Arrival, End, Ended, Nanos};
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Nanos};
 use std::collections::HashMap;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -149,24 +149,24 @@
         asked.now = now;
         match event {
             Event::Arrives => {}
-            Event::Woke(token) => replica.brain.woke(asked, now, token),
+            Event::Woke(token) => replica.brain.on_timer(asked, now, token),
             Event::Counted { name, total } => {
-                replica.brain.counted(asked, now, name, End::Ok, f64::from_bits(total));
+                replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::Answered { rpc, server, attempt, sent } => {
-                let (how, took) = (End::Ok, now - sent);
-                let ended = Ended {
+                let (how, took) = (CallOutcome::Ok, now - sent);
+                let ended = AttemptResult {
                     rpc,
                     server,
-                    nth: attempt,
-                    how,
-                    took,
-                    closed: true,
-                    settled: 0.0,
-                    load: Vec::new(),
+                    attempt,
+                    outcome: how,
+                    duration: took,
+                    rpc_answered: true,
+                    settled_units: 0.0,
+                    load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.brain.ended(asked, now, &ended);
+                replica.brain.on_attempt_end(asked, now, &ended);
             }
         }
         self.carry_out(now, gateway);
@@ -185,12 +185,12 @@
             customer: TENANT,
             deadline: now + PATIENCE,
             units: 1.0,
-            width: self.members.len() as u32,
+            gateway_count: self.members.len() as u32,
             ..Arrival::default()
         };
         let Member { replica, asked } = &mut self.members[gateway];
         asked.now = now;
-        replica.brain.rpc(asked, now, &arrival);
+        replica.brain.on_arrival(asked, now, &arrival);
         self.carry_out(now, gateway);
     }
 
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -112,7 +112,7 @@
     let mut now = START;
     let step = move || {
         now += 1_000_000;
-        replica.brain.settle(now, next.clone());
+        replica.brain.update_settings(now, next.clone());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -107,7 +107,7 @@
     }
     let step = move || {
         player.serve(tenants, 0)?;
-        let left = player.replica.brain.customers_known();
+        let left = player.replica.brain.customer_count();
         if left > 1 {
             let why = format!("{left} of {tenants} tenants are left");
             return Err(ScaleError::Measurement { what: "forgetting tenants".to_string(), why });
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -4,8 +4,8 @@
 
 mod wire;
 
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, End, Ended, Listed, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Settings};
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -49,7 +49,7 @@
 
 /// Answers frames until the input ends; any malformed frame ends it with a plain line and no reply.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut brains: HashMap<u32, Brain> = HashMap::new();
+    let mut brains: HashMap<u32, AdmissionController> = HashMap::new();
     let mut reply = Reply::default();
     let mut frame = Vec::new();
     while wire::read_frame(&mut input, &mut frame)? {
@@ -75,7 +75,7 @@
 
 /// Decodes one record whole, then hands it to its instance; codes not known are skipped by their length.
 fn event(
-    brains: &mut HashMap<u32, Brain>,
+    brains: &mut HashMap<u32, AdmissionController>,
     reply: &mut Reply,
     now: u64,
     code: u8,
@@ -90,7 +90,7 @@
         code::START => {
             let seed = record.u64()?;
             let settings = settings(record)?;
-            match catch_unwind(AssertUnwindSafe(|| Brain::new(seed, settings))) {
+            match catch_unwind(AssertUnwindSafe(|| AdmissionController::new(seed, settings))) {
                 Ok(brain) => drop(brains.insert(instance, brain)),
                 Err(panic) => reply.bail_out(&panic_text(&*panic)),
             }
@@ -99,24 +99,24 @@
             let kind = record.u8()?;
             let list = list(record)?;
             if kind <= 2 {
-                guarded(brains, reply, instance, |brain, _| brain.listed(now, kind != 0, &list));
+                guarded(brains, reply, instance, |brain, _| brain.on_server_list(now, kind != 0, &list));
             }
         }
         code::ARRIVAL => {
             let rpc = arrival(record)?;
-            guarded(brains, reply, instance, |brain, host| brain.rpc(host, now, &rpc));
+            guarded(brains, reply, instance, |brain, host| brain.on_arrival(host, now, &rpc));
         }
         code::ATTEMPT_ENDED => {
             let ended = attempt_ended(record)?;
-            guarded(brains, reply, instance, |brain, host| brain.ended(host, now, &ended));
+            guarded(brains, reply, instance, |brain, host| brain.on_attempt_end(host, now, &ended));
         }
         code::CLIENT_LEFT => {
             let rpc = record.u32()?;
-            guarded(brains, reply, instance, |brain, _| brain.client_left(rpc));
+            guarded(brains, reply, instance, |brain, _| brain.on_client_left(rpc));
         }
         code::TIMER => {
             let token = record.u32()?;
-            guarded(brains, reply, instance, |brain, host| brain.woke(host, now, token));
+            guarded(brains, reply, instance, |brain, host| brain.on_timer(host, now, token));
         }
         code::END => drop(brains.remove(&instance)),
         code::COUNTED => {
@@ -124,7 +124,9 @@
             let total = f64::from(record.f32()?);
             record.f64()?;
             let name = record.u64()?;
-            guarded(brains, reply, instance, |brain, host| brain.counted(host, now, name, how, total));
+            guarded(brains, reply, instance, |brain, host| {
+                brain.on_counter_reply(host, now, name, how, total)
+            });
         }
         _ => {} // the start of a stream and the end of a probe: the module asks for neither
     }
@@ -140,13 +142,13 @@
 }
 
 /// The servers of a list.
-fn list(record: &mut Fields) -> Result<Vec<Listed>, Short> {
+fn list(record: &mut Fields) -> Result<Vec<DiscoveredServer>, Short> {
     record.u32()?;
     let count = record.u32()? as usize;
     let mut list = Vec::new();
     for _ in 0..count {
         let server = record.u32()?;
-        list.push(Listed {
+        list.push(DiscoveredServer {
             server,
             service: 0,
             key: u64::from(server), // the same at every instance
@@ -155,7 +157,7 @@
             cell: record.u16()?,
             ready: record.u8()? == 2,
             weight: f64::from(record.f32()?),
-            came_up: nanos(record.f64()?),
+            started_at: nanos(record.f64()?),
         });
     }
     Ok(list)
@@ -171,13 +173,13 @@
         service: 0,
         deadline: nanos(record.f64()?),
         units: f64::from(record.f32()?),
-        width: record.f32()? as u32,
-        first: record.f32()? as u32,
+        gateway_count: record.f32()? as u32,
+        first_gateway: record.f32()? as u32,
     })
 }
 
 /// The end of an attempt.
-fn attempt_ended(record: &mut Fields) -> Result<Ended, Short> {
+fn attempt_ended(record: &mut Fields) -> Result<AttemptResult, Short> {
     let rpc = record.u32()?;
     let took = nanos(record.f64()?);
     record.u16()?;
@@ -188,28 +190,37 @@
     let nth = record.u16()?;
     let count = record.u8()?;
     let load = (0..count).map(|_| record.f32().map(f64::from)).collect::<Result<_, _>>()?;
-    Ok(Ended { rpc, server, nth, how, took, closed, settled, load })
+    Ok(AttemptResult {
+        rpc,
+        server,
+        attempt: nth,
+        outcome: how,
+        duration: took,
+        rpc_answered: closed,
+        settled_units: settled,
+        load_report: load,
+    })
 }
 
-fn end(code: u8) -> End {
+fn end(code: u8) -> CallOutcome {
     match code {
-        0 => End::Ok,
-        254 => End::Full,
-        253 => End::TimedOut,
-        252 => End::NoConnection,
-        251 => End::Reset,
-        250 => End::Withdrawn,
-        249 => End::NotSent,
-        _ => End::Error,
+        0 => CallOutcome::Ok,
+        254 => CallOutcome::Full,
+        253 => CallOutcome::TimedOut,
+        252 => CallOutcome::NoConnection,
+        251 => CallOutcome::Reset,
+        250 => CallOutcome::Withdrawn,
+        249 => CallOutcome::NotSent,
+        _ => CallOutcome::Error,
     }
 }
 
 /// Runs one call; a panic takes back what the call had asked for and is reported as the instance's end.
 fn guarded(
-    brains: &mut HashMap<u32, Brain>,
+    brains: &mut HashMap<u32, AdmissionController>,
     reply: &mut Reply,
     instance: u32,
-    call: impl FnOnce(&mut Brain, &mut Reply),
+    call: impl FnOnce(&mut AdmissionController, &mut Reply),
 ) {
     let Some(brain) = brains.get_mut(&instance) else { return };
     let mark = reply.mark();
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -169,12 +169,12 @@
 }
 
 impl Host for Reply {
-    fn call_out(&mut self, rpc: u32, server: u32, limit: Nanos, _before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, _before: Nanos) {
         let limit = seconds(limit).to_be_bytes();
         self.record(21, &[&rpc.to_be_bytes(), &server.to_be_bytes(), &limit]);
     }
 
-    fn push_back(&mut self, rpc: u32, come_back: Nanos) {
+    fn reject(&mut self, rpc: u32, come_back: Nanos) {
         self.record(20, &[&rpc.to_be_bytes(), &seconds(come_back).to_be_bytes()]);
     }
 
@@ -182,11 +182,11 @@
         self.record(24, &[&rpc.to_be_bytes()]);
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.record(28, &[&seconds(after).to_be_bytes(), &token.to_be_bytes()]);
     }
 
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         let add = (add as f32).to_be_bytes();
         self.record(16, &[&name.to_be_bytes(), &add, &seconds(forget).to_be_bytes()]);
     }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,8 @@
-//! Every decision of the gateway. A host makes one `Brain` for each life and tells it what happens; each call
+//! Every decision of the gateway. A host makes one `AdmissionController` for each life and tells it what happens; each call
 //! answers through the `Host` it is given. Start reading at `advance`, the path of an RPC.
 
 use crate::attempts::OpenAttempt;
-use crate::host::{Arrival, End, Ended, Host, Listed, Nanos, Settings};
+use crate::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Host, Nanos, Settings};
 use crate::quota::Quota;
 use crate::samples::{MS, SEC, answered, keep, median, number, secs, span};
 use crate::subsetting::{Endpoint, Subsetter};
@@ -109,7 +109,7 @@
 
 #[derive(Default)]
 struct Server {
-    listed: Listed,
+    listed: DiscoveredServer,
     open: VecDeque<(u32, u16, Nanos)>, // oldest first: RPC, number, and when sent
     ends: VecDeque<(Nanos, Nanos, bool)>, // the last: when, after how long, and whether ok
     cold: (Nanos, f64), // while cold: since when the next call-out waits, and for what part of the gap
@@ -151,7 +151,7 @@
 }
 
 #[derive(Default)]
-pub struct Brain {
+pub struct AdmissionController {
     settings: Arc<Settings>,
     chance: fastrand::Rng,
     /// When this life began: its part of a ceiling is empty then, since an earlier life may have spent it.
@@ -185,17 +185,22 @@
     to_count: VecDeque<u64>,
 }
 
-impl Brain {
+impl AdmissionController {
     pub fn new(seed: u64, settings: Settings) -> Self {
         let mut chance = fastrand::Rng::with_seed(seed);
         let salt = chance.u64(..);
-        let mut brain = Brain { settings: Arc::new(settings), chance, salt, ..Brain::default() };
+        let mut brain = AdmissionController {
+            settings: Arc::new(settings),
+            chance,
+            salt,
+            ..AdmissionController::default()
+        };
         brain.ask_for(0, 0);
         brain
     }
 
     /// Other settings hold now. RPCs that are here keep theirs; customers follow with their next RPC.
-    pub fn settle(&mut self, now: Nanos, settings: Settings) {
+    pub fn update_settings(&mut self, now: Nanos, settings: Settings) {
         self.settings = Arc::new(settings);
         self.nowhere.clear();
         let gateways = self.gateways() as usize;
@@ -227,10 +232,11 @@
         self.method(method, "credit", 1.0) / self.method(method, "onTime", 1.0).max(1e-3)
     }
 
-    pub fn rpc(&mut self, host: &mut dyn Host, now: Nanos, arrival: &Arrival) {
+    pub fn on_arrival(&mut self, host: &mut dyn Host, now: Nanos, arrival: &Arrival) {
         self.ask_for(now, arrival.service);
         let plan = |name: &str, default| self.setting(&format!("tariffs.{}.{name}", arrival.plan), default);
-        let (width, store) = (f64::from(arrival.width.max(1)), (plan("perSecond", 0.0), plan("depth", 0.0)));
+        let (width, store) =
+            (f64::from(arrival.gateway_count.max(1)), (plan("perSecond", 0.0), plan("depth", 0.0)));
         let ceiling = (plan("ceilingRate", 0.0), plan("hardBurst", 0.0));
         let made = Customer {
             quota: Quota::new(now, self.born.unwrap_or(now), width, store, ceiling),
@@ -279,23 +285,23 @@
         self.customers_most = 2 * self.customers.len().max(32);
     }
 
-    pub fn customers_known(&self) -> usize {
+    pub fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
     /// The process ends: what is here has its final answer by this time.
-    pub fn end_by(&mut self, host: &mut dyn Host, now: Nanos, at: Nanos) {
+    pub fn shut_down_by(&mut self, host: &mut dyn Host, now: Nanos, at: Nanos) {
         self.rpcs.values_mut().for_each(|rpc| rpc.soft_deadline = rpc.soft_deadline.min(at));
         let queued = self.customers.iter().filter(|(_, customer)| !customer.queue.is_empty());
         let waiting: BTreeSet<u64> = queued.map(|(key, _)| *key).collect();
         waiting.into_iter().for_each(|key| self.wake_customer(host, now, key, at));
     }
 
-    pub fn client_left(&mut self, id: u32) {
+    pub fn on_client_left(&mut self, id: u32) {
         self.shift(id, State::Ended);
     }
 
-    pub fn woke(&mut self, host: &mut dyn Host, now: Nanos, token: u32) {
+    pub fn on_timer(&mut self, host: &mut dyn Host, now: Nanos, token: u32) {
         match self.wakes.remove(&token) {
             Some(COUNT) => self.count_next(host, now),
             Some(key) if self.customers.get(&key).is_some_and(|customer| customer.wake_at <= now) => {
@@ -400,32 +406,33 @@
         }
         let attempt = OpenAttempt { server: chosen, customer: key, sent_at: now, soft_deadline, refund };
         self.open.insert((id, nth), attempt);
-        host.call_out(id, chosen, limit, before);
+        host.send_attempt(id, chosen, limit, before);
         self.wait.0 = 0;
         self.share_count(host, now, key);
     }
 
     /// The end of a call-out; a closed RPC has its answer, any other goes on or is answered now.
-    pub fn ended(&mut self, host: &mut dyn Host, now: Nanos, ended: &Ended) {
-        let Some(attempt) = self.open.remove(&(ended.rpc, ended.nth)) else { return };
+    pub fn on_attempt_end(&mut self, host: &mut dyn Host, now: Nanos, ended: &AttemptResult) {
+        let Some(attempt) = self.open.remove(&(ended.rpc, ended.attempt)) else { return };
         let OpenAttempt { server: chosen, customer: key, sent_at: sent, refund, .. } = attempt;
-        let unwritten = matches!(ended.how, End::NoConnection | End::NotSent);
-        let never_ran = unwritten || ended.how == End::Full;
+        let unwritten = matches!(ended.outcome, CallOutcome::NoConnection | CallOutcome::NotSent);
+        let never_ran = unwritten || ended.outcome == CallOutcome::Full;
         let mut place = (u16::MAX, u16::MAX);
         let mut columns = self.settings.get("reporting.columns").map_or("", String::as_str).split(',');
-        let told = columns.position(|name| name == "busy_reqs").and_then(|at| ended.load.get(at).copied());
+        let told =
+            columns.position(|name| name == "busy_reqs").and_then(|at| ended.load_report.get(at).copied());
         if let Some(server) = self.servers.get_mut(&chosen) {
             place = (server.listed.zone, server.listed.cell);
-            server.open.retain(|open| (open.0, open.1) != (ended.rpc, ended.nth));
-            if ended.how != End::NotSent {
-                keep(&mut server.ends, (now, ended.took, ended.how == End::Ok), KEPT);
+            server.open.retain(|open| (open.0, open.1) != (ended.rpc, ended.attempt));
+            if ended.outcome != CallOutcome::NotSent {
+                keep(&mut server.ends, (now, ended.duration, ended.outcome == CallOutcome::Ok), KEPT);
             }
             server.held = told.map_or(server.held, |held| (now, held.max(0.0)));
             let service = self.services.get_mut(&server.listed.service).filter(|_| !never_ran);
             service.into_iter().for_each(|service| keep(&mut service.ends, now, 2 * KEPT));
         }
         if !never_ran {
-            keep(&mut self.ends, (now, ended.took, ended.how == End::Ok), 2 * KEPT);
+            keep(&mut self.ends, (now, ended.duration, ended.outcome == CallOutcome::Ok), 2 * KEPT);
         }
         self.customer(now, key).open -= 1;
         (self.wait.0, self.brake.0, self.typical.0) = (0, 0, 0);
@@ -434,17 +441,17 @@
             let (urgent, units, soft) = (!rpc.patient, rpc.units, secs(rpc.soft));
             rpc.ran = rpc.ran.or((!never_ran).then_some((sent, place.0, place.1)));
             rpc.written |= !unwritten;
-            if urgent && matches!(ended.how, End::Ok | End::TimedOut) {
-                keep(&mut self.urgent, (now, secs(ended.took) / soft.max(1e-3)), 2 * KEPT);
+            if urgent && matches!(ended.outcome, CallOutcome::Ok | CallOutcome::TimedOut) {
+                keep(&mut self.urgent, (now, secs(ended.duration) / soft.max(1e-3)), 2 * KEPT);
             }
             let customer = self.customer(now, key);
             if urgent {
                 keep(&mut customer.urgent, (now, false), 2 * KEPT);
             }
-            if ended.settled > 0.0 {
-                customer.quota.settle(ended.settled - units); // the guess is put right with what it counted
+            if ended.settled_units > 0.0 {
+                customer.quota.settle(ended.settled_units - units); // the guess is put right with what it counted
             }
-            self.shift(ended.rpc, if ended.closed { State::Ended } else { State::Held });
+            self.shift(ended.rpc, if ended.rpc_answered { State::Ended } else { State::Held });
         } else if unwritten {
             self.customer(now, key).quota.take(-refund);
         }
@@ -488,7 +495,7 @@
         let most = span(self.setting("ceilings.maxRetryAfter", 0.0));
         let come_back = if self.is_true("ceilings.retryAfter") { room_in.min(most) } else { 0 };
         match harmless {
-            true => host.push_back(id, come_back),
+            true => host.reject(id, come_back),
             false => host.abort(id),
         }
         Nanos::MAX
@@ -549,7 +556,7 @@
         // Rounded up: a host that counts microseconds must not ring before what waits is due.
         let at = at.max(now + MS).next_multiple_of(1000);
         self.wakes.insert(self.next_wake, wake);
-        host.wake(at - now, self.next_wake);
+        host.set_timer(at - now, self.next_wake);
         self.next_wake = self.next_wake.wrapping_add(1);
     }
 
--- a/src/admission/counter_calls.rs
+++ b/src/admission/counter_calls.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl AdmissionController {
     /// The last calls all went without an answer: totals tell nothing of the others.
     pub(super) fn silent(&self) -> bool {
         self.counter.iter().rev().take_while(|answered| !**answered).count() >= SILENT_AFTER
@@ -50,20 +50,27 @@
             return self.count_next(host, now);
         }
         let (calls, forget) = self.customer(now, key).quota.call(now);
-        calls.iter().for_each(|call| host.count(key << 31 | (call.0 & WINDOW_BITS), call.1, forget));
+        calls.iter().for_each(|call| host.add_to_counter(key << 31 | (call.0 & WINDOW_BITS), call.1, forget));
         self.counter_rest = now + self.counter_gap;
     }
 
     /// The counter answered: a name is a customer and a window.
-    pub fn counted(&mut self, host: &mut dyn Host, now: Nanos, name: u64, how: End, total: f64) {
+    pub fn on_counter_reply(
+        &mut self,
+        host: &mut dyn Host,
+        now: Nanos,
+        name: u64,
+        how: CallOutcome,
+        total: f64,
+    ) {
         let key = name >> 31;
-        keep(&mut self.counter, how == End::Ok, COUNTS_KEPT);
+        keep(&mut self.counter, how == CallOutcome::Ok, COUNTS_KEPT);
         // Guards against a counter whose line is longer than its time-out, so that it works for nobody: a
         // miss widens the gap between calls, answers narrow it, so slowly that in balance a few calls in a hundred
         // go unanswered. Harm: adds come later.
         let (gap, wait) = (self.counter_gap, span(self.setting("extra.countWait", 0.05)));
         let wider = (gap * 5 / 4 + wait / 4).min(wait + 4 * MS * self.gateways() as u64);
-        self.counter_gap = if how == End::Ok { gap - gap / GAP_ANSWERS } else { wider };
+        self.counter_gap = if how == CallOutcome::Ok { gap - gap / GAP_ANSWERS } else { wider };
         let call_is_free = now >= self.counter_rest;
         let largest = self.setting("extra.largest", 1.0);
         if !self.customers.contains_key(&key) {
--- a/src/admission/quota_check.rs
+++ b/src/admission/quota_check.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl AdmissionController {
     /// The customer with its stores brought up to now.
     pub(super) fn customer(&mut self, now: Nanos, key: u64) -> &mut Customer {
         let largest = self.setting("extra.largest", 1.0);
--- a/src/admission/server_list.rs
+++ b/src/admission/server_list.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-impl Brain {
+impl AdmissionController {
     /// Discovery's list, whole or only what changed. A server off the whole list is gone.
-    pub fn listed(&mut self, now: Nanos, whole: bool, list: &[Listed]) {
+    pub fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
         let changes = self.take_list(now, whole, list);
         changes.into_keys().for_each(|service| self.share_out(now, service));
     }
 
     /// What changed of discovery's list. What is no longer ready gets nothing new from here on; the subsets follow in
     /// `work_on_subsets`.
-    pub fn listed_in_steps(&mut self, now: Nanos, list: &[Listed]) {
+    pub fn on_server_list_deferred(&mut self, now: Nanos, list: &[DiscoveredServer]) {
         let changes = self.take_list(now, false, list);
         changes.into_iter().for_each(|(service, change)| self.follow(now, service, &change));
     }
@@ -21,7 +21,7 @@
         &mut self,
         now: Nanos,
         whole: bool,
-        list: &[Listed],
+        list: &[DiscoveredServer],
     ) -> BTreeMap<u32, ServiceChange> {
         self.born.get_or_insert(now);
         self.nowhere.clear();
@@ -35,7 +35,7 @@
         }
         for listed in list {
             let server = self.servers.entry(listed.server).or_default();
-            if server.listed.came_up != listed.came_up {
+            if server.listed.started_at != listed.started_at {
                 server.ends.clear(); // a new life: what the old one showed says nothing, and it is cold
                 server.cold = (now, self.chance.f64());
             }
@@ -71,7 +71,7 @@
     }
 
     /// When there is work on subsets to be done; nothing if all are worked out.
-    pub fn subsets_due(&self) -> Option<Nanos> {
+    pub fn subset_work_due(&self) -> Option<Nanos> {
         let stale = self.services.values().filter(|at| !at.subsetter.is_worked_out());
         stale.map(|at| at.rests_until).min()
     }
@@ -121,7 +121,7 @@
     pub(super) fn endpoints<'a>(&self, ids: impl Iterator<Item = &'a u32>) -> Vec<Endpoint> {
         let near = self.setting("zone", -1.0);
         let endpoint = |id: &u32| {
-            let Listed { key, zone, weight, .. } = self.servers[id].listed;
+            let DiscoveredServer { key, zone, weight, .. } = self.servers[id].listed;
             Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == near }
         };
         ids.map(endpoint).collect()
--- a/src/admission/server_selection.rs
+++ b/src/admission/server_selection.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Brain {
+impl AdmissionController {
     /// Guards against knowing nothing of any server: one of hundreds of gateways that calls out to all meets
     /// each seldom, learns too late which are slow or bad, and opens a connection for each call-out. So it
     /// draws from a part of its own, even over the fleet (see `subsetting`), or from as many more as it meets
@@ -39,7 +39,8 @@
         let rpc = &self.rpcs[&id];
         let group = rpc.ran.filter(|_| rpc.is("idempotency", "guarded") && !rpc.is("group", "all"));
         let zoned = rpc.is("group", "zone");
-        let in_group = |at: &Listed| group.is_none_or(|(_, z, c)| at.cell == c || zoned && at.zone == z);
+        let in_group =
+            |at: &DiscoveredServer| group.is_none_or(|(_, z, c)| at.cell == c || zoned && at.zone == z);
         let (soft, typical) = (secs(rpc.soft), self.typical(now));
         let least = (9.0 / self.gateways()).clamp(1.0, 3.0);
         let is_cold = |id: &&u32| self.warmth(now, &self.servers[*id].listed) < 1.0;
@@ -48,7 +49,7 @@
             if service.subsetter.shared().is_empty() { 0.0 } else { self.carries(now, rpc.service) };
         let (mut drawn, mut last_resort) = (Vec::new(), Vec::new());
         let all = service.subsetter.order();
-        let part = Brain::drawn_from(now, service).min(all.len());
+        let part = AdmissionController::drawn_from(now, service).min(all.len());
         // Guards against a part that is down as a whole: what missed twice draws from all. Harm: connections.
         let split = if rpc.tries >= 2 { all.len() } else { part };
         let cold_others = service.subsetter.shared().iter().filter(|id| !all[..split].contains(id));
@@ -146,12 +147,12 @@
     }
 
     /// The part of its capacity that a server surely has by now.
-    pub(super) fn warmth(&self, now: Nanos, server: &Listed) -> f64 {
-        if server.came_up == 0 {
+    pub(super) fn warmth(&self, now: Nanos, server: &DiscoveredServer) -> f64 {
+        if server.started_at == 0 {
             return 1.0;
         }
         let within = self.setting("rules.warmWithin", 30.0).max(1e-3);
-        let age = secs(now.saturating_sub(server.came_up));
+        let age = secs(now.saturating_sub(server.started_at));
         let from = self.setting("rules.coldFrom", 0.1);
         (from + (1.0 - from) * age / within).min(1.0)
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -12,15 +12,15 @@
 pub trait Host {
     /// Sends the RPC to a server; attempts of an RPC are numbered from 0. A `limit` of 0 means until the deadline. An attempt
     /// that can't be written `before` this time, since its connection comes up late, must not be written at all.
-    fn call_out(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos);
+    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos);
     /// Final answer: trying again does no harm; `come_back` of 0 gives no advice.
-    fn push_back(&mut self, rpc: u32, come_back: Nanos);
+    fn reject(&mut self, rpc: u32, come_back: Nanos);
     /// Final answer: nothing is promised.
     fn abort(&mut self, rpc: u32);
-    /// Asks for `woke` with this token after a while.
-    fn wake(&mut self, after: Nanos, token: u32);
-    /// Adds to a named count that all gateways share; the total comes back through `counted`.
-    fn count(&mut self, name: u64, add: f64, forget: Nanos);
+    /// Asks for `on_timer` with this token after a while.
+    fn set_timer(&mut self, after: Nanos, token: u32);
+    /// Adds to a named count that all gateways share; the total comes back through `on_counter_reply`.
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos);
 }
 
 /// An RPC as it came in.
@@ -30,19 +30,19 @@
     pub method: u16,
     pub plan: u16,
     pub customer: u64,
-    /// The service that is asked for, as [`Listed::service`] numbers it.
+    /// The service that is asked for, as [`DiscoveredServer::service`] numbers it.
     pub service: u32,
     /// Clock time at which the client gives up.
     pub deadline: Nanos,
     pub units: f64,
     /// How many gateways this customer's RPCs come in through, and the number of the first of them.
-    pub width: u32,
-    pub first: u32,
+    pub gateway_count: u32,
+    pub first_gateway: u32,
 }
 
 /// A server as discovery lists it.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct DiscoveredServer {
     pub server: u32,
     /// The service that it belongs to: an RPC goes only to servers of the service that it asks for. 0 is the one service of a
     /// deployment that tells none. The number is this gateway's own and may differ at others.
@@ -56,12 +56,12 @@
     pub ready: bool,
     pub weight: f64,
     /// Clock time of its last start; 0 for long ago.
-    pub came_up: Nanos,
+    pub started_at: Nanos,
 }
 
 /// How a call-out or a call to the counter ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     Ok,
     Error,
     Full,
@@ -74,16 +74,16 @@
 
 /// The end of one call-out.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub rpc: u32,
     pub server: u32,
-    pub nth: u16,
-    pub how: End,
-    pub took: Nanos,
+    pub attempt: u16,
+    pub outcome: CallOutcome,
+    pub duration: Nanos,
     /// The RPC has its final answer.
-    pub closed: bool,
+    pub rpc_answered: bool,
     /// The true units, where they are only known afterwards; 0 if not told.
-    pub settled: f64,
+    pub settled_units: f64,
     /// The server's load report, in the order of `reporting.columns`; empty if none came.
-    pub load: Vec<f64>,
+    pub load_report: Vec<f64>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,27 +2,27 @@
 //!
 //! [`admission`] holds every decision, [`subsetting`] which servers a gateway draws from, [`host`] what both need from whoever
 //! runs them.
-//! A host hands events to a [`admission::Brain`] and carries out what comes back:
+//! A host hands events to a [`admission::AdmissionController`] and carries out what comes back:
 //!
 //! ```
-//! use martenramp::admission::Brain;
+//! use martenramp::admission::AdmissionController;
 //! use martenramp::host::{Arrival, Host, Nanos, Settings};
 //!
 //! #[derive(Default)]
 //! struct Printer(Vec<String>);
 //! impl Host for Printer {
-//!     fn call_out(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) { self.0.push(format!("{rpc} to {server}")); }
-//!     fn push_back(&mut self, rpc: u32, _come_back: Nanos) { self.0.push(format!("{rpc} pushed back")); }
+//!     fn send_attempt(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) { self.0.push(format!("{rpc} to {server}")); }
+//!     fn reject(&mut self, rpc: u32, _come_back: Nanos) { self.0.push(format!("{rpc} pushed back")); }
 //!     fn abort(&mut self, rpc: u32) { self.0.push(format!("{rpc} aborted")); }
-//!     fn wake(&mut self, _after: Nanos, _token: u32) {}
-//!     fn count(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
+//!     fn set_timer(&mut self, _after: Nanos, _token: u32) {}
+//!     fn add_to_counter(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
 //! }
 //!
 //! let mut host = Printer::default();
-//! let mut brain = Brain::new(7, Settings::new());
-//! let rpc = Arrival { id: 1, deadline: 2_000_000_000, units: 1.0, width: 1, ..Arrival::default() };
-//! brain.rpc(&mut host, 0, &rpc); // no server known yet: the RPC is held, then given up on in time
-//! brain.woke(&mut host, 2_000_000_000, 0);
+//! let mut brain = AdmissionController::new(7, Settings::new());
+//! let rpc = Arrival { id: 1, deadline: 2_000_000_000, units: 1.0, gateway_count: 1, ..Arrival::default() };
+//! brain.on_arrival(&mut host, 0, &rpc); // no server known yet: the RPC is held, then given up on in time
+//! brain.on_timer(&mut host, 2_000_000_000, 0);
 //! assert_eq!(host.0, ["1 pushed back"]);
 //! ```
 
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -2,7 +2,7 @@
 //! that store for when nothing is known of the others, its part of the ceiling, and the calls to the shared counter that
 //! are out. Units throughout; no decision is made here: the module asks what is known, and how old that is.
 
-use crate::host::{End, Nanos};
+use crate::host::{CallOutcome, Nanos};
 use crate::samples::{SEC, keep, secs, span};
 use std::collections::VecDeque;
 
@@ -192,7 +192,7 @@
         now: Nanos,
         window: u64,
         bits: u64,
-        how: End,
+        how: CallOutcome,
         total: f64,
         largest: f64,
     ) -> Option<u64> {
@@ -201,7 +201,7 @@
         let unread = !self.ledgers.iter().any(|ledger| ledger.window + 1 == window);
         let ledger = self.ledgers.iter_mut().find(|ledger| ledger.window == window);
         match (how, ledger) {
-            (End::Ok, Some(ledger)) if total.is_finite() => {
+            (CallOutcome::Ok, Some(ledger)) if total.is_finite() => {
                 let first = unread && ledger.others == 0.0;
                 ledger.own += add;
                 if total + 0.01 + 1e-5 * total.abs() < ledger.own {
@@ -231,7 +231,7 @@
                 }
             }
             // Nothing was added: the units are still to be told.
-            (End::Full | End::NoConnection | End::NotSent, _) => self.pending += add,
+            (CallOutcome::Full | CallOutcome::NoConnection | CallOutcome::NotSent, _) => self.pending += add,
             // It may have counted; taken as counted, so that the others' use is never seen too large.
             (_, Some(ledger)) => ledger.own += add,
             _ => {}
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{MS, SEC, START, Story, gateway, server};
-use martenramp::host::{End, Listed, Nanos};
+use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -85,10 +85,12 @@
         )
     }
 
-    fn list(&self, joined: bool) -> Vec<Listed> {
+    fn list(&self, joined: bool) -> Vec<DiscoveredServer> {
         let count = if joined { self.servers + self.joins } else { self.servers };
         let since = |id: u32| if id > self.servers { JOIN_AT } else { 0 };
-        (1..=count).map(|id| Listed { came_up: since(id), ..server(id, id as u16 % 2) }).collect()
+        (1..=count)
+            .map(|id| DiscoveredServer { started_at: since(id), ..server(id, id as u16 % 2) })
+            .collect()
     }
 }
 
@@ -227,7 +229,7 @@
         let Some(Reverse(work)) = self.work.pop() else { return };
         if self.lives[work.gateway] == work.life {
             self.gateways[work.gateway].notes.now = now;
-            self.gateways[work.gateway].end(work.rpc, End::Ok);
+            self.gateways[work.gateway].end(work.rpc, CallOutcome::Ok);
             self.sent(work.gateway);
         }
     }
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -3,7 +3,7 @@
 mod harness;
 
 use harness::{MS, SEC, Story, gateway, server, story};
-use martenramp::host::{Arrival, End, Listed};
+use martenramp::host::{Arrival, CallOutcome, DiscoveredServer};
 
 #[test]
 fn an_rpc_that_finds_no_server_is_pushed_back_in_time() {
@@ -40,7 +40,7 @@
     let mut s = story("").with_servers(3);
     let rpc = s.rpc(2, 1.0);
     s.pass(50 * MS);
-    s.end(rpc, End::Reset);
+    s.end(rpc, CallOutcome::Reset);
     assert_eq!((s.sent(rpc), s.notes.aborted.as_slice(), s.notes.pushed.len()), (1, &[rpc][..], 0));
 }
 
@@ -48,7 +48,7 @@
 fn proof_that_nothing_ran_allows_another_server() {
     let mut s = story("").with_servers(3);
     let rpc = s.rpc(2, 1.0);
-    s.end(rpc, End::NoConnection);
+    s.end(rpc, CallOutcome::NoConnection);
     let servers: Vec<u32> = s.notes.out.iter().map(|out| out.1).collect();
     assert!(servers.len() == 2 && servers[0] != servers[1]);
 }
@@ -58,14 +58,14 @@
     let mut s = story("").with_servers(6);
     let rpc = s.rpc(1, 1.0);
     s.pass(50 * MS);
-    s.end(rpc, End::Reset);
+    s.end(rpc, CallOutcome::Reset);
     s.pass(870 * MS); // past the 0.9 s for which a repeat is known
-    s.end(rpc, End::Reset);
+    s.end(rpc, CallOutcome::Reset);
     assert_eq!((s.sent(rpc), s.notes.aborted.as_slice()), (2, &[rpc][..]));
     for customer in 0..10 {
         let rpc = s.rpc_of(300 + customer, 1, 1.0, 4 * SEC);
-        s.end(rpc, End::Error);
-        s.end(rpc, End::Ok);
+        s.end(rpc, CallOutcome::Error);
+        s.end(rpc, CallOutcome::Ok);
     }
     let servers: Vec<u32> = s.notes.out.iter().map(|out| out.1).collect();
     assert!(servers.len() == 22 && servers.chunks(2).all(|pair| pair[0] % 2 == pair[1] % 2), "{servers:?}");
@@ -78,8 +78,8 @@
     for customer in 0..4 {
         s.rpc_of(400 + customer, 2, 0.1, 9 * SEC); // open when the list changes, so still known
     }
-    s.list(false, &[Listed { ready: false, ..server(1, 1) }]);
-    s.list(true, &[Listed { ready: false, ..server(1, 1) }, server(2, 0)]);
+    s.list(false, &[DiscoveredServer { ready: false, ..server(1, 1) }]);
+    s.list(true, &[DiscoveredServer { ready: false, ..server(1, 1) }, server(2, 0)]);
     s.answered(40, 2, MS);
     assert!(s.notes.out.len() == 64 && s.notes.out[24..].iter().all(|out| out.1 == 2));
 }
@@ -88,7 +88,7 @@
 fn a_cold_server_gets_little_at_first() {
     let mut s = story("").with_servers(4);
     s.answered(40, 2, 20 * MS);
-    s.list(false, &[Listed { came_up: s.notes.now, ..server(5, 1) }]);
+    s.list(false, &[DiscoveredServer { started_at: s.notes.now, ..server(5, 1) }]);
     let before = s.notes.out.len();
     s.answered(45, 2, 20 * MS);
     let cold = s.notes.out[before..].iter().filter(|out| out.1 == 5).count();
@@ -102,7 +102,7 @@
         let mut s = gateway(seed, "balancers=300").with_servers(4);
         s.answered(4, 2, 500 * MS); // together 600 a second, so 150 a server, and 30 a cold one
         let started = s.notes.now;
-        s.list(false, &[Listed { came_up: started, ..server(5, 1) }]);
+        s.list(false, &[DiscoveredServer { started_at: started, ..server(5, 1) }]);
         s.answered(6, 2, 500 * MS);
         cold += s.notes.out.iter().filter(|out| out.1 == 5).count();
     }
@@ -143,7 +143,7 @@
     let ids: Vec<u32> = (0..6).map(|_| s.rpc(2, 2.0)).collect();
     s.notes.now += 3 * SEC; // no turn for three seconds, then all at once
     for _ in 0..s.notes.counts.len() {
-        s.counted(0, End::TimedOut, 0.0);
+        s.counted(0, CallOutcome::TimedOut, 0.0);
     }
     s.pass(0);
     let late = s.rpc_of(9, 2, 1.0, 0);
@@ -166,15 +166,15 @@
     let mut s = story("tariffs.0.ceilingRate=8 tariffs.0.hardBurst=8 extra.hasCounter=true").with_servers(3);
     let first = s.rpc(2, 0.5);
     s.pass(300 * MS);
-    s.counted(0, End::Ok, 4.5);
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 4.5);
+    s.end(first, CallOutcome::Ok);
     s.pass(300 * MS); // 1.9 units in the ceiling's part, a thin store: each must be claimed
     let calls = s.notes.counts.len();
     for _ in 0..4 {
         s.rpc(2, 1.0);
     }
     for _ in calls..s.notes.counts.len() {
-        s.counted(0, End::Ok, 5.5);
+        s.counted(0, CallOutcome::Ok, 5.5);
     }
     assert!(s.notes.out.len() <= 2, "{:?}", s.notes.out);
 }
@@ -184,7 +184,7 @@
     let mut s = story("tariffs.0.maxOut=4").with_servers(3);
     let ids: Vec<u32> = (0..4).map(|_| s.rpc(2, 1.0)).collect();
     assert_eq!(s.notes.out.len(), 2);
-    s.end(ids[0], End::Ok);
+    s.end(ids[0], CallOutcome::Ok);
     assert_eq!(s.notes.out.len(), 3);
 }
 
@@ -193,8 +193,8 @@
     let mut s = story(&format!("extra.hasCounter=true {extra}")).with_servers(3);
     s.pass(700 * MS);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 8.5);
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 8.5);
+    s.end(first, CallOutcome::Ok);
     s
 }
 
@@ -203,10 +203,10 @@
     let mut s = thin("");
     let rpc = s.rpc(2, 1.0);
     assert_eq!(s.sent(rpc), 0, "asked first");
-    s.counted(0, End::Ok, 9.5);
+    s.counted(0, CallOutcome::Ok, 9.5);
     assert_eq!(s.sent(rpc), 1);
     let late = s.rpc(2, 0.4);
-    s.counted(0, End::Ok, 12.4);
+    s.counted(0, CallOutcome::Ok, 12.4);
     assert_eq!(s.sent(late), 0, "another gateway was first");
     assert!(s.notes.counts.last().is_some_and(|count| count.1 < 0.0), "and hears that it was not used");
 }
@@ -216,13 +216,13 @@
     let mut s = story("extra.hasCounter=true").with_servers(3);
     s.pass(250 * MS);
     let rpc = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 10.0); // four times the rate, for a quarter of a window: so it was before, too
+    s.counted(0, CallOutcome::Ok, 10.0); // four times the rate, for a quarter of a window: so it was before, too
     assert_eq!(s.sent(rpc), 0, "the ten units of this window are not all that was drawn");
     // Within the quota the first total says nothing of the time before.
     let mut s = story("extra.hasCounter=true").with_servers(3);
     s.pass(250 * MS);
     let rpc = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 3.5);
+    s.counted(0, CallOutcome::Ok, 3.5);
     assert_eq!(s.sent(rpc), 1);
 }
 
@@ -231,8 +231,8 @@
     let mut s = story("extra.hasCounter=true").with_servers(3);
     s.pass(800 * MS);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 8.0); // 7 of others, 8.75 a second; 2 are left, and 10 a second come in
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 8.0); // 7 of others, 8.75 a second; 2 are left, and 10 a second come in
+    s.end(first, CallOutcome::Ok);
     s.pass(150 * MS);
     let calls = s.notes.counts.len();
     let rpc = s.rpc(2, 3.0);
@@ -240,7 +240,7 @@
     s.pass(3 * SEC);
     let later = s.rpc(2, 3.0);
     assert!(s.notes.counts.len() > calls, "of what they drew a window ago no more is said: it is asked");
-    s.counted(0, End::Ok, 3.0);
+    s.counted(0, CallOutcome::Ok, 3.0);
     assert_eq!(s.sent(later), 1);
 }
 
@@ -250,7 +250,7 @@
     let (rpc, asked) = (s.rpc(2, 1.0), s.notes.now);
     s.pass(3 * SEC);
     assert!(s.notes.pushed.iter().any(|pushed| pushed.0 == rpc && pushed.2 <= asked + SEC + MS));
-    s.counted(0, End::TimedOut, 0.0);
+    s.counted(0, CallOutcome::TimedOut, 0.0);
     s.rpc(2, 1.0);
     s.pass(20 * MS); // a missed answer widens the gap between calls
     let told: f64 = s.notes.counts.iter().map(|count| count.1).sum();
@@ -261,9 +261,9 @@
 fn a_counter_back_empty_does_not_drain_or_fill_the_store() {
     let mut s = story("extra.hasCounter=true").with_servers(3);
     s.rpc(2, 3.0);
-    s.counted(0, End::Ok, 3.0);
+    s.counted(0, CallOutcome::Ok, 3.0);
     s.rpc(2, 4.0);
-    s.counted(0, End::Ok, 4.0); // below the 7 that this gateway added: an empty start
+    s.counted(0, CallOutcome::Ok, 4.0); // below the 7 that this gateway added: an empty start
     let ids: Vec<u32> = (0..4).map(|_| s.rpc(2, 1.0)).collect();
     let sent: Vec<usize> = ids.iter().map(|id| s.sent(*id)).collect();
     assert_eq!(sent, [1, 1, 0, 0], "3 of 10 units were left, the last to be claimed");
@@ -273,11 +273,11 @@
 fn a_silent_counter_leaves_the_even_split() {
     let mut s = story("extra.hasCounter=true").with_servers(20);
     s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 1.0); // 9 units are left while the counter answers
+    s.counted(0, CallOutcome::Ok, 1.0); // 9 units are left while the counter answers
     for customer in 0..4 {
         s.rpc_of(100 + customer, 2, 1.0, 4 * SEC);
     }
-    (0..4).for_each(|back| s.counted(back, End::TimedOut, 0.0));
+    (0..4).for_each(|back| s.counted(back, CallOutcome::TimedOut, 0.0));
     let before = s.notes.out.len();
     for _ in 0..8 {
         s.rpc(2, 1.0);
@@ -300,7 +300,7 @@
     for customer in 0..20 {
         let rpc = s.rpc_of(customer, 1, 0.1, 4 * SEC);
         s.pass(600 * MS);
-        s.end(rpc, End::TimedOut);
+        s.end(rpc, CallOutcome::TimedOut);
     }
     let before = s.notes.out.len();
     for customer in 100..110 {
@@ -367,10 +367,10 @@
     for _ in 0..24 {
         let rpc = s.rpc(2, 0.1);
         s.pass(5 * MS);
-        s.end(rpc, End::Ok);
+        s.end(rpc, CallOutcome::Ok);
     }
     let spike = s.rpc_of(9, 2, 3.0, SEC);
-    s.end(spike, End::Ok);
+    s.end(spike, CallOutcome::Ok);
     s.rpc_of(9, 2, 3.0, 50 * MS);
     s.pass(150 * MS);
     assert_eq!(s.notes.pushed.len(), 1, "an urgent one found no room");
@@ -394,19 +394,19 @@
             let rpc = s.rpc_of(1000 + 200 * round + one, 2, 0.1, 4 * SEC);
             s.pass(10 * MS);
             if s.sent(rpc) > 0 {
-                s.end(rpc, End::Ok);
+                s.end(rpc, CallOutcome::Ok);
             }
         });
         s.pass(4 * SEC);
         let fresh = s.rpc_of(50_000 + round, 2, 0.1, 4 * SEC);
         assert_eq!(s.sent(fresh), 1, "whoever is new is not taken for one that came long ago");
-        s.end(fresh, End::Ok);
-        assert!(s.brain.customers_known() < 2400, "{round}: {}", s.brain.customers_known());
+        s.end(fresh, CallOutcome::Ok);
+        assert!(s.brain.customer_count() < 2400, "{round}: {}", s.brain.customer_count());
     }
-    s.end(open, End::Ok);
+    s.end(open, CallOutcome::Ok);
     // A full store is spent; who comes again finds it so, however many came between.
     let spent = s.rpc_of(2, 2, 5.0, SEC);
-    s.end(spent, End::Ok);
+    s.end(spent, CallOutcome::Ok);
     for other in 0..5000 {
         s.rpc_of(100_000 + other, 2, 0.1, MS);
     }
@@ -420,7 +420,7 @@
     s.answered(20, 2, 20 * MS);
     let rpc = s.rpc_of(60, 2, 0.1, 4 * SEC);
     let missed = s.notes.out.last().expect("sent").1;
-    s.end(rpc, End::NoConnection);
+    s.end(rpc, CallOutcome::NoConnection);
     let before = s.notes.out.len();
     s.answered(15, 2, 5 * MS);
     assert!(s.notes.out[before - 1..].iter().all(|out| out.1 != missed));
@@ -472,16 +472,16 @@
     s.answered(60, 2, 160 * MS);
     let part = met(&s, 0);
     for server in part.keys() {
-        s.list(false, &[Listed { ready: false, ..harness::server(*server, 0) }]);
+        s.list(false, &[DiscoveredServer { ready: false, ..harness::server(*server, 0) }]);
     }
     let from = s.notes.out.len();
     s.answered(30, 2, 160 * MS);
     assert!(s.notes.out.len() == from + 30 && met(&s, from).keys().all(|other| !part.contains_key(other)));
     // Those refuse: their table is full. Each RPC goes on to another server, and none is lost.
     let rpc = s.rpc_of(77, 2, 0.1, 4 * SEC);
-    s.end(rpc, End::NoConnection);
-    s.end(rpc, End::Full);
-    s.end(rpc, End::Ok);
+    s.end(rpc, CallOutcome::NoConnection);
+    s.end(rpc, CallOutcome::Full);
+    s.end(rpc, CallOutcome::Ok);
     assert_eq!((s.sent(rpc), s.notes.pushed.len(), s.notes.aborted.len()), (3, 0, 0));
 }
 
@@ -497,7 +497,7 @@
             let rpc = s.rpc_of(5000 + customer, 2, 0.1, 4 * SEC);
             s.told[1] = if s.notes.out.last().expect("sent").1 == full { held } else { 1.0 };
             s.pass(160 * MS);
-            s.end(rpc, End::Ok);
+            s.end(rpc, CallOutcome::Ok);
         }
         let mut others = met(&s, from);
         let full = others.remove(&full).unwrap_or(0);
@@ -513,14 +513,16 @@
     let mut s = one_of_a_hundred(7);
     s.answered(60, 2, 160 * MS);
     let out: Vec<u32> = (0..4).map(|customer| s.rpc_of(5000 + customer, 2, 0.1, 4 * SEC)).collect();
-    let gone: Vec<Listed> = (1..=36).map(|id| Listed { ready: false, ..server(id, id as u16 % 2) }).collect();
-    let cold = |now| (61..=96).map(move |id| Listed { came_up: now, ..server(id, id as u16 % 2) });
+    let gone: Vec<DiscoveredServer> =
+        (1..=36).map(|id| DiscoveredServer { ready: false, ..server(id, id as u16 % 2) }).collect();
+    let cold =
+        |now| (61..=96).map(move |id| DiscoveredServer { started_at: now, ..server(id, id as u16 % 2) });
     s.list(false, &gone);
     s.list(false, &cold(s.notes.now).collect::<Vec<_>>());
     // Half of those out are reset, the others answered: none twice, none not at all.
     s.pass(100 * MS);
     for (at, rpc) in out.iter().enumerate() {
-        s.end(*rpc, if at % 2 == 0 { End::Reset } else { End::Ok });
+        s.end(*rpc, if at % 2 == 0 { CallOutcome::Reset } else { CallOutcome::Ok });
     }
     assert!(
         s.notes.aborted == [out[0], out[2]] && s.notes.pushed.is_empty(),
@@ -543,7 +545,7 @@
             let slow: Vec<u32> =
                 (0..4).map(|rpc| s.rpc_of(5000 + 4 * batch + rpc, 2, 0.1, 4 * SEC)).collect();
             s.pass(700 * MS);
-            slow.iter().for_each(|rpc| s.end(*rpc, End::Ok));
+            slow.iter().for_each(|rpc| s.end(*rpc, CallOutcome::Ok));
         }
         let slow = met(&s, 60);
         s.rpc_of(5999, 2, 0.1, 4 * SEC); // with nothing open nobody is crowded
@@ -563,12 +565,12 @@
         s.answered(quick, 2, MS);
         let rpc = s.rpc_of(77, 2, 0.1, 4 * SEC);
         s.pass(1100 * MS);
-        s.end(rpc, End::Ok);
+        s.end(rpc, CallOutcome::Ok);
         s.answered(8, 2, MS); // the last answers are quick again
         let patient = s.rpc_of(2000 + u64::from(quick), 0, 0.1, 4 * SEC);
         let sent = s.sent(patient);
         if sent == 1 {
-            s.end(patient, End::Ok);
+            s.end(patient, CallOutcome::Ok);
         }
         sent
     };
@@ -584,10 +586,10 @@
     for customer in 0..180 {
         let rpc = s.rpc_of(5000 + customer, 0, 0.1, 4 * SEC);
         while s.notes.out.last().is_some_and(|out| out.0 == rpc && out.1 == bad) {
-            s.end(rpc, End::Error);
+            s.end(rpc, CallOutcome::Error);
         }
         s.pass(160 * MS);
-        s.end(rpc, End::Ok);
+        s.end(rpc, CallOutcome::Ok);
     }
     let mut good = met(&s, from);
     let bad = good.remove(&bad).unwrap_or(0);
@@ -625,7 +627,7 @@
     for late in 0..30 {
         let rpc = s.rpc_of(900 + late, 2, 0.1, 9 * SEC);
         s.pass(1200 * MS);
-        s.end(rpc, End::Ok);
+        s.end(rpc, CallOutcome::Ok);
     }
     s.answered(60, 2, 20 * MS);
     s.rpc_of(50, 0, 0.1, 4 * SEC);
@@ -641,12 +643,12 @@
     let mut s = story("extra.hasCounter=true").with_servers(3);
     s.pass(700 * MS);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 3.5); // the others draw a little, so that the next finds room without a word
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 3.5); // the others draw a little, so that the next finds room without a word
+    s.end(first, CallOutcome::Ok);
     let window = s.notes.counts[0].0;
     s.pass(1010 * MS);
     s.rpc(2, 6.0);
-    s.counted(0, End::Ok, 6.0);
+    s.counted(0, CallOutcome::Ok, 6.0);
     s.pass(1010 * MS);
     s.rpc(2, 1.0);
     let reads = s.notes.counts.iter().filter(|count| count.1 == 0.0);
@@ -658,7 +660,7 @@
     let mut s = story("").with_servers(3);
     let rpc = s.rpc(2, 1.0);
     s.settled = 4.0;
-    s.end(rpc, End::Ok);
+    s.end(rpc, CallOutcome::Ok);
     let next = s.rpc(2, 2.0);
     assert_eq!(s.sent(next), 0, "1 of 5 units is left");
 }
@@ -668,7 +670,7 @@
     let mut s = story("extra.hasCounter=true balancers=32").with_servers(20);
     for customer in 50..52 {
         s.rpc_of(customer, 2, 1.0, 4 * SEC);
-        s.counted(0, End::TimedOut, 0.0);
+        s.counted(0, CallOutcome::TimedOut, 0.0);
         s.pass(30 * MS);
     }
     s
@@ -679,7 +681,7 @@
     let mut s = crowded_counter();
     s.pass(700 * MS);
     s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 8.0); // 2 units are left, 4 in the split
+    s.counted(0, CallOutcome::Ok, 8.0); // 2 units are left, 4 in the split
     let ids: Vec<u32> = (0..5).map(|_| s.rpc(2, 1.0)).collect();
     let sent: Vec<usize> = ids.iter().map(|id| s.sent(*id)).collect();
     assert_eq!(sent, [1, 1, 0, 0, 0], "what is left, but no more");
@@ -692,7 +694,7 @@
         s.rpc_of(customer, 2, 1.0, 4 * SEC);
         s.pass(MS);
         if customer % 4 == 3 && !s.notes.counts.is_empty() {
-            s.counted(0, End::TimedOut, 0.0); // a line longer than the time-out answers nobody
+            s.counted(0, CallOutcome::TimedOut, 0.0); // a line longer than the time-out answers nobody
         }
     }
     assert!(s.notes.counts.len() < 60, "{} calls", s.notes.counts.len());
@@ -712,7 +714,7 @@
 fn a_customer_with_rpcs_waiting_is_counted_first() {
     let mut s = crowded_counter();
     s.rpc(2, 4.0);
-    s.counted(0, End::Ok, 8.0); // 2 units are left, 1 in the split
+    s.counted(0, CallOutcome::Ok, 8.0); // 2 units are left, 1 in the split
     s.rpc_of(11, 2, 1.0, 4 * SEC); // its add waits for a free call, and nobody for it
     let claim = s.rpc(2, 2.0);
     let before = s.notes.counts.len();
@@ -727,8 +729,8 @@
     assert_eq!(s.sent(out), 1);
     // The new settings allow one call-out only and a tenth of the quota.
     let text = harness::settings("ceilings.attemptsCap=1 tariffs.0.perSecond=1 tariffs.0.depth=1");
-    s.brain.settle(s.notes.now, text);
-    s.end(out, End::NoConnection);
+    s.brain.update_settings(s.notes.now, text);
+    s.end(out, CallOutcome::NoConnection);
     s.pass(100 * MS);
     assert_eq!(s.sent(out), 2, "it came in when further call-outs were allowed");
     let next: Vec<u32> = (0..4).map(|_| s.rpc(2, 1.0)).collect();
@@ -738,11 +740,11 @@
     );
     let one = s.rpc_of(77, 2, 0.4, SEC);
     assert_eq!(s.sent(one), 1);
-    s.end(one, End::NoConnection);
+    s.end(one, CallOutcome::NoConnection);
     s.pass(100 * MS);
     assert_eq!(s.sent(one), 1, "what came in later has one call-out");
     // Back: the quota is there again, filled as it was drawn.
-    s.brain.settle(s.notes.now, harness::settings(""));
+    s.brain.update_settings(s.notes.now, harness::settings(""));
     s.pass(2 * SEC);
     let again: Vec<u32> = (0..4).map(|_| s.rpc(2, 1.0)).collect();
     assert!(again.iter().all(|id| s.sent(*id) == 1));
@@ -766,12 +768,12 @@
         let mut s = story("extra.hasCounter=true balancers=32").with_servers(20);
         s.pass(800 * MS);
         let first = s.rpc(2, 1.0);
-        s.counted(0, End::Ok, 8.0); // 7 of others in 0.8 s, 5 a second at the least
-        s.end(first, End::Ok);
+        s.counted(0, CallOutcome::Ok, 8.0); // 7 of others in 0.8 s, 5 a second at the least
+        s.end(first, CallOutcome::Ok);
         s.pass(passes * MS);
         let (large, calls) = (s.rpc(2, 6.0), s.notes.counts.len());
         assert_eq!(s.sent(large), 0, "the store is not full for being out of sight: {passes}");
-        s.brain.client_left(large);
+        s.brain.on_client_left(large);
         s.rpc(2, 1.0);
         assert!(s.notes.counts.len() > calls, "and for what may be there the counter is asked: {passes}");
     }
@@ -788,7 +790,7 @@
     // The same where all leave but one: the line is short again.
     let mut s = story("tariffs.0.perSecond=1000 tariffs.0.depth=1000").with_servers(0);
     let ids: Vec<u32> = (0..40).map(|_| s.rpc(2, 0.1)).collect();
-    ids[..39].iter().for_each(|id| s.brain.client_left(*id));
+    ids[..39].iter().for_each(|id| s.brain.on_client_left(*id));
     s.list(true, &[harness::server(1, 0)]);
     s.pass(40 * MS);
     assert_eq!((s.notes.out.len(), s.sent(ids[39])), (1, 1));
@@ -800,8 +802,8 @@
     s.width = width;
     s.pass(800 * MS);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 10.0);
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 10.0);
+    s.end(first, CallOutcome::Ok);
     s
 }
 
@@ -812,7 +814,7 @@
         s.pass(rests * MS);
         let large = s.rpc(2, 4.0);
         assert_eq!(s.sent(large), 0, "the counter is asked first: {rests}");
-        s.counted(0, End::Ok, 4.0); // nobody else drew in this window
+        s.counted(0, CallOutcome::Ok, 4.0); // nobody else drew in this window
         assert_eq!(s.sent(large), 1, "{rests}");
     }
 }
@@ -823,7 +825,7 @@
     s.pass(30 * SEC);
     for customer in 60..62 {
         s.rpc_of(customer, 2, 1.0, 4 * SEC); // the next call takes the gap after these
-        s.counted(0, End::TimedOut, 0.0);
+        s.counted(0, CallOutcome::TimedOut, 0.0);
     }
     let large = s.rpc(2, 8.0);
     assert_eq!(s.sent(large), 1, "of 7 RPCs a second of one other gateway it would have met some in 30 s");
@@ -836,7 +838,7 @@
         s.pass(rests * MS);
         for customer in 60..62 {
             s.rpc_of(customer, 2, 1.0, 4 * SEC);
-            s.counted(0, End::TimedOut, 0.0);
+            s.counted(0, CallOutcome::TimedOut, 0.0);
         }
         let large = s.rpc(2, 8.0);
         assert_eq!(s.sent(large), 0, "each of 299 others meets the customer once in 40 s: {rests}");
@@ -847,9 +849,9 @@
 fn units_of_an_rpc_whose_attempts_were_never_written_are_given_back() {
     let mut s = story("").with_servers(3);
     let whole = s.rpc(2, 5.0); // all of this gateway's part
-    s.end(whole, End::NoConnection);
-    s.end(whole, End::NotSent);
-    s.end(whole, End::NoConnection); // the last attempt allowed
+    s.end(whole, CallOutcome::NoConnection);
+    s.end(whole, CallOutcome::NotSent);
+    s.end(whole, CallOutcome::NoConnection); // the last attempt allowed
     assert_eq!(s.notes.pushed.len(), 1, "nothing ran: pushed back");
     let next = s.rpc(2, 5.0);
     assert_eq!(s.sent(next), 1, "nobody counted the first");
@@ -857,10 +859,15 @@
 
 #[test]
 fn units_of_an_rpc_that_its_client_left_before_a_byte_was_written_are_given_back() {
-    for (how, back) in [(End::NotSent, 1), (End::NoConnection, 1), (End::Withdrawn, 0), (End::Full, 0)] {
+    for (how, back) in [
+        (CallOutcome::NotSent, 1),
+        (CallOutcome::NoConnection, 1),
+        (CallOutcome::Withdrawn, 0),
+        (CallOutcome::Full, 0),
+    ] {
         let mut s = story("").with_servers(3);
         let whole = s.rpc(2, 5.0);
-        s.brain.client_left(whole);
+        s.brain.on_client_left(whole);
         s.end(whole, how);
         let next = s.rpc(2, 5.0);
         assert_eq!(s.sent(next), back, "{how:?}");
@@ -871,10 +878,10 @@
 fn units_of_an_rpc_with_one_attempt_written_stay_drawn() {
     let mut s = story("").with_servers(3);
     let whole = s.rpc(2, 5.0);
-    s.end(whole, End::Full); // written, and turned away
-    s.end(whole, End::NoConnection);
-    s.brain.client_left(whole);
-    s.end(whole, End::NotSent);
+    s.end(whole, CallOutcome::Full); // written, and turned away
+    s.end(whole, CallOutcome::NoConnection);
+    s.brain.on_client_left(whole);
+    s.end(whole, CallOutcome::NotSent);
     let next = s.rpc(2, 5.0);
     assert_eq!(s.sent(next), 0, "the first attempt was sent on");
 }
@@ -887,32 +894,35 @@
         customer: 9,
         service,
         units: 0.1,
-        width: 2,
+        gateway_count: 2,
         deadline: now + 4 * SEC,
         ..Arrival::default()
     };
-    s.brain.rpc(&mut s.notes, now, &arrival);
+    s.brain.on_arrival(&mut s.notes, now, &arrival);
 }
 
 #[test]
 fn an_rpc_goes_only_to_servers_of_its_service_also_as_they_come_and_go() {
     let mut s = story("").with_servers(3);
-    s.list(false, &[Listed { service: 7, ..server(11, 0) }, Listed { service: 8, ..server(12, 0) }]);
+    s.list(
+        false,
+        &[DiscoveredServer { service: 7, ..server(11, 0) }, DiscoveredServer { service: 8, ..server(12, 0) }],
+    );
     for (id, service, to) in [(1001, 7, 11), (1002, 8, 12), (1003, 7, 11)] {
         rpc_for(&mut s, id, service);
         assert_eq!(s.notes.out.last().unwrap().1, to);
     }
     // The server of 7 goes over to 8: what asks for 7 waits, until another comes.
-    s.list(false, &[Listed { service: 8, ..server(11, 0) }]);
+    s.list(false, &[DiscoveredServer { service: 8, ..server(11, 0) }]);
     let out = s.notes.out.len();
     rpc_for(&mut s, 1004, 7);
     s.pass(100 * MS);
     assert_eq!(s.notes.out.len(), out);
-    s.list(false, &[Listed { service: 7, ..server(13, 0) }]);
+    s.list(false, &[DiscoveredServer { service: 7, ..server(13, 0) }]);
     s.pass(100 * MS);
     assert_eq!(s.notes.out.last().unwrap().1, 13);
     // A whole list without it: nothing more goes there.
-    s.list(true, &[server(1, 0), Listed { service: 8, ..server(12, 0) }]);
+    s.list(true, &[server(1, 0), DiscoveredServer { service: 8, ..server(12, 0) }]);
     let out = s.notes.out.len();
     rpc_for(&mut s, 1005, 7);
     s.pass(100 * MS);
@@ -926,8 +936,8 @@
     let mut s = crowded_counter();
     s.pass(700 * MS);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 8.0); // 2 units are left
-    s.end(first, End::Ok);
+    s.counted(0, CallOutcome::Ok, 8.0); // 2 units are left
+    s.end(first, CallOutcome::Ok);
     let before = s.notes.counts.len();
     let claim = s.rpc(2, 2.4);
     while s.notes.counts.len() == before {
@@ -935,7 +945,7 @@
     }
     let calls = s.notes.counts.len();
     assert_eq!(s.notes.counts[calls - 1].1, 2.4, "it was asked for");
-    s.counted(0, End::Ok, 14.0);
+    s.counted(0, CallOutcome::Ok, 14.0);
     s.pass(SEC / 2);
     assert_eq!((s.sent(claim), s.notes.counts.len()), (0, calls), "no call is made to give it back");
 }
@@ -944,17 +954,17 @@
 fn a_settled_difference_makes_no_call_of_its_own_and_goes_with_the_next() {
     let mut s = story("extra.hasCounter=true").with_servers(20);
     let first = s.rpc(2, 1.0);
-    s.counted(0, End::Ok, 1.0);
+    s.counted(0, CallOutcome::Ok, 1.0);
     s.settled = 1.5;
-    s.end(first, End::Ok);
+    s.end(first, CallOutcome::Ok);
     let calls = s.notes.counts.len();
     s.rpc(2, 8.0); // nearly the last units: claimed
     let told: f64 = s.notes.counts[calls..].iter().map(|count| count.1).sum();
     assert_eq!(told, 8.5, "what it really counted goes with the claim");
-    s.counted(0, End::Ok, 9.5);
+    s.counted(0, CallOutcome::Ok, 9.5);
     let calls = s.notes.counts.len();
     s.settled = 8.5;
-    s.end(2, End::Ok);
+    s.end(2, CallOutcome::Ok);
     s.pass(2 * SEC);
     assert_eq!(s.notes.counts.len(), calls, "half a unit more is not worth a call");
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,8 +1,8 @@
 //! What the module's stories share: a tiny host that writes down what the module asks for and rings its timers in order.
 #![allow(dead_code)] // each test uses a part of it
 
-use martenramp::admission::Brain;
-use martenramp::host::{Arrival, End, Ended, Host, Listed, Nanos, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Host, Nanos, Settings};
 
 pub const MS: Nanos = 1_000_000;
 pub const SEC: Nanos = 1_000 * MS;
@@ -29,27 +29,27 @@
 }
 
 impl Host for Notes {
-    fn call_out(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos) {
         self.before.push(before);
         self.out.push((rpc, server, limit, self.now));
     }
-    fn push_back(&mut self, rpc: u32, come_back: Nanos) {
+    fn reject(&mut self, rpc: u32, come_back: Nanos) {
         self.pushed.push((rpc, come_back, self.now));
     }
     fn abort(&mut self, rpc: u32) {
         self.aborted.push(rpc);
     }
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         // Like the simulator's wire, this clock counts whole microseconds.
         self.timers.push((self.now + after / 1000 * 1000, token));
     }
-    fn count(&mut self, name: u64, add: f64, _forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, _forget: Nanos) {
         self.counts.push((name, add));
     }
 }
 
 pub struct Story {
-    pub brain: Brain,
+    pub brain: AdmissionController,
     pub notes: Notes,
     /// What the next ends settle.
     pub settled: f64,
@@ -70,7 +70,7 @@
 pub fn gateway(seed: u64, extra: &str) -> Story {
     let notes = Notes { now: START, ..Notes::default() };
     Story {
-        brain: Brain::new(seed, settings(extra)),
+        brain: AdmissionController::new(seed, settings(extra)),
         notes,
         settled: 0.0,
         told: Vec::new(),
@@ -90,27 +90,27 @@
     lines.filter_map(|line| line.trim().split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
 
-pub fn server(server: u32, zone: u16) -> Listed {
-    Listed {
+pub fn server(server: u32, zone: u16) -> DiscoveredServer {
+    DiscoveredServer {
         server,
         key: u64::from(server),
         zone,
         cell: server as u16,
         ready: true,
         weight: 1.0,
-        ..Listed::default()
+        ..DiscoveredServer::default()
     }
 }
 
 impl Story {
     pub fn with_servers(mut self, count: u32) -> Self {
-        let list: Vec<Listed> = (1..=count).map(|id| server(id, id as u16 % 2)).collect();
+        let list: Vec<DiscoveredServer> = (1..=count).map(|id| server(id, id as u16 % 2)).collect();
         self.list(true, &list);
         self
     }
 
-    pub fn list(&mut self, whole: bool, list: &[Listed]) {
-        self.brain.listed(self.notes.now, whole, list);
+    pub fn list(&mut self, whole: bool, list: &[DiscoveredServer]) {
+        self.brain.on_server_list(self.notes.now, whole, list);
     }
 
     /// An RPC of customer 9, who comes in through two gateways.
@@ -127,10 +127,10 @@
             customer,
             deadline,
             units,
-            width: self.width,
+            gateway_count: self.width,
             ..Arrival::default()
         };
-        self.brain.rpc(&mut self.notes, arrival.deadline - left, &arrival);
+        self.brain.on_arrival(&mut self.notes, arrival.deadline - left, &arrival);
         self.next
     }
 
@@ -143,34 +143,34 @@
             }
             let (at, token) = self.notes.timers.swap_remove(place);
             self.notes.now = at;
-            self.brain.woke(&mut self.notes, at, token);
+            self.brain.on_timer(&mut self.notes, at, token);
         }
         self.notes.now = until;
     }
 
     /// Ends the last call-out of an RPC.
-    pub fn end(&mut self, rpc: u32, how: End) {
+    pub fn end(&mut self, rpc: u32, how: CallOutcome) {
         let outs: Vec<_> = self.notes.out.iter().filter(|out| out.0 == rpc).collect();
         let (nth, last) = (outs.len() as u16 - 1, outs[outs.len() - 1]);
-        let ended = Ended {
+        let ended = AttemptResult {
             rpc,
             server: last.1,
-            nth,
-            how,
-            took: self.notes.now - last.3,
-            closed: how == End::Ok,
-            settled: self.settled,
-            load: self.told.clone(),
+            attempt: nth,
+            outcome: how,
+            duration: self.notes.now - last.3,
+            rpc_answered: how == CallOutcome::Ok,
+            settled_units: self.settled,
+            load_report: self.told.clone(),
         };
         let now = self.notes.now;
-        self.brain.ended(&mut self.notes, now, &ended);
+        self.brain.on_attempt_end(&mut self.notes, now, &ended);
     }
 
     /// The counter answers the call made `back` calls before the last.
-    pub fn counted(&mut self, back: usize, how: End, total: f64) {
+    pub fn counted(&mut self, back: usize, how: CallOutcome, total: f64) {
         let name = self.notes.counts[self.notes.counts.len() - 1 - back].0;
         let now = self.notes.now;
-        self.brain.counted(&mut self.notes, now, name, how, total);
+        self.brain.on_counter_reply(&mut self.notes, now, name, how, total);
     }
 
     /// RPCs one after another, each answered ok after a while.
@@ -178,7 +178,7 @@
         for customer in 0..u64::from(count) {
             let rpc = self.rpc_of(1000 + customer, method, 0.1, 4 * SEC);
             self.pass(after);
-            self.end(rpc, End::Ok);
+            self.end(rpc, CallOutcome::Ok);
         }
     }
 
--- a/tests/liveness.rs
+++ b/tests/liveness.rs
@@ -4,7 +4,7 @@
 mod harness;
 
 use harness::{MS, SEC, START, Story, gateway, server};
-use martenramp::host::{End, Listed, Nanos};
+use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use martenramp::subsetting::{self, Endpoint};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -17,9 +17,9 @@
 const SERVERS: u32 = 40;
 
 /// How a server answers a call-out: after how long, and with what; nothing is said by one that hangs.
-type Answer = Option<(Nanos, End)>;
+type Answer = Option<(Nanos, CallOutcome)>;
 
-const QUICK: Answer = Some((40 * MS, End::Ok));
+const QUICK: Answer = Some((40 * MS, CallOutcome::Ok));
 
 /// One gateway of thirty, its servers and the counter, as a script has them.
 struct Day {
@@ -69,13 +69,13 @@
             } else if now == end {
                 let Reverse((_, rpc, ok, refused)) = self.ends.pop().unwrap();
                 self.story.notes.now = now;
-                let how = if refused { End::NoConnection } else { End::TimedOut };
-                self.story.end(rpc, if ok { End::Ok } else { how });
+                let how = if refused { CallOutcome::NoConnection } else { CallOutcome::TimedOut };
+                self.story.end(rpc, if ok { CallOutcome::Ok } else { how });
             } else if now == count {
                 let Reverse((_, place)) = self.counts.pop().unwrap();
                 self.story.notes.now = now;
                 let back = self.story.notes.counts.len() - 1 - place;
-                let how = if self.counts_well { End::Ok } else { End::TimedOut };
+                let how = if self.counts_well { CallOutcome::Ok } else { CallOutcome::TimedOut };
                 self.story.counted(back, how, 1.0);
             } else {
                 self.story.notes.now = now;
@@ -92,11 +92,17 @@
         for (rpc, id, limit, now) in self.story.notes.out[self.seen..].iter().copied() {
             let limit = if limit == 0 { 2 * SEC } else { limit };
             let answer = answer(id, now);
-            if answer.is_none_or(|answer| answer.1 != End::NoConnection) {
+            if answer.is_none_or(|answer| answer.1 != CallOutcome::NoConnection) {
                 self.reached.push(now);
             }
-            let (after, how) = answer.filter(|answer| answer.0 < limit).unwrap_or((limit, End::TimedOut));
-            self.ends.push(Reverse((now + after, rpc, how == End::Ok, how == End::NoConnection)));
+            let (after, how) =
+                answer.filter(|answer| answer.0 < limit).unwrap_or((limit, CallOutcome::TimedOut));
+            self.ends.push(Reverse((
+                now + after,
+                rpc,
+                how == CallOutcome::Ok,
+                how == CallOutcome::NoConnection,
+            )));
         }
         self.seen = self.story.notes.out.len();
         for place in self.asked..self.story.notes.counts.len() {
@@ -137,13 +143,13 @@
 fn a_gateway_whose_few_samples_all_say_slow_goes_on() {
     for seed in 0..10 {
         let mut day = Day::start(seed, "tariffs.0.perSecond=0");
-        day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| Some((1500 * MS, End::Ok)));
+        day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| Some((1500 * MS, CallOutcome::Ok)));
         let from = day.story.notes.now;
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.serves(from);
         // Slow for good: it sends less, but goes on.
         let from = day.story.notes.now;
-        day.play(12 * SEC, 12.0, &[0, 1, 2], |_, _| Some((1500 * MS, End::Ok)));
+        day.play(12 * SEC, 12.0, &[0, 1, 2], |_, _| Some((1500 * MS, CallOutcome::Ok)));
         day.serves(from);
     }
 }
@@ -152,7 +158,7 @@
 fn patient_rpcs_alone_are_not_braked_for_good_by_what_urgent_ones_met() {
     for seed in 0..10 {
         let mut day = Day::start(seed, "tariffs.0.perSecond=0");
-        day.play(4 * SEC, 20.0, &[1, 2], |_, _| Some((1100 * MS, End::Ok)));
+        day.play(4 * SEC, 20.0, &[1, 2], |_, _| Some((1100 * MS, CallOutcome::Ok)));
         let from = day.story.notes.now;
         day.play(10 * SEC, 6.0, &[0], |_, _| QUICK);
         day.serves(from);
@@ -165,7 +171,7 @@
     assert!(part.len() > 15 && part.len() < 35);
     for seed in 0..10 {
         for method in 0..3 {
-            for answer in [Some((MS, End::NoConnection)), None] {
+            for answer in [Some((MS, CallOutcome::NoConnection)), None] {
                 let mut day = Day::start(seed, "tariffs.0.perSecond=0");
                 day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
                 let from = day.story.notes.now;
@@ -198,8 +204,8 @@
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.serves(from);
         // Likewise where all refuse, and the list then says that nothing changed.
-        day.play(6 * SEC, 6.0, &[0, 1, 2], |_, _| Some((MS, End::NoConnection)));
-        let list: Vec<Listed> = (1..=SERVERS).map(|id| server(id, id as u16 % 2)).collect();
+        day.play(6 * SEC, 6.0, &[0, 1, 2], |_, _| Some((MS, CallOutcome::NoConnection)));
+        let list: Vec<DiscoveredServer> = (1..=SERVERS).map(|id| server(id, id as u16 % 2)).collect();
         day.story.list(true, &list);
         let from = day.story.notes.now;
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
