--- a/crates/gateway/tests/cuts.rs
+++ b/crates/gateway/tests/cuts.rs
@@ -7,7 +7,7 @@
 use gateway::driver::ConnectionEnd;
 use gateway::list::{ListUpdate, Watch};
 use gateway::servers::{Response, ServerConnection};
-use martenramp::host::End;
+use martenramp::host::CallOutcome;
 use standins::scripted::{
     Peer, Program, SEC, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
 };
@@ -205,7 +205,7 @@
         let (some, left) = fed(&cuts(&mut chance, short));
         assert_eq!(some[..], whole[..some.len()], "{round}: {short} of {text:?}");
         assert_eq!(some.len() + left.len(), calls as usize, "each call ends once");
-        assert!(left.iter().all(|end| end.1 == End::Reset));
+        assert!(left.iter().all(|end| end.1 == CallOutcome::Reset));
     }
 }
 
