--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -86,7 +86,10 @@
     looked_at(text, ended.then_some(ConnectionEnd::Closed))
 }
 
-fn looked_at(text: &str, ended: Option<ConnectionEnd>) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
+fn looked_at(
+    text: &str,
+    ended: Option<ConnectionEnd>,
+) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
     let answer = ServerConnection::new(1, 0).parse_response(text.as_bytes(), ended)?;
     Ok(answer.map(|answer| {
         let body = match &answer.body {
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -88,7 +88,11 @@
 }
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
-pub fn batches(told: ListUpdate, servers: &mut Servers, directory: &mut NameIds) -> Vec<Vec<DiscoveredServer>> {
+pub fn batches(
+    told: ListUpdate,
+    servers: &mut Servers,
+    directory: &mut NameIds,
+) -> Vec<Vec<DiscoveredServer>> {
     let mut changes = ListDiff::new(told);
     let mut lists = Vec::new();
     while !changes.is_done() {
