--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -4,8 +4,8 @@
 //!
 //! Run with `cargo bench -p martenramp-gateway --bench intake`.
 
-use gateway::changes::{Change, Changes, WORK_A_TURN};
 use gateway::list::{self, ListUpdate, Watch};
+use gateway::list_diff::{ListDiff, ServerChange, WORK_PER_TURN};
 use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use gateway::services::Services;
@@ -111,11 +111,11 @@
 
 impl ListState {
     fn apply(&mut self, update: ListUpdate, work_per_turn: usize) -> Turns {
-        let (mut changes, mut turns) = (Changes::new(update), Turns { count: 0, longest: 0.0 });
+        let (mut changes, mut turns) = (ListDiff::new(update), Turns { count: 0, longest: 0.0 });
         while !changes.is_done() {
             let (mut work, start) = (work_per_turn, processor_time());
-            while let Some(batch) = changes.next(&self.servers, &mut self.name_ids, &mut work) {
-                for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+            while let Some(batch) = changes.next_batch(&self.servers, &mut self.name_ids, &mut work) {
+                for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
                     match address {
                         Some(address) => drop(self.servers.upsert(&listed, address)),
                         None => drop(self.servers.delist(listed.key)),
@@ -170,11 +170,11 @@
         [change(&whole_list, 7, 8, false), change(&whole_list, 0, size.min(4_700), true)];
     let first = measure(|| state.apply(whole_list, usize::MAX));
     print_turns_row(size, "first list", &first);
-    print_turns_row(size, "one drains", &measure(|| state.apply(drain, WORK_A_TURN)));
-    print_turns_row(size, "4,700 gone", &measure(|| state.apply(zone_gone, WORK_A_TURN)));
-    print_turns_row(size, "back", &measure(|| state.apply(same_list, WORK_A_TURN)));
+    print_turns_row(size, "one drains", &measure(|| state.apply(drain, WORK_PER_TURN)));
+    print_turns_row(size, "4,700 gone", &measure(|| state.apply(zone_gone, WORK_PER_TURN)));
+    print_turns_row(size, "back", &measure(|| state.apply(same_list, WORK_PER_TURN)));
     let unchanged = list_update(size);
-    print_turns_row(size, "nothing new", &measure(|| state.apply(unchanged, WORK_A_TURN)));
+    print_turns_row(size, "nothing new", &measure(|| state.apply(unchanged, WORK_PER_TURN)));
 }
 
 fn main() {
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -2,10 +2,10 @@
 //! writing of responses.
 
 use crate::config::Config;
-use crate::guard::Effect;
+use crate::eviction::IdleState;
+use crate::guard::RetrySafety;
 use crate::http::{self, BodyLength, MAX_BODY_LEN, MAX_HEAD_LEN, MAX_HEADERS, MessageError};
 use crate::phase::Phase;
-use crate::room::Idle;
 use martenramp::host::Nanos;
 use std::collections::VecDeque;
 use std::io::Write;
@@ -95,19 +95,19 @@
 impl Client {
     /// Every phase change goes through here.
     pub fn set_phase(&mut self, to: Phase, now: Nanos) {
-        debug_assert!(self.phase.may_become(&to), "{:?} to {to:?}", self.phase);
+        debug_assert!(self.phase.can_become(&to), "{:?} to {to:?}", self.phase);
         self.phase = to;
         self.state_since = now;
     }
 
     /// Returns what the connection is doing if no response is owed on it.
-    pub fn idle_state(&self) -> Option<Idle> {
+    pub fn idle_state(&self) -> Option<IdleState> {
         match self.phase {
-            Phase::Reading if self.partial => Some(Idle::Paused(self.state_since)),
-            Phase::Reading if self.served == 0 => Some(Idle::Silent(self.state_since)),
-            Phase::Reading => Some(Idle::Resting(self.state_since)),
-            Phase::Ending { .. } => Some(Idle::Ending(self.state_since)),
-            Phase::Waiting { .. } | Phase::Answering { .. } => None,
+            Phase::Reading if self.partial => Some(IdleState::MidMessage(self.state_since)),
+            Phase::Reading if self.served == 0 => Some(IdleState::Silent(self.state_since)),
+            Phase::Reading => Some(IdleState::KeepAlive(self.state_since)),
+            Phase::HalfClosed { .. } => Some(IdleState::HalfClosed(self.state_since)),
+            Phase::AwaitingAnswer { .. } | Phase::WritingAnswer { .. } => None,
         }
     }
 
@@ -204,14 +204,14 @@
         .position(|known| known.name == method_name)
         .ok_or(MessageError(400, "unknown-method"))?;
     let effect = config.methods[number].effect;
-    if is_get != (effect == Effect::Idempotent) {
+    if is_get != (effect == RetrySafety::Idempotent) {
         // A method that is not idempotent must not be sent as a GET, nor an idempotent one as a POST.
         return Err(MessageError(405, "bad-method"));
     }
     let plan_name = http::single_header(headers, "x-contract").ok_or(MessageError(400, "no-plan"))?;
     let plan =
         config.plans.iter().position(|known| known == plan_name).ok_or(MessageError(400, "unknown-plan"))?;
-    if matches!(effect, Effect::Deduplicated { .. })
+    if matches!(effect, RetrySafety::Deduplicated { .. })
         && http::single_header(headers, "idempotency-key").is_none()
     {
         // Without the key the server can't recognise a repeat.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -2,11 +2,11 @@
 //! file leaves out.
 
 use crate::counter;
-use crate::guard::Effect;
+use crate::guard::RetrySafety;
 use crate::services::Services;
 use crate::shutdown::longest_deadline;
 use agreement::Nanos;
-use agreement::terms::Terms;
+use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use martenramp::host::Settings;
 use serde_json::Value;
@@ -34,13 +34,13 @@
     pub max_units: f64,
     pub gateways: u32,
     /// Present if the settings have a version.
-    pub agreement: Option<AgreementConfig>,
+    pub agreement: Option<SettingsAgreement>,
 }
 
 /// The version of the settings, and how gateways agree on it.
-pub struct AgreementConfig {
+pub struct SettingsAgreement {
     pub version: Version,
-    pub terms: Terms,
+    pub terms: AgreementConfig,
     /// Address on which datagrams from other gateways are received, and address to which this one
     /// sends datagrams for all of them.
     pub listen: SocketAddr,
@@ -61,7 +61,7 @@
 /// A method's name and how often it may run.
 pub struct Method {
     pub name: String,
-    pub effect: Effect,
+    pub effect: RetrySafety,
 }
 
 impl Method {
@@ -69,12 +69,12 @@
         let value = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
         let window = value("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
         let effect = match value("idempotency") {
-            Some("free") => Effect::Idempotent,
-            Some("guarded") => Effect::Deduplicated {
+            Some("free") => RetrySafety::Idempotent,
+            Some("guarded") => RetrySafety::Deduplicated {
                 window: (f64::max(window, 0.0) * 1e9) as Nanos,
-                anywhere: value("group") == Some("all"),
+                all_servers: value("group") == Some("all"),
             },
-            _ => Effect::Once,
+            _ => RetrySafety::AtMostOnce,
         };
         Method { name, effect }
     }
@@ -252,7 +252,7 @@
     document: &Value,
     settings: &Settings,
     address: &impl Fn(&str, &str) -> Result<SocketAddr, String>,
-) -> Result<AgreementConfig, String> {
+) -> Result<SettingsAgreement, String> {
     let known_keys = ["version", "starts_ms", "ground", "voters", "lease", "clock", "clock_off_ms", "fresh"];
     let unknown_key =
         section.as_object().into_iter().flatten().find(|(name, _)| !known_keys.contains(&name.as_str()));
@@ -270,14 +270,14 @@
             value.as_f64().filter(|number| *number > 0.0).ok_or(format!("'{name}' is not a number above 0"))
         }
     };
-    let defaults = Fallback::of(settings);
+    let defaults = Fallback::default_for(settings);
     let fallback = Fallback {
-        quota: amount(&section["ground"], "quota", defaults.quota)?,
-        gateways: amount(&section["ground"], "gateways", defaults.gateways)?,
-        attempts: amount(&section["ground"], "attempts", defaults.attempts)?,
+        quota_share: amount(&section["ground"], "quota", defaults.quota_share)?,
+        max_gateways: amount(&section["ground"], "gateways", defaults.max_gateways)?,
+        max_attempts: amount(&section["ground"], "attempts", defaults.max_attempts)?,
     };
     let voters = match &section["voters"] {
-        Value::Null => (0..DEFAULT_VOTERS.min(defaults.gateways as u32)).collect(),
+        Value::Null => (0..DEFAULT_VOTERS.min(defaults.max_gateways as u32)).collect(),
         Value::Array(list) => {
             let numbers =
                 list.iter().map(|number| number.as_u64().and_then(|number| u32::try_from(number).ok()));
@@ -286,15 +286,15 @@
         _ => return Err("'voters' is not an array".to_string()),
     };
     let nanos = |name, default| Ok::<_, String>((amount(section, name, default)?.min(3600.0) * 1e9) as Nanos);
-    let terms = Terms {
+    let terms = AgreementConfig {
         voters,
-        lease: nanos("lease", DEFAULT_LEASE_SECONDS)?,
-        clock: nanos("clock", DEFAULT_CLOCK_ERROR_SECONDS)?,
+        lease_duration: nanos("lease", DEFAULT_LEASE_SECONDS)?,
+        max_clock_error: nanos("clock", DEFAULT_CLOCK_ERROR_SECONDS)?,
     };
     let start = starts_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far in the future")?;
     // A voter's message has to stay valid until the next one arrives, also at a receiver whose
     // clock is ahead of the voter's by twice the bound.
-    if terms.lease < 4 * terms.clock {
+    if terms.lease_duration < 4 * terms.max_clock_error {
         return Err("'lease' is less than four times 'clock'".to_string());
     }
     let version = Version { number, start, fallback, settings: settings.clone() };
@@ -306,7 +306,7 @@
     let peers = address("peers_all", text("peers_all")?)?;
     let clock_offset = section["clock_off_ms"].as_i64().unwrap_or(0).saturating_mul(1_000_000);
     let fresh = section["fresh"].as_bool().unwrap_or(false);
-    Ok(AgreementConfig { version, terms, listen, peers, clock_offset, fresh })
+    Ok(SettingsAgreement { version, terms, listen, peers, clock_offset, fresh })
 }
 
 pub use martenramp::settings::flatten;
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -2,7 +2,7 @@
 //! that is fed bytes. Calls are pipelined and answered in order. Outstanding calls for one name
 //! share a connection, so that their replies keep their order.
 
-use martenramp::host::{End, Nanos};
+use martenramp::host::{CallOutcome, Nanos};
 use std::collections::VecDeque;
 use std::io::Write;
 
@@ -110,22 +110,23 @@
 
     /// Ends a call whose time limit has passed, and returns how it ended if it was still
     /// outstanding. A call that was not written has not been added.
-    pub fn time_out_call(&mut self, serial: u64) -> Option<(Call, End)> {
+    pub fn time_out_call(&mut self, serial: u64) -> Option<(Call, CallOutcome)> {
         if let Some(position) = self.waiting.iter().position(|call| call.serial == serial) {
-            return self.waiting.remove(position).map(|call| (call, End::NoConnection));
+            return self.waiting.remove(position).map(|call| (call, CallOutcome::NoConnection));
         }
         let call = self.in_flight.iter_mut().flatten().find(|call| call.serial == serial)?;
         let timed_out = *call;
         call.serial = 0; // its reply is still to come and will be ignored
-        Some((timed_out, End::TimedOut))
+        Some((timed_out, CallOutcome::TimedOut))
     }
 
     /// The connection is lost: returns all calls that were outstanding on it and how each ended.
-    pub fn disconnect(&mut self) -> Vec<(Call, End)> {
+    pub fn disconnect(&mut self) -> Vec<(Call, CallOutcome)> {
         self.is_connected = false;
-        let waiting = std::mem::take(&mut self.waiting).into_iter().map(|call| (call, End::NoConnection));
+        let waiting =
+            std::mem::take(&mut self.waiting).into_iter().map(|call| (call, CallOutcome::NoConnection));
         let in_flight =
-            std::mem::take(&mut self.in_flight).into_iter().flatten().map(|call| (call, End::Reset));
+            std::mem::take(&mut self.in_flight).into_iter().flatten().map(|call| (call, CallOutcome::Reset));
         in_flight.chain(waiting).filter(|ended| ended.0.serial != 0).collect()
     }
 
@@ -135,7 +136,7 @@
         &mut self,
         now: Nanos,
         input: &[u8],
-        ended: &mut Vec<(Call, End, f64)>,
+        ended: &mut Vec<(Call, CallOutcome, f64)>,
     ) -> Result<usize, &'static str> {
         let mut consumed = 0;
         while let Some((length, result, total)) = parse_reply(&input[consumed..])? {
@@ -145,7 +146,7 @@
                 // After an invalid reply the amount may have been added, and the rest of the stream
                 // can't be trusted. Trade-off: the other outstanding calls on this connection count
                 // as added too.
-                Some(Some(call)) if result == End::Error => {
+                Some(Some(call)) if result == CallOutcome::Error => {
                     ended.extend((call.serial != 0).then_some((call, result, total)));
                     return Err("answer-without-number");
                 }
@@ -160,22 +161,22 @@
 
 /// Parses the first complete reply and returns its length and how the call ended. A reply that is
 /// not a number gives no total, and after an unknown error the amount may have been added.
-fn parse_reply(input: &[u8]) -> Result<Option<(usize, End, f64)>, &'static str> {
+fn parse_reply(input: &[u8]) -> Result<Option<(usize, CallOutcome, f64)>, &'static str> {
     let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
         return if input.len() > MAX_REPLY_LEN { Err("answer-too-long") } else { Ok(None) };
     };
     let line = std::str::from_utf8(&input[..end]).map_err(|_| "bad-answer")?;
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|total| total.is_finite());
     let numeric_result = |total: Option<f64>| match total {
-        Some(total) => (End::Ok, total),
-        None => (End::Error, 0.0),
+        Some(total) => (CallOutcome::Ok, total),
+        None => (CallOutcome::Error, 0.0),
     };
     let (length, (result, total)) = match line.as_bytes().first() {
-        Some(b'-') if line.starts_with("-BUSY") => (end + 2, (End::Full, 0.0)),
-        Some(b'-') if line.starts_with("-ERR") => (end + 2, (End::NotSent, 0.0)), // unknown command: nothing was added
-        Some(b'-' | b'+') => (end + 2, (End::Error, 0.0)),
+        Some(b'-') if line.starts_with("-BUSY") => (end + 2, (CallOutcome::Full, 0.0)),
+        Some(b'-') if line.starts_with("-ERR") => (end + 2, (CallOutcome::NotSent, 0.0)), // unknown command: nothing was added
+        Some(b'-' | b'+') => (end + 2, (CallOutcome::Error, 0.0)),
         Some(b':') => (end + 2, numeric_result(number(&line[1..]))),
-        Some(b'$') if line == "$-1" => (end + 2, (End::Error, 0.0)),
+        Some(b'$') if line == "$-1" => (end + 2, (CallOutcome::Error, 0.0)),
         Some(b'$') => {
             let size: usize = line[1..].parse().map_err(|_| "bad-answer")?;
             if size > MAX_REPLY_LEN {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,23 +1,23 @@
 //! Ties the module to its peers: takes what the state machines find to the module, and carries out what the
 //! module asks for. It decides nothing.
 
-use crate::changes::{Batch, Change, Changes, WORK_A_TURN};
 use crate::clients::{self, Client, Parsed};
 use crate::config::Config;
 use crate::counter::{self, Call, CounterConnection};
 use crate::driver::{ACCEPT_RETRY_DELAY, ConnectionEnd, EventHandler, Net, Peer, is_resource_exhausted};
-use crate::guard::{self, Effect, ServerNow};
+use crate::eviction;
+use crate::guard::{self, RetrySafety, ServerStatus};
 use crate::http::{MAX_BODY_LEN, MAX_HEAD_LEN, MessageError};
 use crate::invariants::{Counts, Invariant};
 use crate::list::{self, ListUpdate, Watch};
+use crate::list_diff::{Batch, ListDiff, ServerChange, WORK_PER_TURN};
 use crate::name_ids::NameIds;
-use crate::phase::{ClientEnd, Owed, Phase};
-use crate::room;
+use crate::phase::{CloseCause, Phase, UnsentAnswer};
 use crate::servers::{self, Attempt, Body, Response, Server, ServerConnection, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
-use martenramp::brain::Brain;
-use martenramp::host::{Arrival, End, Ended, Host, Nanos};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Host, Nanos};
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::io;
@@ -25,15 +25,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-mod agreeing;
-mod checks;
-mod client_side;
-mod counter_side;
-mod discovery_side;
-mod making_room;
+mod client_handler;
+mod connection_limits;
+mod counter_handler;
+mod discovery_handler;
+mod invariant_checks;
 mod rpc_log;
-mod server_side;
-mod stopping;
+mod server_handler;
+mod settings_agreement;
+mod shutdown_handler;
 mod sweep;
 
 const MS: Nanos = 1_000_000;
@@ -118,7 +118,7 @@
     call_outs: u16,
     open: bool,
     /// How often it may run, and when the first attempt began that may have run.
-    effect: Effect,
+    effect: RetrySafety,
     first_run: Option<Nanos>,
     /// Some of it was written to a server.
     written: bool,
@@ -126,14 +126,14 @@
 }
 
 /// Reads the configuration once more.
-pub type ReadAgain = Box<dyn Fn() -> Result<Config, String>>;
+pub type ConfigReader = Box<dyn Fn() -> Result<Config, String>>;
 
 pub struct Gateway {
-    brain: Brain,
-    read_again: ReadAgain,
+    brain: AdmissionController,
+    read_again: ConfigReader,
     host: PolicyHost,
     /// Where the settings have a version.
-    agreement: Option<agreeing::AgreementLink>,
+    agreement: Option<settings_agreement::AgreementLink>,
 }
 
 /// All but the module: its `Host`.
@@ -160,7 +160,7 @@
     old_watch: Option<(usize, Watch)>,
     /// Objects of the list that came and are not in force yet, and the one that is being brought into force.
     pending: VecDeque<Pending>,
-    changes: Option<Changes>,
+    changes: Option<ListDiff>,
     /// A timer is set for the next batch of them.
     goes_on: bool,
     /// When the first timer for work on subsets is due.
@@ -175,8 +175,8 @@
     /// How often each invariant was looked at, kept and broken.
     counts: Counts,
     /// Ends that the module is to be told of.
-    ended: VecDeque<Ended>,
-    counted: VecDeque<(Call, End, f64)>,
+    ended: VecDeque<AttemptResult>,
+    counted: VecDeque<(Call, CallOutcome, f64)>,
     /// Clients whose buffer may hold a further message.
     again: VecDeque<usize>,
     has_list: bool,
@@ -227,7 +227,7 @@
 }
 
 impl Gateway {
-    pub fn new(config: Config, read_again: ReadAgain, net: Net, log: Logger) -> Gateway {
+    pub fn new(config: Config, read_again: ConfigReader, net: Net, log: Logger) -> Gateway {
         let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = config.descriptor_limit.min(own.map_or(usize::MAX, |own| own as usize));
         let spares = (sockets / SPARES).max(2);
@@ -301,7 +301,7 @@
             behind_since: None,
             config,
         };
-        let brain = Brain::new(host.config.seed, host.config.settings.clone());
+        let brain = AdmissionController::new(host.config.seed, host.config.settings.clone());
         Gateway { brain, read_again, host, agreement: None }
     }
 }
@@ -339,14 +339,14 @@
     /// When to turn next. Timers whose cause is over are dropped as they come first, so that they wake nobody.
     fn next_timer(&mut self) -> Option<Nanos> {
         let PolicyHost { timers, links, rpcs, lines, .. } = &mut self.host;
-        timers.skip(|what| match what {
+        timers.discard_stale(|what| match what {
             TimerEvent::CallOut(id, rpc, nth) => !links.get(id).is_some_and(|link| link.carries(*rpc, *nth)),
             TimerEvent::Dial(id) => links.get(id).is_none_or(|link| link.is_connected),
             TimerEvent::Count(line, serial) => !lines[*line].has_call(*serial),
             TimerEvent::Overdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
             _ => false,
         });
-        timers.next()
+        timers.next_due()
     }
 
     fn stop(&mut self) {
@@ -485,9 +485,9 @@
     /// Timers that are due; true if connections may be accepted again.
     fn run_due_timers(&mut self) -> bool {
         let now = self.host.net.now;
-        while let Some(what) = self.host.timers.due(now) {
+        while let Some(what) = self.host.timers.pop_due(now) {
             match what {
-                TimerEvent::Wake(token) => self.brain.woke(&mut self.host, now, token),
+                TimerEvent::Wake(token) => self.brain.on_timer(&mut self.host, now, token),
                 TimerEvent::CallOut(id, rpc, nth) => self.host.call_out_over(id, rpc, nth),
                 TimerEvent::Dial(id) => self.host.dial_over(id),
                 TimerEvent::Write(id) => self.host.to_write.push_back(id),
@@ -533,9 +533,9 @@
         let now = self.host.net.now;
         loop {
             if let Some(ended) = self.host.ended.pop_front() {
-                self.brain.ended(&mut self.host, now, &ended);
+                self.brain.on_attempt_end(&mut self.host, now, &ended);
             } else if let Some((call, how, total)) = self.host.counted.pop_front() {
-                self.brain.counted(&mut self.host, now, call.name, how, total);
+                self.brain.on_counter_reply(&mut self.host, now, call.name, how, total);
             } else if let Some(id) = self.host.again.pop_front() {
                 self.client_came(id);
             } else {
@@ -555,7 +555,7 @@
 }
 
 impl Host for PolicyHost {
-    fn call_out(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
+    fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
@@ -565,10 +565,10 @@
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         if rpc.state == RpcState::Answered || until <= now {
-            return self.end_call_out(server, attempt, End::NotSent, 0.0, Vec::new());
+            return self.end_call_out(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
         }
         let Some(to) = self.link_to(server) else {
-            return self.end_call_out(server, attempt, End::NoConnection, 0.0, Vec::new());
+            return self.end_call_out(server, attempt, CallOutcome::NoConnection, 0.0, Vec::new());
         };
         self.shift(id, RpcState::Out);
         let (Some(rpc), Some(link)) = (self.rpcs.get_mut(&id), self.links.get_mut(&to)) else { return };
@@ -580,7 +580,7 @@
         self.timers.set(until, TimerEvent::CallOut(to, id, attempt.number));
     }
 
-    fn push_back(&mut self, id: u32, come_back: Nanos) {
+    fn reject(&mut self, id: u32, come_back: Nanos) {
         if self.refusal_is_harmless(id) {
             self.answer(id, if come_back > 0 { 429 } else { 503 }, come_back, "refused");
         } else {
@@ -593,15 +593,15 @@
         self.answer(id, if over { 504 } else { 502 }, 0, if over { "time-over" } else { "failed" });
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.timers.set(self.net.now.saturating_add(after), TimerEvent::Wake(token));
     }
 
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         self.last_call += 1;
         let call = Call { serial: self.last_call, name, add, ttl: forget };
         let Some(line) = self.line_for(name) else {
-            return self.counted.push_back((call, End::NoConnection, 0.0));
+            return self.counted.push_back((call, CallOutcome::NoConnection, 0.0));
         };
         let PolicyHost { net, lines, lines_on, .. } = self;
         let now = net.now;
--- a/crates/gateway/src/gateway/client_side.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -15,10 +15,12 @@
         let unread_for = if begins { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
         let came = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
         client.record_read(length, came);
-        if client.phase.closes() {
+        if client.phase.is_closing() {
             let length = self.host.net.input(id).len();
             self.host.net.consume(id, length);
-        } else if let Some((_, length)) = client.phase.rpc().filter(|_| self.host.net.is_input_full(id)) {
+        } else if let Some((_, length)) =
+            client.phase.pending_rpc().filter(|_| self.host.net.is_input_full(id))
+        {
             // Guards against a client whose leaving lies behind what it sent in the meantime, so that its RPC would wait
             // on for nobody. Covers floods. Harm: one that sends on before its answer has to open another connection.
             client.sent_excess = true;
@@ -80,7 +82,7 @@
         }
         let came = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
         let asked = (came + message.remaining_ms * MS).saturating_sub(MARGIN);
-        if !self.host.may_begin(&own, asked) {
+        if !self.host.may_admit(&own, asked) {
             return self.host.answer_own(client, 503, end, "");
         }
         if !self.host.ids.insert(own.clone()) {
@@ -89,7 +91,7 @@
         }
         let (id, method) = (self.host.fresh_rpc(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.set_phase(Phase::Waiting { rpc: id, length: end }, now);
+        at.set_phase(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
         let deadline = self.host.within_life(asked).max(now);
         let arrival = Arrival {
             id,
@@ -99,8 +101,8 @@
             service: self.host.config.services.of_class(message.method),
             deadline,
             units: message.units,
-            width: message.width,
-            first: message.first,
+            gateway_count: message.width,
+            first_gateway: message.first,
         };
         let rpc = Rpc {
             state: RpcState::Held,
@@ -118,7 +120,7 @@
         self.host.rpcs.insert(id, rpc);
         self.host.open_rpcs += 1;
         self.host.timers.set(deadline + OVERDUE, TimerEvent::Overdue(id));
-        self.brain.rpc(&mut self.host, now, &arrival);
+        self.brain.on_arrival(&mut self.host, now, &arrival);
     }
 
     /// Guards against an RPC that neither the module nor a time-out has ended; nothing else should come here.
@@ -127,7 +129,7 @@
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
             self.host.answer(id, if harmless { 503 } else { 504 }, 0, "overdue");
-            self.brain.client_left(id);
+            self.brain.on_client_left(id);
         }
     }
 
@@ -155,12 +157,12 @@
     }
 
     pub(super) fn client_left(&mut self, id: usize, why: &'static str) {
-        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.rpc()).map(|rpc| rpc.0);
-        self.host.end_client(id, ClientEnd::Gone(if rpc.is_some() { LEFT } else { why }));
+        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.pending_rpc()).map(|rpc| rpc.0);
+        self.host.end_client(id, CloseCause::ClientClosed(if rpc.is_some() { LEFT } else { why }));
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.shift(rpc, RpcState::Answered);
-            self.brain.client_left(rpc);
+            self.brain.on_client_left(rpc);
         }
     }
 }
@@ -193,13 +195,19 @@
         self.shift(id, RpcState::Answered);
         let (now, stopping) = (self.net.now, self.is_stopping());
         let Some(at) = self.clients.get_mut(&client) else { return };
-        let length = at.phase.rpc().map_or(0, |rpc| rpc.1);
+        let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
         let last = close.then_some(match at.sent_excess {
             _ if stopping => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.set_phase(Phase::Answering { owed: Owed { txn: txn.unwrap_or_default(), deadline }, last }, now);
+        at.set_phase(
+            Phase::WritingAnswer {
+                answer: UnsentAnswer { txn: txn.unwrap_or_default(), deadline },
+                close_reason: last,
+            },
+            now,
+        );
         self.clients_served += usize::from(at.served == 0);
         at.served += 1;
         at.consume(length);
@@ -211,10 +219,13 @@
         let (now, sent) = (self.net.now, self.net.is_flushed(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
-            None => client.state_since = if client.phase.owed().is_some() { now } else { client.state_since },
+            None => {
+                client.state_since =
+                    if client.phase.unsent_answer().is_some() { now } else { client.state_since }
+            }
             Some(next) => {
-                let owed = client.phase.owed().cloned().unwrap_or_default();
-                let ends = next.closes();
+                let owed = client.phase.unsent_answer().cloned().unwrap_or_default();
+                let ends = next.is_closing();
                 client.set_phase(next, now);
                 self.check_answer(&owed);
                 if ends {
@@ -222,7 +233,7 @@
                 }
             }
         }
-        let reads = self.clients.get(&id).is_some_and(|client| client.phase.rpc().is_none());
+        let reads = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
         if reads && !self.net.input(id).is_empty() {
             self.again.push_back(id);
         }
@@ -239,7 +250,7 @@
         self.net.consume(client, length);
         if let Some(at) = self.clients.get_mut(&client) {
             let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.set_phase(Phase::Answering { owed: Owed::default(), last }, now);
+            at.set_phase(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
             at.partial = false;
             at.consume(length);
             self.clients_served += usize::from(at.served == 0);
@@ -255,22 +266,25 @@
         self.net.discard_input(client);
         let now = self.net.now;
         if let Some(at) = self.clients.get_mut(&client) {
-            at.set_phase(Phase::Answering { owed: Owed::default(), last: Some(why) }, now);
+            at.set_phase(
+                Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) },
+                now,
+            );
         }
     }
 
     /// Ends a client's connection; the one place where that is done. What owes an answer is ended by its client alone, or
     /// if that reads none of it: then it stays, and false is told.
-    pub(super) fn end_client(&mut self, id: usize, end: ClientEnd) -> bool {
+    pub(super) fn end_client(&mut self, id: usize, end: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
-        if !client.phase.may_end(end) {
+        if !client.phase.permits_close(end) {
             self.withhold_end(id, end);
             return false;
         }
         self.check_end_of_client(id, end);
         let Some(client) = self.clients.remove(&id) else { return false };
         self.clients_served -= usize::from(client.served > 0);
-        let why = client.phase.closing().unwrap_or(end.reason());
+        let why = client.phase.close_reason().unwrap_or(end.reason());
         info!(self.log, "client"; "why" => why, "from" => shown(self.net.address(id)), "answers" => client.served,
             "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
@@ -298,7 +312,7 @@
         }
         let now = self.net.now;
         if let Some(client) = self.clients.get_mut(&id).filter(|client| client.phase.is_reading()) {
-            client.set_phase(Phase::Ending { why }, now);
+            client.set_phase(Phase::HalfClosed { reason: why }, now);
             self.net.shutdown_write(id);
         }
     }
--- a/crates/gateway/src/gateway/discovery_side.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -1,8 +1,8 @@
 //! The gateway's side of discovery: the watch is kept up, and the module and the pools hear what it tells.
 
 use super::*;
-use crate::starts;
-use martenramp::host::Listed;
+use crate::start_times;
+use martenramp::host::DiscoveredServer;
 
 /// The part of a subset's work that one turn does: about a quarter of a millisecond.
 const SUBSET_UNITS_A_TURN: usize = 50_000;
@@ -76,14 +76,14 @@
         if self.host.goes_on {
             return;
         }
-        let mut work = if self.host.has_list { WORK_A_TURN } else { usize::MAX };
+        let mut work = if self.host.has_list { WORK_PER_TURN } else { usize::MAX };
         loop {
             if self.host.changes.is_none() && !self.begin_changes() {
                 return;
             }
             let PolicyHost { changes, servers, directory, .. } = &mut self.host;
             let Some(at_hand) = changes else { return };
-            let Some(batch) = at_hand.next(servers, directory, &mut work) else { break };
+            let Some(batch) = at_hand.next_batch(servers, directory, &mut work) else { break };
             let done = at_hand.is_done().then(|| self.host.changes.take()).flatten();
             self.apply(batch);
             if let Some(done) = done {
@@ -91,7 +91,7 @@
                 self.host.log_turns(&done);
             }
         }
-        self.host.changes.iter_mut().for_each(Changes::rest);
+        self.host.changes.iter_mut().for_each(ListDiff::defer_to_next_turn);
         self.host.goes_on = true;
         self.host.timers.set(self.host.net.now + 1, TimerEvent::Changes);
     }
@@ -112,15 +112,15 @@
                 }
             }
         };
-        self.host.changes = Some(Changes::new(told));
+        self.host.changes = Some(ListDiff::new(told));
         true
     }
 
     /// Tells the module and the pools of a batch.
     fn apply(&mut self, batch: Batch) {
         let host = &mut self.host;
-        let mut list = Vec::with_capacity(batch.leaving.len() + batch.coming.len());
-        for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+        let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
+        for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
             let Some(address) = address else {
                 if let Some((listed, idle)) = host.servers.delist(listed.key) {
                     idle.into_iter().for_each(|id| host.end_link(id, "server-gone"));
@@ -131,12 +131,12 @@
             let came_up = host.started_at(&listed);
             let (server, stale) = host.servers.upsert_with_start(&listed, address, came_up);
             stale.into_iter().for_each(|id| host.end_link(id, "server-moved"));
-            list.push(Listed { server, came_up, ..listed });
+            list.push(DiscoveredServer { server, started_at: came_up, ..listed });
         }
         if host.has_list {
-            self.brain.listed_in_steps(host.net.now, &list);
+            self.brain.on_server_list_deferred(host.net.now, &list);
         } else {
-            self.brain.listed(host.net.now, false, &list);
+            self.brain.on_server_list(host.net.now, false, &list);
         }
         host.servers.remove_unused();
         self.await_subsets();
@@ -151,7 +151,7 @@
 
     /// Sets a timer for when there is work on subsets.
     fn await_subsets(&mut self) {
-        let Some(due) = self.brain.subsets_due() else { return };
+        let Some(due) = self.brain.subset_work_due() else { return };
         // Timers are looked at once a turn, so what is due now is for the next one.
         let at = due.max(self.host.net.now + 1);
         if self.host.subsets_awaited.is_none_or(|awaited| at < awaited) {
@@ -163,13 +163,13 @@
 
 impl PolicyHost {
     /// When a server started that the list names.
-    fn started_at(&self, listed: &Listed) -> Nanos {
-        let stamp = listed.came_up;
+    fn started_at(&self, listed: &DiscoveredServer) -> Nanos {
+        let stamp = listed.started_at;
         match self.servers.by_key(listed.key).filter(|held| held.listed_start == stamp) {
             Some(held) => held.started_at,
             None => {
                 let now = self.net.now + self.turn_lasted();
-                starts::started_at(stamp, now, self.has_list, starts::is_wall_stepped(now))
+                start_times::started_at(stamp, now, self.has_list, start_times::is_wall_stepped(now))
             }
         }
     }
@@ -180,9 +180,9 @@
     }
 
     /// A list that took more than one turn leaves a line.
-    fn log_turns(&self, done: &Changes) {
-        if done.turns() > 1 {
-            info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed(), "turns" => done.turns(),
+    fn log_turns(&self, done: &ListDiff) {
+        if done.turn_count() > 1 {
+            info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,25 +2,25 @@
 //! the shared counter, built around the decision module. Each module handles one kind of peer; only
 //! `driver` uses sockets, and `gateway` connects the modules.
 
-pub mod changes;
 pub mod clients;
 pub mod config;
 pub mod counter;
 pub mod driver;
 pub mod entry;
+pub mod eviction;
 pub mod gateway;
 pub mod guard;
 pub mod http;
 pub mod invariants;
 pub mod json_stream;
 pub mod list;
+pub mod list_diff;
 pub mod logs;
 pub mod name_ids;
 pub mod phase;
-pub mod room;
 pub mod servers;
 pub mod services;
 pub mod shutdown;
-pub mod starts;
+pub mod start_times;
 pub mod tcp_info;
 pub mod timers;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -63,12 +63,12 @@
     /// Adds an entry, unless it belongs to a service that is not requested here.
     fn add_entry(&mut self, mut entry: Entry, services: &Services) {
         match services.of_server(&entry.name) {
-            Service::Asked(number) => {
+            Service::Requested(number) => {
                 entry.service = number;
                 self.entries.push(entry);
             }
-            Service::NotAsked => {}
-            Service::Untold => {
+            Service::NotRequested => {}
+            Service::Unspecified => {
                 self.without_service += 1;
                 self.first_without_service.get_or_insert(entry.name);
             }
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -2,7 +2,7 @@
 //! uses.
 
 use crate::entry::Entry;
-use martenramp::host::{Listed, Nanos};
+use martenramp::host::{DiscoveredServer, Nanos};
 use std::collections::HashMap;
 
 const MS: Nanos = 1_000_000;
@@ -39,9 +39,9 @@
 
     /// Converts an entry with this key for the decision module. The server's number is filled in
     /// later, when the entry is applied.
-    pub fn to_listed(&mut self, key: u64, entry: &Entry) -> Listed {
+    pub fn to_listed(&mut self, key: u64, entry: &Entry) -> DiscoveredServer {
         let kind = self.kinds.iter().position(|known| **known == *entry.kind);
-        Listed {
+        DiscoveredServer {
             server: 0,
             service: entry.service,
             key,
@@ -50,7 +50,7 @@
             cell: entry.cell,
             ready: entry.ready,
             weight: entry.weight,
-            came_up: entry.started_ms.saturating_mul(MS),
+            started_at: entry.started_ms.saturating_mul(MS),
         }
     }
 }
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -4,7 +4,7 @@
 use crate::clients::RpcRequest;
 use crate::driver::ConnectionEnd;
 use crate::http::{self, BodyLength, ChunkedDecoder, MAX_BODY_LEN, MAX_HEAD_LEN, MAX_HEADERS};
-use martenramp::host::{End, Listed, Nanos};
+use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -76,15 +76,15 @@
     pub open_connections: usize,
     pub is_listed: bool,
     /// The entry that was last passed to the decision module.
-    pub last_listed: Listed,
+    pub last_listed: DiscoveredServer,
 }
 
 impl Server {
-    fn new(listed: &Listed, address: SocketAddr, listed_start: Nanos) -> Self {
+    fn new(listed: &DiscoveredServer, address: SocketAddr, listed_start: Nanos) -> Self {
         Server {
             address,
             listed_start,
-            started_at: listed.came_up,
+            started_at: listed.started_at,
             ready: listed.ready,
             idle_connections: Vec::new(),
             open_connections: 0,
@@ -94,12 +94,12 @@
     }
 
     /// Whether the list held the same entry before, whatever the server's number.
-    pub fn is_listed_as(&self, listed: &Listed, address: SocketAddr) -> bool {
-        let is_same_entry = |a: &Listed, b: &Listed| {
+    pub fn is_listed_as(&self, listed: &DiscoveredServer, address: SocketAddr) -> bool {
+        let is_same_entry = |a: &DiscoveredServer, b: &DiscoveredServer| {
             (a.service, a.key, a.zone, a.kind, a.cell) == (b.service, b.key, b.zone, b.kind, b.cell)
                 && (a.ready, a.weight.to_bits()) == (b.ready, b.weight.to_bits())
         };
-        let is_same_incarnation = self.listed_start == listed.came_up;
+        let is_same_incarnation = self.listed_start == listed.started_at;
         self.is_listed
             && self.address == address
             && is_same_incarnation
@@ -125,15 +125,15 @@
 impl Servers {
     /// Adds or updates a listed server. Returns its number and the idle connections that lead to
     /// another address or to an earlier incarnation and can't be used any more.
-    pub fn upsert(&mut self, listed: &Listed, address: SocketAddr) -> (u32, Vec<usize>) {
-        self.upsert_with_start(listed, address, listed.came_up)
+    pub fn upsert(&mut self, listed: &DiscoveredServer, address: SocketAddr) -> (u32, Vec<usize>) {
+        self.upsert_with_start(listed, address, listed.started_at)
     }
 
     /// Like [`Servers::upsert`], for a server whose start by this process's clock differs from the
     /// one stamped in the list.
     pub fn upsert_with_start(
         &mut self,
-        listed: &Listed,
+        listed: &DiscoveredServer,
         address: SocketAddr,
         started_at: Nanos,
     ) -> (u32, Vec<usize>) {
@@ -143,13 +143,13 @@
             *last_number
         });
         self.delisted.remove(&number);
-        let entry = Listed { server: number, came_up: started_at, ..listed.clone() };
-        let listed_start = listed.came_up;
+        let entry = DiscoveredServer { server: number, started_at: came_up: started_at, ..listed.clone() };
+        let listed_start = listed.started_at;
         let server =
             self.by_number.entry(number).or_insert_with(|| Server::new(&entry, address, listed_start));
         let moved = server.address != address || server.listed_start != listed_start;
         let stale = if moved { server.take_idle_connections() } else { Vec::new() };
-        (server.address, server.listed_start, server.started_at) = (address, listed_start, entry.came_up);
+        (server.address, server.listed_start, server.started_at) = (address, listed_start, entry.started_at);
         (server.is_listed, server.ready) = (true, entry.ready);
         server.last_listed = entry;
         (number, stale)
@@ -157,7 +157,7 @@
 
     /// Removes a server from the list. Returns the entry for the decision module and the idle
     /// connections, which can't be used any more.
-    pub fn delist(&mut self, key: u64) -> Option<(Listed, Vec<usize>)> {
+    pub fn delist(&mut self, key: u64) -> Option<(DiscoveredServer, Vec<usize>)> {
         let number = *self.numbers_by_key.get(&key)?;
         let server = self.by_number.get_mut(&number)?;
         (server.is_listed, server.ready, server.last_listed.ready) = (false, false, false);
@@ -226,7 +226,7 @@
 /// A complete response: its meaning, and the length of its message in the buffer.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    pub end: End,
+    pub end: CallOutcome,
     pub status: u16,
     pub body: Body,
     /// Range of the header lines in the buffer.
@@ -372,9 +372,9 @@
         };
         let turned_away = http::header_text(head.headers, "x-turned-away") == Some("1");
         let end = match status {
-            200 => End::Ok,
-            503 | 504 if turned_away => End::Full,
-            _ => End::Error,
+            200 => CallOutcome::Ok,
+            503 | 504 if turned_away => CallOutcome::Full,
+            _ => CallOutcome::Error,
         };
         let settled = http::header_text(head.headers, "x-settled").and_then(|units| units.parse().ok());
         let closes_connection =
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -10,7 +10,7 @@
 use crate::replica::Replica;
 use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
-use martenramp::host::{Arrival, End, Ended, Nanos};
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Nanos};
 use std::collections::HashMap;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -135,8 +135,8 @@
     fn play(&mut self, rpcs: u64) {
         self.events.set(START, (0, Event::Arrives));
         let last = START + rpcs * SECOND / self.rate;
-        while let Some(at) = self.events.next().filter(|at| *at < last + PATIENCE) {
-            let Some((gateway, event)) = self.events.due(at) else { return };
+        while let Some(at) = self.events.next_due().filter(|at| *at < last + PATIENCE) {
+            let Some((gateway, event)) = self.events.pop_due(at) else { return };
             self.happens(at, gateway, event, rpcs);
         }
     }
@@ -149,24 +149,24 @@
         asked.now = now;
         match event {
             Event::Arrives => {}
-            Event::Woke(token) => replica.brain.woke(asked, now, token),
+            Event::Woke(token) => replica.brain.on_timer(asked, now, token),
             Event::Counted { name, total } => {
-                replica.brain.counted(asked, now, name, End::Ok, f64::from_bits(total));
+                replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::Answered { rpc, server, attempt, sent } => {
-                let (how, took) = (End::Ok, now - sent);
-                let ended = Ended {
+                let (how, took) = (CallOutcome::Ok, now - sent);
+                let ended = AttemptResult {
                     rpc,
                     server,
-                    nth: attempt,
-                    how,
-                    took,
-                    closed: true,
-                    settled: 0.0,
-                    load: Vec::new(),
+                    attempt,
+                    outcome: how,
+                    duration: took,
+                    rpc_answered: true,
+                    settled_units: 0.0,
+                    load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.brain.ended(asked, now, &ended);
+                replica.brain.on_attempt_end(asked, now, &ended);
             }
         }
         self.carry_out(now, gateway);
@@ -185,12 +185,12 @@
             customer: TENANT,
             deadline: now + PATIENCE,
             units: 1.0,
-            width: self.members.len() as u32,
+            gateway_count: self.members.len() as u32,
             ..Arrival::default()
         };
         let Member { replica, asked } = &mut self.members[gateway];
         asked.now = now;
-        replica.brain.rpc(asked, now, &arrival);
+        replica.brain.on_arrival(asked, now, &arrival);
         self.carry_out(now, gateway);
     }
 
@@ -202,8 +202,8 @@
                 Event::Answered { rpc: open.rpc, server: open.server, attempt: open.attempt, sent: now };
             self.events.set(now + SERVED_IN, (gateway, event));
         }
-        while let Some(at) = asked.timers.next() {
-            if let Some(token) = asked.timers.due(at) {
+        while let Some(at) = asked.timers.next_due() {
+            if let Some(token) = asked.timers.pop_due(at) {
                 self.events.set(at, (gateway, Event::Woke(token)));
             }
         }
--- a/src/brain/server_list.rs
+++ b/src/admission/server_list.rs
@@ -2,16 +2,16 @@
 
 use super::*;
 
-impl Brain {
+impl AdmissionController {
     /// Discovery's list, whole or only what changed. A server off the whole list is gone.
-    pub fn listed(&mut self, now: Nanos, whole: bool, list: &[Listed]) {
+    pub fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
         let changes = self.take_list(now, whole, list);
         changes.into_keys().for_each(|service| self.share_out(now, service));
     }
 
     /// What changed of discovery's list. What is no longer ready gets nothing new from here on; the subsets follow in
     /// `work_on_subsets`.
-    pub fn listed_in_steps(&mut self, now: Nanos, list: &[Listed]) {
+    pub fn on_server_list_deferred(&mut self, now: Nanos, list: &[DiscoveredServer]) {
         let changes = self.take_list(now, false, list);
         changes.into_iter().for_each(|(service, change)| self.follow(now, service, &change));
     }
@@ -21,7 +21,7 @@
         &mut self,
         now: Nanos,
         whole: bool,
-        list: &[Listed],
+        list: &[DiscoveredServer],
     ) -> BTreeMap<u32, ServiceChange> {
         self.born.get_or_insert(now);
         self.nowhere.clear();
@@ -35,7 +35,7 @@
         }
         for listed in list {
             let server = self.servers.entry(listed.server).or_default();
-            if server.listed.came_up != listed.came_up {
+            if server.listed.started_at != listed.started_at {
                 server.ends.clear(); // a new life: what the old one showed says nothing, and it is cold
                 server.cold = (now, self.chance.f64());
             }
@@ -61,29 +61,29 @@
         let is_ready = |id: &u32| self.ready.get(&service).is_some_and(|ready| ready.contains(id));
         let came: BTreeSet<u32> = change.came.iter().copied().filter(is_ready).collect();
         let gone: Vec<u32> = change.gone.iter().copied().filter(|id| !is_ready(id)).collect();
-        at.subsetter.change(&gone, self.endpoints(came.iter()), SUBSET_COUNT);
+        at.subsetter.apply_change(&gone, self.endpoints(came.iter()), SUBSET_COUNT);
         let is_cold = |id: &u32| self.warmth(now, &self.servers[id].listed) < 1.0;
         let shared = at.subsetter.shared().iter().copied();
         let new = came.iter().copied().filter(|id| !at.subsetter.is_shared(*id));
         let shared: Vec<u32> = shared.chain(new).filter(is_cold).collect();
-        at.subsetter.share(shared);
+        at.subsetter.set_shared(shared);
         self.services.insert(service, at);
     }
 
     /// When there is work on subsets to be done; nothing if all are worked out.
-    pub fn subsets_due(&self) -> Option<Nanos> {
-        let stale = self.services.values().filter(|at| !at.subsetter.is_worked_out());
+    pub fn subset_work_due(&self) -> Option<Nanos> {
+        let stale = self.services.values().filter(|at| !at.subsetter.is_up_to_date());
         stale.map(|at| at.rests_until).min()
     }
 
     /// Goes on with the subset that is due first, for so many units of some nanoseconds.
     pub fn work_on_subsets(&mut self, now: Nanos, units: usize) {
-        let stale = self.services.values_mut().filter(|at| !at.subsetter.is_worked_out());
+        let stale = self.services.values_mut().filter(|at| !at.subsetter.is_up_to_date());
         let Some(at) = stale.min_by_key(|at| at.rests_until).filter(|at| at.rests_until <= now) else {
             return;
         };
         let mut left = units;
-        let done = at.subsetter.work(&mut left);
+        let done = at.subsetter.advance(&mut left);
         at.worked += units - left;
         if done {
             let rest = std::mem::take(&mut at.worked) as Nanos * REST_PER_UNIT;
@@ -121,8 +121,8 @@
     pub(super) fn endpoints<'a>(&self, ids: impl Iterator<Item = &'a u32>) -> Vec<Endpoint> {
         let near = self.setting("zone", -1.0);
         let endpoint = |id: &u32| {
-            let Listed { key, zone, weight, .. } = self.servers[id].listed;
-            Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == near }
+            let DiscoveredServer { key, zone, weight, .. } = self.servers[id].listed;
+            Endpoint { id: *id, key, zone, weight, same_zone: f64::from(zone) == near }
         };
         ids.map(endpoint).collect()
     }
@@ -131,9 +131,9 @@
     pub(super) fn share_out(&mut self, now: Nanos, service: u32) {
         let Some(mut at) = self.services.remove(&service) else { return };
         let endpoints = self.endpoints(self.ready.get(&service).into_iter().flatten());
-        at.subsetter.update(endpoints, SUBSET_COUNT);
+        at.subsetter.set_endpoints(endpoints, SUBSET_COUNT);
         let is_cold = |id: &&u32| self.warmth(now, &self.servers[*id].listed) < 1.0;
-        at.subsetter.share(at.subsetter.order().iter().filter(is_cold).copied().collect());
+        at.subsetter.set_shared(at.subsetter.order().iter().filter(is_cold).copied().collect());
         self.services.insert(service, at);
     }
 }
