--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -143,7 +143,7 @@
             *last_number
         });
         self.delisted.remove(&number);
-        let entry = DiscoveredServer { server: number, started_at: came_up: started_at, ..listed.clone() };
+        let entry = DiscoveredServer { server: number, started_at, ..listed.clone() };
         let listed_start = listed.started_at;
         let server =
             self.by_number.entry(number).or_insert_with(|| Server::new(&entry, address, listed_start));
