--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -69,7 +69,7 @@
 pub struct Client {
     /// The connection's phase; changed only by [`Client::set_phase`].
     pub phase: Phase,
-    /// When the current state began: in the middle of a message, when its first byte was parsed;
+    /// When the current state began: in the middle of a message, when its first byte was read;
     /// between messages, when the last response was fully written; during a response, when some of
     /// it was last written; while closing, when this side shut down its sending.
     pub state_since: Nanos,
@@ -82,6 +82,7 @@
     /// The buffer holds part of a message, of which this many bytes have been parsed.
     pub partial: bool,
     pub parsed_bytes: usize,
+    /// `100 Continue` was sent for the current message.
     pub continue_sent: bool,
     /// The client sent further messages before its response, and what exceeded the buffer was
     /// dropped.
@@ -203,15 +204,16 @@
         .iter()
         .position(|known| known.name == method_name)
         .ok_or(MessageError(400, "unknown-method"))?;
-    let effect = config.methods[number].effect;
-    if is_get != (effect == RetrySafety::Idempotent) {
-        // A method that is not idempotent must not be sent as a GET, nor an idempotent one as a POST.
+    let retry_safety = config.methods[number].effect;
+    if is_get != (retry_safety == RetrySafety::Idempotent) {
+        // A method that is not idempotent must not be sent as a GET, nor an idempotent one as a
+        // POST.
         return Err(MessageError(405, "bad-method"));
     }
     let plan_name = http::single_header(headers, "x-contract").ok_or(MessageError(400, "no-plan"))?;
     let plan =
         config.plans.iter().position(|known| known == plan_name).ok_or(MessageError(400, "unknown-plan"))?;
-    if matches!(effect, RetrySafety::Deduplicated { .. })
+    if matches!(retry_safety, RetrySafety::Deduplicated { .. })
         && http::single_header(headers, "idempotency-key").is_none()
     {
         // Without the key the server can't recognise a repeat.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -13,10 +13,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// The configuration of a gateway.
 pub struct Config {
     pub name: String,
+    /// Address on which clients connect.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
+    /// Address of the shared counter, if there is one.
     pub counter: Option<SocketAddr>,
     pub seed: u64,
     /// Limit on the file descriptors that the process may hold.
@@ -65,6 +68,7 @@
 }
 
 impl Method {
+    /// Reads the method with this number from the settings.
     fn from_settings(name: String, number: usize, settings: &Settings) -> Method {
         let value = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
         let window = value("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
@@ -154,6 +158,7 @@
         Ok(config)
     }
 
+    /// Derives the limits on RPCs from the settings.
     fn update_limits(&mut self) {
         self.max_units = self.positive_setting("extra.largest").unwrap_or(f64::MAX).min(counter::MAX_AMOUNT);
         self.gateways = self.positive_setting("balancers").map_or(u32::MAX, |count| count as u32);
@@ -181,6 +186,7 @@
         deadlines.map(|secs| (secs * 1e9) as Nanos).min().unwrap_or_else(|| self.longest_deadline())
     }
 
+    /// Returns a setting that is a finite number above 0.
     pub fn positive_setting(&self, name: &str) -> Option<f64> {
         self.settings.get(name)?.parse().ok().filter(|value: &f64| value.is_finite() && *value > 0.0)
     }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -29,6 +29,7 @@
 /// A call to the counter: adds an amount to the total of a name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
+    /// Identifies the call; unique within the process and never 0.
     pub serial: u64,
     pub name: u64,
     pub add: f64,
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Writes a PING.
     pub fn send_ping(&mut self, out: &mut Vec<u8>, now: Nanos) {
         self.record_write(now);
         self.in_flight.push_back(None);
@@ -86,10 +88,12 @@
         }
     }
 
+    /// Whether calls are outstanding and no reply has come for too long.
     pub fn is_unresponsive(&self, now: Nanos) -> bool {
         !self.in_flight.is_empty() && now > self.last_reply + REPLY_TIMEOUT
     }
 
+    /// Calls that are queued or in flight and have not timed out.
     fn outstanding(&self) -> impl Iterator<Item = &Call> {
         self.in_flight.iter().flatten().chain(&self.waiting).filter(|call| call.serial != 0)
     }
@@ -104,6 +108,7 @@
         self.outstanding().any(|call| call.name == name)
     }
 
+    /// Whether the call with this serial is outstanding on this connection.
     pub fn has_call(&self, serial: u64) -> bool {
         self.outstanding().any(|call| call.serial == serial)
     }
@@ -139,18 +144,18 @@
         ended: &mut Vec<(Call, CallOutcome, f64)>,
     ) -> Result<usize, &'static str> {
         let mut consumed = 0;
-        while let Some((length, result, total)) = parse_reply(&input[consumed..])? {
+        while let Some((length, outcome, total)) = parse_reply(&input[consumed..])? {
             consumed += length;
             self.last_reply = now;
             match self.in_flight.pop_front() {
                 // After an invalid reply the amount may have been added, and the rest of the stream
                 // can't be trusted. Trade-off: the other outstanding calls on this connection count
                 // as added too.
-                Some(Some(call)) if result == CallOutcome::Error => {
-                    ended.extend((call.serial != 0).then_some((call, result, total)));
+                Some(Some(call)) if outcome == CallOutcome::Error => {
+                    ended.extend((call.serial != 0).then_some((call, outcome, total)));
                     return Err("answer-without-number");
                 }
-                Some(Some(call)) if call.serial != 0 => ended.push((call, result, total)),
+                Some(Some(call)) if call.serial != 0 => ended.push((call, outcome, total)),
                 Some(_) => {}
                 None => return Err("answer-without-call"),
             }
@@ -167,15 +172,15 @@
     };
     let line = std::str::from_utf8(&input[..end]).map_err(|_| "bad-answer")?;
     let number = |text: &str| text.trim().parse::<f64>().ok().filter(|total| total.is_finite());
-    let numeric_result = |total: Option<f64>| match total {
+    let numeric_outcome = |total: Option<f64>| match total {
         Some(total) => (CallOutcome::Ok, total),
         None => (CallOutcome::Error, 0.0),
     };
-    let (length, (result, total)) = match line.as_bytes().first() {
+    let (length, (outcome, total)) = match line.as_bytes().first() {
         Some(b'-') if line.starts_with("-BUSY") => (end + 2, (CallOutcome::Full, 0.0)),
         Some(b'-') if line.starts_with("-ERR") => (end + 2, (CallOutcome::NotSent, 0.0)), // unknown command: nothing was added
         Some(b'-' | b'+') => (end + 2, (CallOutcome::Error, 0.0)),
-        Some(b':') => (end + 2, numeric_result(number(&line[1..]))),
+        Some(b':') => (end + 2, numeric_outcome(number(&line[1..]))),
         Some(b'$') if line == "$-1" => (end + 2, (CallOutcome::Error, 0.0)),
         Some(b'$') => {
             let size: usize = line[1..].parse().map_err(|_| "bad-answer")?;
@@ -190,9 +195,9 @@
                 return Err("bad-answer");
             }
             let text = std::str::from_utf8(&input[start..stop]).map_err(|_| "bad-answer")?;
-            (stop + 2, numeric_result(number(text)))
+            (stop + 2, numeric_outcome(number(text)))
         }
         _ => return Err("bad-answer"),
     };
-    Ok(Some((length, result, total)))
+    Ok(Some((length, outcome, total)))
 }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// A connection with its buffers.
 struct Conn {
     id: usize,
     peer: Peer,
@@ -201,6 +202,7 @@
         }
     }
 
+    /// Reads the datagrams that are waiting, up to a turn's limit.
     fn read_datagrams(&mut self) -> Vec<Vec<u8>> {
         let Some(socket) = &self.datagrams else { return Vec::new() };
         let mut received = Vec::new();
@@ -229,6 +231,7 @@
         self.get(id).map(|conn| conn.address)
     }
 
+    /// Returns when a connection was accepted or opened.
     pub fn opened_at(&self, id: usize) -> Nanos {
         self.get(id).map_or(self.now, |conn| conn.opened_at)
     }
@@ -309,6 +312,7 @@
         self.get(id).map_or(0, |conn| conn.output.len() - conn.written)
     }
 
+    /// Returns how a connection ended, if it has.
     pub fn connection_end(&self, id: usize) -> Option<ConnectionEnd> {
         self.get(id).and_then(|conn| conn.end)
     }
@@ -342,7 +346,8 @@
         }
     }
 
-    /// Reads the available input, up to the buffer's limit.
+    /// Reads the available input, up to the buffer's limit. `peer_closed` is set if the event shows
+    /// the end of the peer's sending or an error.
     pub fn read(&mut self, id: usize, peer_closed: bool) {
         self.read_input(id, peer_closed);
         self.update_accounting(id);
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -136,12 +136,12 @@
                 } else {
                     servers::parse_load_report(load, &self.columns)
                 };
-                if answer.end == CallOutcome::Ok {
+                if answer.outcome == CallOutcome::Ok {
                     self.pass_on(id, call.rpc, &answer);
                 }
                 let unasked = self.net.input(id).len() > answer.message_length;
                 self.net.consume(id, answer.message_length);
-                self.end_call_out(server, call, answer.end, answer.settled, load);
+                self.end_call_out(server, call, answer.outcome, answer.settled, load);
                 if answer.reusable && !unasked && self.net.is_flushed(id) {
                     self.rest_link(id);
                 } else {
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -236,12 +236,12 @@
 
     /// Returns a random delay before the next request.
     ///
-    /// When a whole fleet loses its watches at once
-    /// (discovery fails, or a rollout kills most gateways) and retries in step, a service of fixed
-    /// capacity that also works on abandoned requests never recovers; the jitter covers any cause
-    /// of lost watches. The first delay stays within half of `stop_within`, the time in which new work
-    /// must stop after the announcement of a drain, since that time also runs for changes that the
-    /// watch would have announced. Trade-off: a list may come some seconds later than it could have.
+    /// When a whole fleet loses its watches at once (discovery fails, or a rollout kills most
+    /// gateways) and retries in step, a service of fixed capacity that also works on abandoned
+    /// requests never recovers; the jitter covers any cause of lost watches. The first delay stays
+    /// within half of `stop_within`, the time in which new work must stop after the announcement of
+    /// a drain, since that time also runs for changes that the watch would have announced.
+    /// Trade-off: a list may come some seconds later than it could have.
     ///
     /// Where lists are `pushed` there is no such service to protect, and what the agent holds
     /// counts as announced whether or not a watch is open, so the delay is short. Time spent on a
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 const MS: Nanos = 1_000_000;
-/// At most this many zone names get a number of their own.
+/// At most this many zone names get a number of their own; any others share `u16::MAX`.
 const MAX_ZONES: usize = 1024;
 
 /// Numbers of zones and kinds, by name.
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -218,15 +218,15 @@
     pub attempts: u64,
     /// How long the connection had been idle before the current attempt, if it was reused.
     pub idle_for: Option<Nanos>,
-    /// Decoder of a chunked response, the bytes decoded so far, and the offset up to which the input
-    /// has been decoded.
+    /// Decoder of a chunked response, the bytes decoded so far, and the offset up to which the
+    /// input has been decoded.
     chunks: Option<(ChunkedDecoder, Vec<u8>, usize)>,
 }
 
 /// A complete response: its meaning, and the length of its message in the buffer.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    pub end: CallOutcome,
+    pub outcome: CallOutcome,
     pub status: u16,
     pub body: Body,
     /// Range of the header lines in the buffer.
@@ -304,9 +304,9 @@
         out.extend_from_slice(body);
     }
 
-    /// Parses the whole buffer. `connection_end` is set if no more data will come: a response without a length
-    /// is complete only after the connection was closed in an orderly way. The error is the reason
-    /// code of an invalid response.
+    /// Parses the whole buffer. `connection_end` is set if no more data will come: a response
+    /// without a length is complete only after the connection was closed in an orderly way. The
+    /// error is the reason code of an invalid response.
     pub fn parse_response(
         &mut self,
         input: &[u8],
@@ -370,17 +370,17 @@
                 (Body::Decoded(std::mem::take(decoded)), *decoded_to)
             }
         };
-        let turned_away = http::header_text(head.headers, "x-turned-away") == Some("1");
-        let end = match status {
+        let rejected = http::header_text(head.headers, "x-turned-away") == Some("1");
+        let outcome = match status {
             200 => CallOutcome::Ok,
-            503 | 504 if turned_away => CallOutcome::Full,
+            503 | 504 if rejected => CallOutcome::Full,
             _ => CallOutcome::Error,
         };
         let settled = http::header_text(head.headers, "x-settled").and_then(|units| units.parse().ok());
         let closes_connection =
             head.version == Some(0) || http::header_has_token(head.headers, "connection", "close");
         Ok(Some(Response {
-            end,
+            outcome,
             status,
             body,
             header_lines: header_lines_start..start,
--- a/crates/gateway/src/tcp_info.rs
+++ b/crates/gateway/src/tcp_info.rs
@@ -21,15 +21,15 @@
     // `length` bytes to `info`, which is that long, and all of its fields are integers, for which
     // zero is a valid value.
     let info = unsafe {
-        let got = libc::getsockopt(
+        let result = libc::getsockopt(
             descriptor,
             libc::IPPROTO_TCP,
             libc::TCP_INFO,
             info.as_mut_ptr().cast(),
             &raw mut length,
         );
-        (got == 0).then(|| info.assume_init())
+        (result == 0).then(|| info.assume_init())
     };
-    let told = info.filter(|info| matches!(info.tcpi_state, ESTABLISHED | CLOSE_WAIT));
-    told.map(|info| Nanos::from(info.tcpi_last_data_recv) * MS)
+    let valid_info = info.filter(|info| matches!(info.tcpi_state, ESTABLISHED | CLOSE_WAIT));
+    valid_info.map(|info| Nanos::from(info.tcpi_last_data_recv) * MS)
 }
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -96,7 +96,7 @@
             Body::Buffered(range) => text[range.clone()].to_string(),
             Body::Decoded(bytes) => String::from_utf8(bytes.clone()).unwrap(),
         };
-        (answer.end, body, answer.reusable)
+        (answer.outcome, body, answer.reusable)
     }))
 }
 
