--- a/src/quota.rs
+++ b/src/quota.rs
@@ -3,21 +3,21 @@
 //! are out. Units throughout; no decision is made here: the module asks what is known, and how old that is.
 
 use crate::host::{CallOutcome, Nanos};
-use crate::samples::{SEC, keep, secs, span};
+use crate::samples::{SEC, nanos, push_bounded, secs};
 use std::collections::VecDeque;
 
 /// A window of the count is as long as the store takes to fill, within these bounds, seconds.
-const WINDOW: std::ops::RangeInclusive<f64> = 1.0..=25.0;
+const WINDOW_SECONDS: std::ops::RangeInclusive<f64> = 1.0..=25.0;
 /// Prior odds that what the others draw ends within the time for which it is not seen.
-const BURST_ENDS: f64 = 0.05;
+const BURST_END_PRIOR: f64 = 0.05;
 /// Units below which a request counts as this large, so that requests that cost nothing are no evidence.
-const LEAST_REQUEST: f64 = 0.01;
+const MIN_REQUEST_UNITS: f64 = 0.01;
 /// The longest that the counter can be told to remember a name.
-const REMEMBERED: Nanos = 60 * SEC;
+const MAX_COUNT_LIFETIME: Nanos = 60 * SEC;
 
 /// Own adds that counted (or may have) in a window of the count, and others'.
 #[derive(Clone, Copy, Debug)]
-struct Ledger {
+struct WindowUsage {
     window: u64,
     own: f64,
     others: f64,
@@ -25,7 +25,7 @@
 
 /// A call to the counter without an answer yet.
 #[derive(Clone, Copy, Debug)]
-struct Call {
+struct PendingCall {
     window: u64,
     add: f64,
     serial: u64,
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Quota {
     /// How many gateways the customer's RPCs come in through.
-    pub width: f64,
+    pub gateway_count: f64,
     /// The plan's, and this gateway's part of its ceiling.
     pub rate: f64,
     pub burst: f64,
@@ -43,25 +43,25 @@
     pub window: Nanos,
     /// As of `at`: the store as seen here, this gateway's even split of it, and its part of the ceiling.
     pub level: f64,
-    pub split: f64,
-    pub ceiling: f64,
-    at: Nanos,
+    pub even_split: f64,
+    pub ceiling_level: f64,
+    refilled_at: Nanos,
     /// When the last total was read, what the others drew a second by then, and when one last showed the
     /// store short; 0 is never.
     pub read_at: Nanos,
-    others: f64,
-    pub short_at: Nanos,
+    others_rate: f64,
+    pub low_at: Nanos,
     /// Units not yet added to the count.
-    pub pending: f64,
+    pub unreported: f64,
     /// Settled differences, to be told with the window's next call.
-    settled: f64,
+    unreported_settlement: f64,
     /// The last two windows.
-    ledgers: VecDeque<Ledger>,
+    windows: VecDeque<WindowUsage>,
     /// Answers for a name come in the order of calls.
-    calls: VecDeque<Call>,
+    calls: VecDeque<PendingCall>,
     /// Of the last call, and when it was made.
-    pub serial: u64,
-    pub counted_at: Nanos,
+    pub last_serial: u64,
+    pub called_at: Nanos,
 }
 
 impl Quota {
@@ -69,30 +69,30 @@
     /// `since`: the store full, the part of the ceiling empty, since an earlier life may have spent it.
     pub fn new(now: Nanos, since: Nanos, width: f64, store: (f64, f64), ceiling: (f64, f64)) -> Quota {
         let (rate, burst) = store;
-        let seconds = (burst / rate.max(1e-6)).clamp(*WINDOW.start(), *WINDOW.end());
+        let seconds = (burst / rate.max(1e-6)).clamp(*WINDOW_SECONDS.start(), *WINDOW_SECONDS.end());
         Quota {
-            width,
+            gateway_count: width,
             rate,
             burst,
             ceiling_rate: ceiling.0 / width,
             ceiling_burst: ceiling.1 / width,
-            window: span(seconds),
+            window: nanos(seconds),
             level: burst / width,
-            split: burst / width,
-            at: since,
-            counted_at: now,
+            even_split: burst / width,
+            refilled_at: since,
+            called_at: now,
             ..Quota::default()
         }
     }
 
     /// Takes on a changed plan: what is drawn stays drawn; with other windows the count is read anew.
-    pub fn follow(&mut self, plan: &Quota) {
+    pub fn apply_plan(&mut self, plan: &Quota) {
         let more = plan.burst - self.burst;
-        self.level += if self.read_at == 0 { more / self.width } else { more };
-        self.split += more / self.width;
-        self.ceiling += plan.ceiling_burst - self.ceiling_burst;
+        self.level += if self.read_at == 0 { more / self.gateway_count } else { more };
+        self.even_split += more / self.gateway_count;
+        self.ceiling_level += plan.ceiling_burst - self.ceiling_burst;
         if self.window != plan.window {
-            (self.window, self.read_at, self.ledgers) = (plan.window, 0, VecDeque::new());
+            (self.window, self.read_at, self.windows) = (plan.window, 0, VecDeque::new());
         }
         (self.rate, self.burst) = (plan.rate, plan.burst);
         (self.ceiling_rate, self.ceiling_burst) = (plan.ceiling_rate, plan.ceiling_burst);
@@ -100,51 +100,51 @@
 
     /// Brings the stores up to now; a part that holds no whole RPC (of `largest` units) may owe one.
     pub fn refill(&mut self, now: Nanos, largest: f64) {
-        let passed = secs(now.saturating_sub(self.at));
-        self.at = now;
+        let passed = secs(now.saturating_sub(self.refilled_at));
+        self.refilled_at = now;
         self.level = (self.level + passed * self.rate).min(self.burst);
-        let part = self.burst / self.width;
-        let split = self.split.max(if part < largest { -largest } else { 0.0 });
-        self.split = (split + passed * self.rate / self.width).min(part);
-        self.ceiling = (self.ceiling + passed * self.ceiling_rate).min(self.ceiling_burst);
+        let part = self.burst / self.gateway_count;
+        let split = self.even_split.max(if part < largest { -largest } else { 0.0 });
+        self.even_split = (split + passed * self.rate / self.gateway_count).min(part);
+        self.ceiling_level = (self.ceiling_level + passed * self.ceiling_rate).min(self.ceiling_burst);
     }
 
     /// Units for a first call-out, or (below 0) given back.
     pub fn take(&mut self, units: f64) {
         self.level -= units;
-        self.split -= units;
-        self.ceiling -= units;
-        self.pending += units;
+        self.even_split -= units;
+        self.ceiling_level -= units;
+        self.unreported += units;
     }
 
     /// Units of a claim that the counter's answer refused. The stores here have them back; the count keeps them until
     /// its window ends, so that it holds what was asked for.
-    pub fn refuse(&mut self, units: f64) {
+    pub fn refund_without_report(&mut self, units: f64) {
         self.level += units;
-        self.split += units;
-        self.ceiling += units;
+        self.even_split += units;
+        self.ceiling_level += units;
     }
 
     /// What an RPC really counted, less what was taken for it. The ceiling goes by the guess, so this leaves it alone.
     /// Differences go either way and are small, so none is worth a call of its own.
     pub fn settle(&mut self, difference: f64) {
         self.level -= difference;
-        self.split -= difference;
-        self.settled += difference;
+        self.even_split -= difference;
+        self.unreported_settlement += difference;
     }
 
     /// Whether a new one would know the same and as much: nothing is out or untold, and all stores are full by now.
-    pub fn is_as_new(&self, now: Nanos, counts: bool) -> bool {
-        let passed = secs(now.saturating_sub(self.at));
-        let least = self.level.min(self.split * self.width) + passed * self.rate;
-        let ceiling = self.ceiling + passed * self.ceiling_rate;
+    pub fn is_pristine(&self, now: Nanos, counts: bool) -> bool {
+        let passed = secs(now.saturating_sub(self.refilled_at));
+        let least = self.level.min(self.even_split * self.gateway_count) + passed * self.rate;
+        let ceiling = self.ceiling_level + passed * self.ceiling_rate;
         let full = least >= self.burst && (ceiling >= self.ceiling_burst || self.ceiling_rate == 0.0);
-        full && self.calls.is_empty() && (self.pending == 0.0 || !counts)
+        full && self.calls.is_empty() && (self.unreported == 0.0 || !counts)
     }
 
     /// For how long nothing was asked of it.
-    pub fn rested(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.at)
+    pub fn idle_for(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.refilled_at)
     }
 
     /// The store as the others have left it by now: since the last total they are taken to have gone on drawing, for a
@@ -152,42 +152,42 @@
     /// hundreds of gateways meet a customer less often than that. Requests (of `units`) that this gateway would have met
     /// since, had the customer gone on, are evidence that it has not: a burst that is over is not held against it.
     /// Harm: a customer that went on at the other gateways alone finds too much room here.
-    pub fn seen(&self, now: Nanos, units: f64) -> f64 {
+    pub fn estimated_level(&self, now: Nanos, units: f64) -> f64 {
         let age = now.saturating_sub(self.read_at);
-        let drawn = self.others * secs(age.min(self.window));
-        let others = (self.width - 1.0).max(1.0);
+        let drawn = self.others_rate * secs(age.min(self.window));
+        let others = (self.gateway_count - 1.0).max(1.0);
         let unseen = secs(age.saturating_sub(self.window));
-        let expected_here = self.others * unseen / (others * units.max(LEAST_REQUEST));
+        let expected_here = self.others_rate * unseen / (others * units.max(MIN_REQUEST_UNITS));
         let silence_by_chance = (-expected_here).exp();
-        let goes_on = silence_by_chance / (silence_by_chance + BURST_ENDS);
+        let goes_on = silence_by_chance / (silence_by_chance + BURST_END_PRIOR);
         self.level - drawn * goes_on
     }
 
     /// The calls that add what is pending and read the total: window and amount of each, and how long their names are to be
     /// remembered.
-    pub fn call(&mut self, now: Nanos) -> (Vec<(u64, f64)>, Nanos) {
+    pub fn start_calls(&mut self, now: Nanos) -> (Vec<(u64, f64)>, Nanos) {
         let window = now / self.window;
-        let old = self.ledgers.back().map(|ledger| ledger.window);
+        let old = self.windows.back().map(|ledger| ledger.window);
         if old != Some(window) {
-            self.settled = 0.0; // it was of a window that is over
-            keep(&mut self.ledgers, Ledger { window, own: 0.0, others: 0.0 }, 2);
+            self.unreported_settlement = 0.0; // it was of a window that is over
+            push_bounded(&mut self.windows, WindowUsage { window, own: 0.0, others: 0.0 }, 2);
         }
         // What the others added to the last window since it was read here would be lost with it.
         let old = old.filter(|old| old + 1 == window && self.level < self.burst / 2.0);
-        self.serial += 1;
-        self.counted_at = now;
-        let add = std::mem::take(&mut self.pending) + std::mem::take(&mut self.settled);
-        let last = Call { window, add, serial: self.serial };
-        let calls = old.map(|window| Call { window, add: 0.0, serial: 0 }).into_iter().chain([last]);
-        let calls: Vec<Call> = calls.collect();
+        self.last_serial += 1;
+        self.called_at = now;
+        let add = std::mem::take(&mut self.unreported) + std::mem::take(&mut self.unreported_settlement);
+        let last = PendingCall { window, add, serial: self.last_serial };
+        let calls = old.map(|window| PendingCall { window, add: 0.0, serial: 0 }).into_iter().chain([last]);
+        let calls: Vec<PendingCall> = calls.collect();
         self.calls.extend(&calls);
-        let forget = (2 * self.window + SEC).min(REMEMBERED);
+        let forget = (2 * self.window + SEC).min(MAX_COUNT_LIFETIME);
         (calls.iter().map(|call| (call.window, call.add)).collect(), forget)
     }
 
     /// A call for a window, told by its number's low `bits`, has ended; gives its serial, 0 for one that only read. Nothing if
     /// none is out.
-    pub fn counted(
+    pub fn complete_call(
         &mut self,
         now: Nanos,
         window: u64,
@@ -197,9 +197,9 @@
         largest: f64,
     ) -> Option<u64> {
         let place = self.calls.iter().position(|call| call.window & bits == window & bits)?;
-        let Call { window, add, serial } = self.calls.remove(place)?;
-        let unread = !self.ledgers.iter().any(|ledger| ledger.window + 1 == window);
-        let ledger = self.ledgers.iter_mut().find(|ledger| ledger.window == window);
+        let PendingCall { window, add, serial } = self.calls.remove(place)?;
+        let unread = !self.windows.iter().any(|ledger| ledger.window + 1 == window);
+        let ledger = self.windows.iter_mut().find(|ledger| ledger.window == window);
         match (how, ledger) {
             (CallOutcome::Ok, Some(ledger)) if total.is_finite() => {
                 let first = unread && ledger.others == 0.0;
@@ -215,23 +215,25 @@
                 self.level -= more;
                 let theirs = (total - ledger.own).max(0.0);
                 // Less what chance adds.
-                self.others = (theirs - (theirs * largest).sqrt()).max(0.0) / since;
+                self.others_rate = (theirs - (theirs * largest).sqrt()).max(0.0) / since;
                 if std::mem::replace(&mut self.read_at, now) == 0 {
-                    self.level = self.burst - total - self.pending - self.settled;
+                    self.level = self.burst - total - self.unreported - self.unreported_settlement;
                 }
                 // Guards against a store that looks full where a customer is met less than once a window:
                 // nothing is known of the use before this window, so it is taken to be as in this one.
                 if first {
-                    let more = (self.others - self.rate).max(0.0);
+                    let more = (self.others_rate - self.rate).max(0.0);
                     let before = more * (since + secs(self.window));
-                    self.level = self.level.min(self.burst - before - self.pending);
+                    self.level = self.level.min(self.burst - before - self.unreported);
                 }
                 if self.level < self.burst / 4.0 {
-                    self.short_at = now;
+                    self.low_at = now;
                 }
             }
             // Nothing was added: the units are still to be told.
-            (CallOutcome::Full | CallOutcome::NoConnection | CallOutcome::NotSent, _) => self.pending += add,
+            (CallOutcome::Full | CallOutcome::NoConnection | CallOutcome::NotSent, _) => {
+                self.unreported += add
+            }
             // It may have counted; taken as counted, so that the others' use is never seen too large.
             (_, Some(ledger)) => ledger.own += add,
             _ => {}
