--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -1,17 +1,17 @@
-//! What the module keeps of an attempt until it ends.
+//! The record of an attempt that is still in flight.
 
 use crate::host::Nanos;
 
 /// An attempt that has not ended yet.
 pub(crate) struct OpenAttempt {
-    /// The server that it went to.
+    /// The server that it was sent to.
     pub server: u32,
-    /// The customer whose RPC it is of.
+    /// The customer whose RPC it serves.
     pub customer: u64,
-    /// When it was asked for.
+    /// When the host was asked to send it.
     pub sent_at: Nanos,
-    /// By when an urgent RPC wants its answer; the end of time for a patient one.
+    /// The soft deadline of an urgent RPC; `Nanos::MAX` for a patient one.
     pub soft_deadline: Nanos,
-    /// Units to give back if its RPC has ended by then and no byte was ever written.
+    /// Units to refund if the RPC has ended by the time this attempt ends and no byte of it was ever written.
     pub refund: f64,
 }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,21 +1,24 @@
-//! A customer's quota as one gateway knows it: the shared store by the last totals and its own draws since, its even split of
-//! that store for when nothing is known of the others, its part of the ceiling, and the calls to the shared counter that
-//! are out. Units throughout; no decision is made here: the module asks what is known, and how old that is.
+//! One gateway's view of a customer's quota.
+//!
+//! It holds three token buckets, all in units: the shared bucket, estimated from the last totals of the shared counter and
+//! from what this gateway has taken since; this gateway's even split of it, used while nothing is known of the other
+//! gateways; and this gateway's share of the ceiling. It also tracks the pending calls to the counter. No decision is made
+//! here: the controller asks how much is left and how old that knowledge is.
 
 use crate::host::{CallOutcome, Nanos};
 use crate::samples::{SEC, nanos, push_bounded, secs};
 use std::collections::VecDeque;
 
-/// A window of the count is as long as the store takes to fill, within these bounds, seconds.
+/// The counter counts in windows. A window is as long as the bucket takes to fill, within these bounds in seconds.
 const WINDOW_SECONDS: std::ops::RangeInclusive<f64> = 1.0..=25.0;
-/// Prior odds that what the others draw ends within the time for which it is not seen.
+/// Prior odds that the other gateways' usage has stopped within the time for which it was not observed.
 const BURST_END_PRIOR: f64 = 0.05;
-/// Units below which a request counts as this large, so that requests that cost nothing are no evidence.
+/// The least size assumed for a request, so that the absence of requests that cost nothing is not taken as evidence.
 const MIN_REQUEST_UNITS: f64 = 0.01;
-/// The longest that the counter can be told to remember a name.
+/// The longest lifetime that can be requested for a count.
 const MAX_COUNT_LIFETIME: Nanos = 60 * SEC;
 
-/// Own adds that counted (or may have) in a window of the count, and others'.
+/// Units counted in one window: those this gateway added (or may have added), and those of the other gateways.
 #[derive(Clone, Copy, Debug)]
 struct WindowUsage {
     window: u64,
@@ -23,7 +26,7 @@
     others: f64,
 }
 
-/// A call to the counter without an answer yet.
+/// A call to the counter that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct PendingCall {
     window: u64,
@@ -31,65 +34,74 @@
     serial: u64,
 }
 
+/// The buckets of one customer at this gateway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Quota {
-    /// How many gateways the customer's RPCs come in through.
+    /// The number of gateways that receive the customer's RPCs.
     pub gateway_count: f64,
-    /// The plan's, and this gateway's part of its ceiling.
+    /// Rate and burst of the plan's quota, and of this gateway's share of its ceiling.
     pub rate: f64,
     pub burst: f64,
     pub ceiling_rate: f64,
     ceiling_burst: f64,
     pub window: Nanos,
-    /// As of `at`: the store as seen here, this gateway's even split of it, and its part of the ceiling.
+    /// Levels as of `refilled_at`: the shared bucket as known here, this gateway's even split of it, and its share of the
+    /// ceiling.
     pub level: f64,
     pub even_split: f64,
     pub ceiling_level: f64,
     refilled_at: Nanos,
-    /// When the last total was read, what the others drew a second by then, and when one last showed the
-    /// store short; 0 is never.
+    /// When the last total was read, the rate at which the other gateways took units by then, and when a total last showed
+    /// a low bucket. A time of 0 means never.
     pub read_at: Nanos,
     others_rate: f64,
     pub low_at: Nanos,
-    /// Units not yet added to the count.
+    /// Units taken but not yet added to the count.
     pub unreported: f64,
-    /// Settled differences, to be told with the window's next call.
+    /// Differences from settlement, to be reported with the next call in the same window.
     unreported_settlement: f64,
     /// The last two windows.
     windows: VecDeque<WindowUsage>,
-    /// Answers for a name come in the order of calls.
+    /// Calls in flight. The answers for one name arrive in the order of the calls.
     calls: VecDeque<PendingCall>,
-    /// Of the last call, and when it was made.
+    /// The serial number of the last call, and when it was made.
     pub last_serial: u64,
     pub called_at: Nanos,
 }
 
 impl Quota {
-    /// The quota of a plan: rate and burst of the store and of the whole ceiling. What is not known is taken as it stood at
-    /// `since`: the store full, the part of the ceiling empty, since an earlier life may have spent it.
-    pub fn new(now: Nanos, since: Nanos, width: f64, store: (f64, f64), ceiling: (f64, f64)) -> Quota {
-        let (rate, burst) = store;
+    /// The quota of a plan, from (rate, burst) of the bucket and of the whole ceiling. Usage before `since` is unknown: at that
+    /// time the bucket is assumed full, and this gateway's share of the ceiling empty, since an earlier incarnation may have
+    /// used it up.
+    pub fn new(
+        now: Nanos,
+        since: Nanos,
+        gateway_count: f64,
+        bucket: (f64, f64),
+        ceiling: (f64, f64),
+    ) -> Quota {
+        let (rate, burst) = bucket;
         let seconds = (burst / rate.max(1e-6)).clamp(*WINDOW_SECONDS.start(), *WINDOW_SECONDS.end());
         Quota {
-            gateway_count: width,
+            gateway_count,
             rate,
             burst,
-            ceiling_rate: ceiling.0 / width,
-            ceiling_burst: ceiling.1 / width,
+            ceiling_rate: ceiling.0 / gateway_count,
+            ceiling_burst: ceiling.1 / gateway_count,
             window: nanos(seconds),
-            level: burst / width,
-            even_split: burst / width,
+            level: burst / gateway_count,
+            even_split: burst / gateway_count,
             refilled_at: since,
             called_at: now,
             ..Quota::default()
         }
     }
 
-    /// Takes on a changed plan: what is drawn stays drawn; with other windows the count is read anew.
+    /// Applies a changed plan. Units taken so far stay taken; if the window length changes, the count is read again.
     pub fn apply_plan(&mut self, plan: &Quota) {
-        let more = plan.burst - self.burst;
-        self.level += if self.read_at == 0 { more / self.gateway_count } else { more };
-        self.even_split += more / self.gateway_count;
+        let added = plan.burst - self.burst;
+        self.level += if self.read_at == 0 { added / self.gateway_count } else { added };
+        self.even_split += added / self.gateway_count;
         self.ceiling_level += plan.ceiling_burst - self.ceiling_burst;
         if self.window != plan.window {
             (self.window, self.read_at, self.windows) = (plan.window, 0, VecDeque::new());
@@ -98,18 +110,18 @@
         (self.ceiling_rate, self.ceiling_burst) = (plan.ceiling_rate, plan.ceiling_burst);
     }
 
-    /// Brings the stores up to now; a part that holds no whole RPC (of `largest` units) may owe one.
-    pub fn refill(&mut self, now: Nanos, largest: f64) {
-        let passed = secs(now.saturating_sub(self.refilled_at));
+    /// Refills the buckets up to now. An even split smaller than one RPC of `largest_request` units may go into debt by one.
+    pub fn refill(&mut self, now: Nanos, largest_request: f64) {
+        let elapsed = secs(now.saturating_sub(self.refilled_at));
         self.refilled_at = now;
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        let part = self.burst / self.gateway_count;
-        let split = self.even_split.max(if part < largest { -largest } else { 0.0 });
-        self.even_split = (split + passed * self.rate / self.gateway_count).min(part);
-        self.ceiling_level = (self.ceiling_level + passed * self.ceiling_rate).min(self.ceiling_burst);
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        let share = self.burst / self.gateway_count;
+        let split = self.even_split.max(if share < largest_request { -largest_request } else { 0.0 });
+        self.even_split = (split + elapsed * self.rate / self.gateway_count).min(share);
+        self.ceiling_level = (self.ceiling_level + elapsed * self.ceiling_rate).min(self.ceiling_burst);
     }
 
-    /// Units for a first call-out, or (below 0) given back.
+    /// Takes the units of an RPC's first attempt, or refunds them if negative.
     pub fn take(&mut self, units: f64) {
         self.level -= units;
         self.even_split -= units;
@@ -117,125 +129,129 @@
         self.unreported += units;
     }
 
-    /// Units of a claim that the counter's answer refused. The stores here have them back; the count keeps them until
-    /// its window ends, so that it holds what was asked for.
+    /// Refunds the units of a claim that the counter's answer did not cover, in this gateway's buckets only. The count keeps
+    /// them until its window ends, so that it holds what was requested.
     pub fn refund_without_report(&mut self, units: f64) {
         self.level += units;
         self.even_split += units;
         self.ceiling_level += units;
     }
 
-    /// What an RPC really counted, less what was taken for it. The ceiling goes by the guess, so this leaves it alone.
-    /// Differences go either way and are small, so none is worth a call of its own.
+    /// Accounts for the difference between an RPC's actual units and the estimate taken for it. The ceiling is enforced on
+    /// estimates, so it is left unchanged. Differences are small and of either sign, so none causes a counter call.
     pub fn settle(&mut self, difference: f64) {
         self.level -= difference;
         self.even_split -= difference;
         self.unreported_settlement += difference;
     }
 
-    /// Whether a new one would know the same and as much: nothing is out or untold, and all stores are full by now.
-    pub fn is_pristine(&self, now: Nanos, counts: bool) -> bool {
-        let passed = secs(now.saturating_sub(self.refilled_at));
-        let least = self.level.min(self.even_split * self.gateway_count) + passed * self.rate;
-        let ceiling = self.ceiling_level + passed * self.ceiling_rate;
-        let full = least >= self.burst && (ceiling >= self.ceiling_burst || self.ceiling_rate == 0.0);
-        full && self.calls.is_empty() && (self.unreported == 0.0 || !counts)
+    /// Whether a new quota would be equivalent: no call is pending, nothing is unreported, and every bucket is full by now.
+    pub fn is_pristine(&self, now: Nanos, has_counter: bool) -> bool {
+        let elapsed = secs(now.saturating_sub(self.refilled_at));
+        let lower = self.level.min(self.even_split * self.gateway_count) + elapsed * self.rate;
+        let ceiling = self.ceiling_level + elapsed * self.ceiling_rate;
+        let full = lower >= self.burst && (ceiling >= self.ceiling_burst || self.ceiling_rate == 0.0);
+        full && self.calls.is_empty() && (self.unreported == 0.0 || !has_counter)
     }
 
-    /// For how long nothing was asked of it.
+    /// The time since the quota was last used.
     pub fn idle_for(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.refilled_at)
     }
 
-    /// The store as the others have left it by now: since the last total they are taken to have gone on drawing, for a
-    /// window at the most. Guards against a store that looks full as soon as its total is older than a window, where
-    /// hundreds of gateways meet a customer less often than that. Requests (of `units`) that this gateway would have met
-    /// since, had the customer gone on, are evidence that it has not: a burst that is over is not held against it.
-    /// Harm: a customer that went on at the other gateways alone finds too much room here.
+    /// The estimated level of the shared bucket now: since the last total, the other gateways are assumed to have continued
+    /// to take units at the same rate, for one window at most.
+    ///
+    /// Without this the bucket would look full as soon as its total is older than a window, which is the usual case where
+    /// hundreds of gateways each serve a customer less than once a window. If the customer had continued, this gateway would
+    /// have received some requests (of `units` each) as well; their absence is evidence that the burst is over and lowers
+    /// the estimate. The cost: a customer that continues only at the other gateways is granted too much here.
     pub fn estimated_level(&self, now: Nanos, units: f64) -> f64 {
         let age = now.saturating_sub(self.read_at);
-        let drawn = self.others_rate * secs(age.min(self.window));
+        let taken = self.others_rate * secs(age.min(self.window));
         let others = (self.gateway_count - 1.0).max(1.0);
-        let unseen = secs(age.saturating_sub(self.window));
-        let expected_here = self.others_rate * unseen / (others * units.max(MIN_REQUEST_UNITS));
+        let unobserved = secs(age.saturating_sub(self.window));
+        let expected_here = self.others_rate * unobserved / (others * units.max(MIN_REQUEST_UNITS));
         let silence_by_chance = (-expected_here).exp();
-        let goes_on = silence_by_chance / (silence_by_chance + BURST_END_PRIOR);
-        self.level - drawn * goes_on
+        let continues = silence_by_chance / (silence_by_chance + BURST_END_PRIOR);
+        self.level - taken * continues
     }
 
-    /// The calls that add what is pending and read the total: window and amount of each, and how long their names are to be
-    /// remembered.
+    /// Starts the calls that add the unreported units and read the total. Returns the window and amount of each call, and the
+    /// lifetime to request for the counts.
     pub fn start_calls(&mut self, now: Nanos) -> (Vec<(u64, f64)>, Nanos) {
         let window = now / self.window;
-        let old = self.windows.back().map(|ledger| ledger.window);
-        if old != Some(window) {
-            self.unreported_settlement = 0.0; // it was of a window that is over
+        let previous = self.windows.back().map(|usage| usage.window);
+        if previous != Some(window) {
+            self.unreported_settlement = 0.0; // it belongs to a window that has ended
             push_bounded(&mut self.windows, WindowUsage { window, own: 0.0, others: 0.0 }, 2);
         }
-        // What the others added to the last window since it was read here would be lost with it.
-        let old = old.filter(|old| old + 1 == window && self.level < self.burst / 2.0);
+        // The previous window is read once more: otherwise units that other gateways added to it since the last read would
+        // never be seen here.
+        let previous = previous.filter(|previous| previous + 1 == window && self.level < self.burst / 2.0);
         self.last_serial += 1;
         self.called_at = now;
         let add = std::mem::take(&mut self.unreported) + std::mem::take(&mut self.unreported_settlement);
         let last = PendingCall { window, add, serial: self.last_serial };
-        let calls = old.map(|window| PendingCall { window, add: 0.0, serial: 0 }).into_iter().chain([last]);
+        let calls =
+            previous.map(|window| PendingCall { window, add: 0.0, serial: 0 }).into_iter().chain([last]);
         let calls: Vec<PendingCall> = calls.collect();
         self.calls.extend(&calls);
         let forget = (2 * self.window + SEC).min(MAX_COUNT_LIFETIME);
         (calls.iter().map(|call| (call.window, call.add)).collect(), forget)
     }
 
-    /// A call for a window, told by its number's low `bits`, has ended; gives its serial, 0 for one that only read. Nothing if
-    /// none is out.
+    /// Records the end of the oldest pending call for a window, which is identified by the bits of its number in `mask`. Returns
+    /// the call's serial number (0 if it only read), or `None` if no such call is pending.
     pub fn complete_call(
         &mut self,
         now: Nanos,
         window: u64,
-        bits: u64,
-        how: CallOutcome,
+        mask: u64,
+        outcome: CallOutcome,
         total: f64,
-        largest: f64,
+        largest_request: f64,
     ) -> Option<u64> {
-        let place = self.calls.iter().position(|call| call.window & bits == window & bits)?;
-        let PendingCall { window, add, serial } = self.calls.remove(place)?;
-        let unread = !self.windows.iter().any(|ledger| ledger.window + 1 == window);
-        let ledger = self.windows.iter_mut().find(|ledger| ledger.window == window);
-        match (how, ledger) {
-            (CallOutcome::Ok, Some(ledger)) if total.is_finite() => {
-                let first = unread && ledger.others == 0.0;
-                ledger.own += add;
-                if total + 0.01 + 1e-5 * total.abs() < ledger.own {
-                    // Guards against a counter that came back empty and timed-out adds that did not count:
-                    // this total says nothing of the others' use and is only where to count on from.
-                    (ledger.own, ledger.others) = (add, total - add);
+        let position = self.calls.iter().position(|call| call.window & mask == window & mask)?;
+        let PendingCall { window, add, serial } = self.calls.remove(position)?;
+        let no_previous_window = !self.windows.iter().any(|usage| usage.window + 1 == window);
+        let usage = self.windows.iter_mut().find(|usage| usage.window == window);
+        match (outcome, usage) {
+            (CallOutcome::Ok, Some(usage)) if total.is_finite() => {
+                let is_first_read = no_previous_window && usage.others == 0.0;
+                usage.own += add;
+                if total + 0.01 + 1e-5 * total.abs() < usage.own {
+                    // The counter restarted empty, or adds that timed out were not counted. This total says nothing
+                    // about the other gateways' usage and only serves as the new baseline.
+                    (usage.own, usage.others) = (add, total - add);
                 }
-                let since = secs((now % self.window).max(self.window / 4));
-                let more = total - ledger.own - ledger.others;
-                ledger.others += more;
-                self.level -= more;
-                let theirs = (total - ledger.own).max(0.0);
-                // Less what chance adds.
-                self.others_rate = (theirs - (theirs * largest).sqrt()).max(0.0) / since;
+                let elapsed = secs((now % self.window).max(self.window / 4));
+                let increase = total - usage.own - usage.others;
+                usage.others += increase;
+                self.level -= increase;
+                let by_others = (total - usage.own).max(0.0);
+                // Reduced by one standard deviation of random arrivals, so that chance is not taken for a rate.
+                self.others_rate = (by_others - (by_others * largest_request).sqrt()).max(0.0) / elapsed;
                 if std::mem::replace(&mut self.read_at, now) == 0 {
                     self.level = self.burst - total - self.unreported - self.unreported_settlement;
                 }
-                // Guards against a store that looks full where a customer is met less than once a window:
-                // nothing is known of the use before this window, so it is taken to be as in this one.
-                if first {
-                    let more = (self.others_rate - self.rate).max(0.0);
-                    let before = more * (since + secs(self.window));
+                // Nothing is known of the usage before this window, so the same usage is assumed. Otherwise the bucket would
+                // look full where a gateway serves a customer less than once a window.
+                if is_first_read {
+                    let excess_rate = (self.others_rate - self.rate).max(0.0);
+                    let before = excess_rate * (elapsed + secs(self.window));
                     self.level = self.level.min(self.burst - before - self.unreported);
                 }
                 if self.level < self.burst / 4.0 {
                     self.low_at = now;
                 }
             }
-            // Nothing was added: the units are still to be told.
+            // Nothing was added: the units remain unreported.
             (CallOutcome::Full | CallOutcome::NoConnection | CallOutcome::NotSent, _) => {
                 self.unreported += add
             }
-            // It may have counted; taken as counted, so that the others' use is never seen too large.
-            (_, Some(ledger)) => ledger.own += add,
+            // The add may have been counted. It is assumed counted, so that the other gateways' usage is never overestimated.
+            (_, Some(usage)) => usage.own += add,
             _ => {}
         }
         Some(serial)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The service's settings as the module reads them: nested JSON (or anything serde can turn into it, such as a TOML
-//! table) flattened into `path=value`. Shared by the gateway's configuration and the lab's scenarios.
+//! Flattens nested JSON (or anything serde can convert to it, such as a TOML table) into the `path=value` settings that the
+//! admission controller reads. Shared by the gateway's configuration and the lab's scenarios.
 
 use crate::host::Settings;
 use serde_json::{Map, Value};
 
-/// Nested settings as the module gets them: a list of plain values joined with commas, a list of objects as
-/// its length under `.count` and its items under their numbers; spaces and commas within values become `_`.
+/// Flattens nested settings. A list of plain values is joined with commas. A list of objects becomes its length under
+/// `.count` and its items under their indices. Spaces and commas within values become `_`.
 ///
 /// ```
 /// let nested = serde_json::json!({"zone": 1, "a": {"hasCounter": true}, "zones": ["x y", "z"],
@@ -17,29 +17,29 @@
 /// ```
 pub fn flatten(nested: &Map<String, Value>) -> Settings {
     let mut flat = Settings::new();
-    nested.iter().for_each(|(name, value)| put(&mut flat, name, value));
+    nested.iter().for_each(|(name, value)| insert(&mut flat, name, value));
     flat
 }
 
-fn put(flat: &mut Settings, path: &str, value: &Value) {
+fn insert(flat: &mut Settings, path: &str, value: &Value) {
     match value {
         Value::Null => {}
         Value::Object(entries) => {
-            entries.iter().for_each(|(name, value)| put(flat, &format!("{path}.{name}"), value));
+            entries.iter().for_each(|(name, value)| insert(flat, &format!("{path}.{name}"), value));
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
             flat.insert(format!("{path}.count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(at, item)| put(flat, &format!("{path}.{at}"), item));
+            items.iter().enumerate().for_each(|(index, item)| insert(flat, &format!("{path}.{index}"), item));
         }
         Value::Array(items) => {
-            let plain: Vec<String> = items.iter().map(plain).collect();
-            flat.insert(path.to_string(), plain.join(","));
+            let values: Vec<String> = items.iter().map(plain_text).collect();
+            flat.insert(path.to_string(), values.join(","));
         }
-        value => drop(flat.insert(path.to_string(), plain(value))),
+        value => drop(flat.insert(path.to_string(), plain_text(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     text.replace([' ', ','], "_")
 }
