--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,5 +1,8 @@
-//! Every decision of the gateway. A host makes one `AdmissionController` for each life and tells it what happens; each call
-//! answers through the `Host` it is given. Start reading at `advance`, the path of an RPC.
+//! The admission controller, which makes every decision of a gateway: when an RPC is sent, to which server, and whether it is
+//! retried, rejected or aborted.
+//!
+//! A host creates one [`AdmissionController`] for each incarnation of a gateway and passes events to it. Each event handler
+//! makes its requests through the [`Host`] it is given. `advance`, the path of an RPC, is the best place to start reading.
 
 use crate::attempts::OpenAttempt;
 use crate::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Host, Nanos, Settings};
@@ -14,35 +17,43 @@
 mod server_list;
 mod server_selection;
 
-/// From the design: the reserve line, and when the brake acts.
+/// The reserve line as a share of the burst, and the conditions for throttling patient RPCs, all as specified in the design.
 const RESERVE_SHARE: f64 = 0.3;
-const BRAKE_WINDOW: Nanos = 10 * SEC;
-const BRAKE_MIN_SAMPLES: usize = 20;
-const BRAKE_REJECTED_SHARE: f64 = 0.005;
-/// How many of the last samples are kept, and how long they speak for now.
+const THROTTLE_WINDOW: Nanos = 10 * SEC;
+const THROTTLE_MIN_SAMPLES: usize = 20;
+const THROTTLE_REJECTED_SHARE: f64 = 0.005;
+/// How many recent samples are kept, and for how long a sample is considered current.
 const SAMPLES_KEPT: usize = 32;
 const SAMPLE_LIFETIME: Nanos = 5 * SEC;
-/// How much of its soft deadline an RPC may be expected to take in the servers when it is sent.
+/// The largest share of its soft timeout that an RPC may be expected to spend at the servers when it is sent.
 const PATIENT_WAIT_SHARE: f64 = 0.3;
 const URGENT_WAIT_SHARE: f64 = 0.45;
-const RECHECK_INTERVAL: Nanos = 25 * MS; // until an RPC held for want of a server, or by the brake, is looked at again
+/// The delay before an RPC that is held for lack of a server, or by throttling, is checked again.
+const RECHECK_INTERVAL: Nanos = 25 * MS;
+/// The entry in `timers` for the next call to the counter, in place of a customer.
 const COUNTER_TIMER: u64 = u64::MAX;
-const LONG_QUEUE_LEN: usize = 8; // RPCs of a customer that wait
-const WINDOW_MASK: u64 = 0x7fff_ffff; // of a count's name, below the customer
-const COUNTER_RESULTS_KEPT: usize = 8; // ends of count calls
-const GAP_DECAY_DIVISOR: Nanos = 100; // an answer narrows the gap between count calls by this part of it
-const SILENT_AFTER_MISSES: usize = 3; // of them, the last without an answer
-/// A gateway's part of the servers: each is met about so often, and by so many gateways at the least.
+/// Queues of more RPCs than this are checked only once for each instant of time.
+const LONG_QUEUE_LEN: usize = 8;
+/// The bits of a count's name that hold the window; the bits above hold the customer.
+const WINDOW_MASK: u64 = 0x7fff_ffff;
+/// How many results of counter calls are kept.
+const COUNTER_RESULTS_KEPT: usize = 8;
+/// Each answer of the counter narrows the gap between calls by this fraction of it.
+const GAP_DECAY_DIVISOR: Nanos = 100;
+/// The counter is considered silent after this many calls in a row without an answer.
+const SILENT_AFTER_MISSES: usize = 3;
+/// A gateway's subset of the servers: how often it should use each of them, and how many gateways use each server at least.
 const REVISIT_INTERVAL: Nanos = SEC;
 const SUBSETS_PER_SERVER: f64 = 18.0;
-/// After working a subset out none is begun for so long, for each unit of the work, and for this at most: of a long list that
-/// changes all the time, many changes are taken at once.
+/// After a subset has been computed, the next computation pauses for this long for each unit of work done, up to a maximum.
+/// With a long list that changes all the time, this batches many changes into one computation.
 const PAUSE_PER_WORK_UNIT: Nanos = 250;
 const MAX_WORK_PAUSE: Nanos = SEC;
-/// A service that was not asked for in this time is dropped when another is asked for first.
+/// A service that was not requested for this long is dropped when another one is requested for the first time.
 const UNUSED_SERVICE_TTL: Nanos = 600 * SEC;
 
-/// Where an RPC stands: `Held` waits for room, a server or the brake, `Claiming` for the counter's word.
+/// The state of an RPC. `Held` waits for quota, a server or the end of throttling; `Claiming` waits for the counter to confirm
+/// its units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum RpcState {
     #[default]
@@ -56,30 +67,31 @@
 #[derive(Default)]
 struct Rpc {
     state: RpcState,
-    settings: Arc<Settings>, // those it came in under
+    settings: Arc<Settings>, // as of its arrival
     method: u16,
     customer: u64,
     service: u32,
     units: f64,
     urgency: f64,
     patient: bool,
-    soft_deadline: Nanos, // by when an answer is wanted, and never later than the client's deadline
+    soft_deadline: Nanos, // when the answer is due; never later than the client's deadline
     soft_timeout: Nanos,
-    units_taken: bool, // its units are taken from the store; a further call-out takes none
-    written: bool,     // an attempt's bytes went out, or may have
-    claim_serial: u64, // the count call that carries it
+    units_taken: bool, // from the quota; a retry takes none
+    written: bool,     // bytes of an attempt were sent, or may have been
+    claim_serial: u64, // of the counter call that reports its units
     attempts: u64,
-    first_run: Option<(Nanos, u16, u16)>, // the first call-out that may have run: when sent, and where to
+    first_run: Option<(Nanos, u16, u16)>, // the first attempt that may have run: when it was sent, zone and cell
 }
 
 impl Rpc {
-    /// Whether its method is told to be so. What is neither idempotent (`free`) nor deduplicated (`guarded`),
-    /// or not told, must never run twice.
+    /// Whether a setting of the RPC's method has the given value. A method whose `idempotency` is neither `free` (idempotent)
+    /// nor `guarded` (deduplicated), or is not set, must never run twice.
     fn setting_is(&self, name: &str, value: &str) -> bool {
         self.settings.get(&format!("classes.{}.{name}", self.method)).is_some_and(|text| text == value)
     }
 
-    /// Before when it may run once more: only after proof that nothing ran, or as the method allows.
+    /// The time before which the RPC may run again. There is no limit if it is proven that no attempt ran, or if the method is
+    /// idempotent; a deduplicated method allows it within its window, any other never.
     fn repeat_deadline(&self) -> Nanos {
         let ran = self.first_run.filter(|_| !self.setting_is("idempotency", "free"));
         let window = nanos(number_setting(&self.settings, &format!("classes.{}.window", self.method), 0.0));
@@ -93,94 +105,100 @@
 #[derive(Clone, Default)]
 struct Customer {
     quota: Quota,
-    max_open_attempts: u64, // call-outs open at once, this gateway's part of the cap; 0 is none
+    max_open_attempts: u64, // this gateway's share of the plan's limit; 0 means unlimited
     may_borrow: bool,
     open_attempts: u64,
-    queue: Vec<u32>, // ids of held and claiming RPCs, most urgent first, then as they came
+    queue: Vec<u32>, // IDs of held and claiming RPCs, most urgent first, then in order of arrival
     timer_at: Nanos,
     checked_at: Nanos,
-    urgent_outcomes: VecDeque<(Nanos, bool)>, // outcomes: when, and whether pushed back for lack of quota
+    urgent_outcomes: VecDeque<(Nanos, bool)>, // of urgent RPCs: when, and whether rejected for lack of quota
 }
 
 impl Customer {
-    /// The reserve line: patient RPCs leave this much of the burst.
+    /// The reserve line: the level below which patient RPCs may not take units. It falls linearly over the window.
     fn reserve_line(&self, now: Nanos, patient: bool) -> f64 {
-        let left = 1.0 - (now % self.quota.window) as f64 / self.quota.window as f64;
-        if patient { RESERVE_SHARE * self.quota.burst * left } else { 0.0 }
+        let window_left = 1.0 - (now % self.quota.window) as f64 / self.quota.window as f64;
+        if patient { RESERVE_SHARE * self.quota.burst * window_left } else { 0.0 }
     }
 }
 
 #[derive(Default)]
 struct Server {
     entry: DiscoveredServer,
-    open_attempts: VecDeque<(u32, u16, Nanos)>, // oldest first: RPC, number, and when sent
-    results: VecDeque<(Nanos, Nanos, bool)>,    // the last: when, after how long, and whether ok
-    cold_gap: (Nanos, f64), // while cold: since when the next call-out waits, and for what part of the gap
-    reported_load: (Nanos, f64), // RPCs held there by all gateways, as it told last, and when
+    open_attempts: VecDeque<(u32, u16, Nanos)>, // oldest first: RPC, attempt number, and when it was sent
+    results: VecDeque<(Nanos, Nanos, bool)>,    // recent ones: when, duration, and success
+    cold_gap: (Nanos, f64), // while cold: when the gap before the next attempt began, and which fraction of it applies
+    reported_load: (Nanos, f64), // last report: when, and the RPCs of all gateways that the server holds
 }
 
 impl Server {
-    /// Its oldest call-out is open for far longer than answers take now; if all are slow, none hangs.
+    /// Whether its oldest attempt has been open for far longer than answers take at present. If every server is slow, none
+    /// counts as hanging.
     fn is_hanging(&self, now: Nanos, typical: Nanos) -> bool {
         self.open_attempts.front().is_some_and(|open| now - open.2 > (6 * typical).max(500 * MS))
     }
 
-    /// Guards against a server that is down, cut off, full or erring: it rests, longer with each miss and
-    /// with more gateways, which try it together, then is tried singly. Harm: a short fault idles it.
-    fn is_backing_off(&self, now: Nanos, gateways: f64) -> bool {
-        let misses = self.results.iter().rev().take_while(|end| !end.2).count();
-        let rest = (((50 * MS) << misses.min(5)) as f64 * (gateways / 3.0).max(1.0)) as Nanos;
-        let until = self.results.back().map_or(0, |end| end.0 + rest.min(2 * SAMPLE_LIFETIME));
-        misses > 0 && (now < until || !self.open_attempts.is_empty())
+    /// Whether the server is in backoff after failures, because it is down, unreachable, full or returns errors. The backoff
+    /// grows with each failure and with the number of gateways, since all of them try the server again. Afterwards it gets
+    /// one attempt at a time until one succeeds. The cost: a short fault leaves the server idle for longer than it lasted.
+    fn is_backing_off(&self, now: Nanos, gateway_count: f64) -> bool {
+        let failures = self.results.iter().rev().take_while(|result| !result.2).count();
+        let backoff = (((50 * MS) << failures.min(5)) as f64 * (gateway_count / 3.0).max(1.0)) as Nanos;
+        let until = self.results.back().map_or(0, |result| result.0 + backoff.min(2 * SAMPLE_LIFETIME));
+        failures > 0 && (now < until || !self.open_attempts.is_empty())
     }
 }
 
-/// A service that this gateway was asked for.
+/// A service that this gateway received RPCs for.
 #[derive(Default)]
 struct Service {
-    subsetter: Subsetter, // its servers that new work may go to, first this gateway's subset
+    subsetter: Subsetter, // the servers that may get new RPCs, this gateway's subset first
     last_used: Nanos,
-    run_ends: VecDeque<Nanos>, // of call-outs that may have run
-    /// Units of work on the subset at hand, and until when none is begun.
+    run_ends: VecDeque<Nanos>, // when recent attempts that may have run ended
+    /// Units of work done on the current subset computation, and when the next one may begin.
     work_done: usize,
     resume_at: Nanos,
 }
 
-/// Endpoints of a service that are no longer ready, and that are ready now.
+/// The servers of a service that are no longer ready, and those that became ready.
 #[derive(Default)]
 struct ServiceChange {
     removed: Vec<u32>,
     added: Vec<u32>,
 }
 
+/// Makes the decisions of one incarnation of a gateway.
 #[derive(Default)]
 pub struct AdmissionController {
     settings: Arc<Settings>,
     rng: fastrand::Rng,
-    /// When this life began: its part of a ceiling is empty then, since an earlier life may have spent it.
+    /// When this incarnation began. Its share of each ceiling is empty at that time, since an earlier incarnation may have
+    /// used it up.
     started_at: Option<Nanos>,
     servers: BTreeMap<u32, Server>,
     ready_servers: BTreeMap<u32, BTreeSet<u32>>, // by service
-    draining: BTreeSet<u32>,                     // not ready, and with call-outs open
+    draining: BTreeSet<u32>,                     // not ready; forgotten when their last attempt has ended
     services: BTreeMap<u32, Service>,
     salt: u64,
     customers: HashMap<u64, Customer>,
-    customer_limit: usize, // before those are forgotten that can be
+    customer_limit: usize, // above it, customers that need not be remembered are removed
     rpcs: HashMap<u32, Rpc>,
-    /// Attempts without an end yet, by RPC and number.
+    /// Attempts in flight, by RPC and attempt number.
     open_attempts: BTreeMap<(u32, u16), OpenAttempt>,
-    timers: HashMap<u32, u64>, // for which customer, or what else
+    timers: HashMap<u32, u64>, // by token: a customer, or `COUNTER_TIMER`
     next_timer_token: u32,
-    results: VecDeque<(Nanos, Nanos, bool)>, // of all that may have run: when, after how long, and whether ok
-    urgent_latencies: VecDeque<(Nanos, f64)>, // ends of urgent ones: when, and latency over soft deadline
-    /// Worked out once an instant: the wait that one more has, the latency part of the brake, and `typical`.
+    results: VecDeque<(Nanos, Nanos, bool)>, // of attempts that may have run: when, duration, and success
+    urgent_latencies: VecDeque<(Nanos, f64)>, // of urgent RPCs: when, and latency as a multiple of the soft timeout
+    /// Values computed once for each instant: the expected wait of one more RPC, whether latency requires throttling, and the
+    /// typical latency of an attempt.
     expected_wait: (Nanos, f64),
-    latency_brake: (Nanos, bool),
+    latency_throttle: (Nanos, bool),
     typical_latency: (Nanos, Nanos),
-    /// Until when a service's method that found no server finds none, unless an attempt ends or the list
-    /// changes: to look at all servers for each customer that waits would take a small gateway's core.
+    /// By service and method: until when a search for a server that found none is not repeated, unless an attempt ends or the
+    /// list changes. Searching all servers for every waiting customer would use up the core of a small gateway.
     no_server_until: BTreeMap<(u32, u16), Nanos>,
-    /// Last ends of count calls, when the next is free, after what gap, and the customers waiting for one.
+    /// Calls to the counter: whether recent ones were answered, when the next one is allowed, the gap between two calls, when
+    /// the timer for the next one is due, and the customers waiting for one.
     counter_results: VecDeque<bool>,
     counter_free_at: Nanos,
     counter_gap: Nanos,
@@ -190,29 +208,25 @@
 
 impl AdmissionController {
     pub fn new(seed: u64, settings: Settings) -> Self {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let salt = chance.u64(..);
-        let mut brain = AdmissionController {
-            settings: Arc::new(settings),
-            rng: chance,
-            salt,
-            ..AdmissionController::default()
-        };
-        brain.use_service(0, 0);
-        brain
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let salt = rng.u64(..);
+        let mut controller =
+            AdmissionController { settings: Arc::new(settings), rng, salt, ..AdmissionController::default() };
+        controller.use_service(0, 0);
+        controller
     }
 
-    /// Other settings hold now. RPCs that are here keep theirs; customers follow with their next RPC.
+    /// Applies new settings. RPCs that have already arrived keep their own; a customer's quota changes with its next RPC.
     pub fn update_settings(&mut self, now: Nanos, settings: Settings) {
         self.settings = Arc::new(settings);
         self.no_server_until.clear();
         let gateways = self.gateway_count() as usize;
         self.services.values_mut().for_each(|service| service.subsetter.resize(gateways));
         let services: Vec<u32> = self.services.keys().copied().collect();
-        services.into_iter().for_each(|at| self.rebuild_subset(now, at));
+        services.into_iter().for_each(|service| self.rebuild_subset(now, service));
     }
 
-    // ---- Settings: each is picked where it is needed; what is missing or can't be read takes the default.
+    // ---- Settings are read where they are needed. A missing or unreadable value takes the default.
 
     fn setting(&self, name: &str, default: f64) -> f64 {
         number_setting(&self.settings, name, default)
@@ -230,21 +244,22 @@
         self.settings.get(name).is_some_and(|text| text == "true")
     }
 
-    /// Utility lost for each second waited: what patience is judged by, from the settings alone.
+    /// The utility that a method loses with each second of waiting. It decides which methods count as patient.
     fn urgency(&self, method: u16) -> f64 {
         self.method_setting(method, "credit", 1.0) / self.method_setting(method, "onTime", 1.0).max(1e-3)
     }
 
+    /// An RPC arrived.
     pub fn on_arrival(&mut self, host: &mut dyn Host, now: Nanos, arrival: &Arrival) {
         self.use_service(now, arrival.service);
         let plan = |name: &str, default| self.setting(&format!("tariffs.{}.{name}", arrival.plan), default);
-        let (width, store) =
+        let (gateway_count, bucket) =
             (f64::from(arrival.gateway_count.max(1)), (plan("perSecond", 0.0), plan("depth", 0.0)));
         let ceiling = (plan("ceilingRate", 0.0), plan("hardBurst", 0.0));
-        let made = Customer {
-            quota: Quota::new(now, self.started_at.unwrap_or(now), width, store, ceiling),
-            max_open_attempts: (plan("maxOut", 0.0) / width).ceil() as u64,
-            // Soft plans, where use beyond the quota earns more than it costs, may borrow a burst while calm.
+        let new_customer = Customer {
+            quota: Quota::new(now, self.started_at.unwrap_or(now), gateway_count, bucket, ceiling),
+            max_open_attempts: (plan("maxOut", 0.0) / gateway_count).ceil() as u64,
+            // Plans whose usage beyond the quota earns more than it costs may borrow one burst while there is no throttling.
             may_borrow: plan("overWorth", 0.0) > plan("beyondCosts", 1.0),
             timer_at: Nanos::MAX,
             ..Customer::default()
@@ -252,14 +267,15 @@
         if self.customers.len() > self.customer_limit {
             self.forget_customers(now);
         }
-        self.customers.entry(arrival.customer).or_insert_with(|| made.clone());
+        self.customers.entry(arrival.customer).or_insert_with(|| new_customer.clone());
         let customer = self.customer(now, arrival.customer);
-        customer.quota.apply_plan(&made.quota);
-        (customer.max_open_attempts, customer.may_borrow) = (made.max_open_attempts, made.may_borrow);
+        customer.quota.apply_plan(&new_customer.quota);
+        (customer.max_open_attempts, customer.may_borrow) =
+            (new_customer.max_open_attempts, new_customer.may_borrow);
         let methods = self.setting("classes.count", 1.0) as u16;
-        let most_urgent = (0..methods).map(|method| self.urgency(method)).fold(0.0, f64::max);
+        let max_urgency = (0..methods).map(|method| self.urgency(method)).fold(0.0, f64::max);
         let urgency = self.urgency(arrival.method);
-        let soft = nanos(self.method_setting(arrival.method, "onTime", 1.0));
+        let soft_timeout = nanos(self.method_setting(arrival.method, "onTime", 1.0));
         let rpc = Rpc {
             settings: self.settings.clone(),
             method: arrival.method,
@@ -267,9 +283,9 @@
             service: arrival.service,
             units: arrival.units.max(0.0),
             urgency,
-            patient: urgency < most_urgent / 2.0,
-            soft_deadline: (now + soft).min(arrival.deadline),
-            soft_timeout: soft,
+            patient: urgency < max_urgency / 2.0,
+            soft_deadline: (now + soft_timeout).min(arrival.deadline),
+            soft_timeout,
             ..Rpc::default()
         };
         self.rpcs.insert(arrival.id, rpc);
@@ -277,13 +293,14 @@
         self.advance_queue(host, now, arrival.customer);
     }
 
-    /// Forgets customers that would stand the same if they were new; called when their number has doubled.
+    /// Removes customers whose state is equivalent to that of a new one. Called whenever the number of customers has doubled.
     fn forget_customers(&mut self, now: Nanos) {
-        let (counts, to_count) = (self.is_enabled("extra.hasCounter"), &self.counter_queue);
-        self.customers.retain(|key, at| {
-            let rests = at.open_attempts == 0 && at.queue.is_empty() && !to_count.contains(key);
-            let long = at.quota.idle_for(now) > BRAKE_WINDOW + 2 * at.quota.window;
-            !(rests && long && at.quota.is_pristine(now, counts))
+        let (has_counter, counter_queue) = (self.is_enabled("extra.hasCounter"), &self.counter_queue);
+        self.customers.retain(|key, customer| {
+            let idle =
+                customer.open_attempts == 0 && customer.queue.is_empty() && !counter_queue.contains(key);
+            let long = customer.quota.idle_for(now) > THROTTLE_WINDOW + 2 * customer.quota.window;
+            !(idle && long && customer.quota.is_pristine(now, has_counter))
         });
         self.customer_limit = 2 * self.customers.len().max(32);
     }
@@ -292,18 +309,20 @@
         self.customers.len()
     }
 
-    /// The process ends: what is here has its final answer by this time.
-    pub fn shut_down_by(&mut self, host: &mut dyn Host, now: Nanos, at: Nanos) {
-        self.rpcs.values_mut().for_each(|rpc| rpc.soft_deadline = rpc.soft_deadline.min(at));
+    /// The process is shutting down: every RPC gets its final answer by this deadline.
+    pub fn shut_down_by(&mut self, host: &mut dyn Host, now: Nanos, deadline: Nanos) {
+        self.rpcs.values_mut().for_each(|rpc| rpc.soft_deadline = rpc.soft_deadline.min(deadline));
         let queued = self.customers.iter().filter(|(_, customer)| !customer.queue.is_empty());
         let waiting: BTreeSet<u64> = queued.map(|(key, _)| *key).collect();
-        waiting.into_iter().for_each(|key| self.schedule_customer(host, now, key, at));
+        waiting.into_iter().for_each(|key| self.schedule_customer(host, now, key, deadline));
     }
 
+    /// A client stopped waiting for its RPC.
     pub fn on_client_left(&mut self, id: u32) {
         self.set_state(id, RpcState::Ended);
     }
 
+    /// A timer that was set through the host has expired.
     pub fn on_timer(&mut self, host: &mut dyn Host, now: Nanos, token: u32) {
         match self.timers.remove(&token) {
             Some(COUNTER_TIMER) => self.call_counter_for_next(host, now),
@@ -316,7 +335,8 @@
         }
     }
 
-    /// Every change of state goes through here, and so does what hangs on it.
+    /// Changes the state of an RPC and keeps the queue, the quota and the set of RPCs consistent with it. Every change of state
+    /// goes through this function.
     fn set_state(&mut self, id: u32, to: RpcState) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let was = std::mem::replace(&mut rpc.state, to);
@@ -324,129 +344,128 @@
         let (urgency, units) = (rpc.urgency, rpc.units);
         let Some(customer) = self.customers.get_mut(&rpc.customer) else { return };
         if to == RpcState::Ended && rpc.units_taken && !rpc.written && was != RpcState::InFlight {
-            customer.quota.take(-units); // never sent, so not counted by anybody
+            customer.quota.take(-units); // refund: it was never sent, so no server has counted it
         }
         if queued(was) && !queued(to) {
             customer.queue.retain(|other| *other != id);
         } else if !queued(was) && queued(to) {
             let ahead = |other: &u32| self.rpcs.get(other).is_some_and(|other| other.urgency >= urgency);
-            let place = customer.queue.partition_point(ahead);
-            customer.queue.insert(place, id);
+            let index = customer.queue.partition_point(ahead);
+            customer.queue.insert(index, id);
         }
         if to == RpcState::Ended {
             self.rpcs.remove(&id);
         }
     }
 
-    /// Takes a held RPC as far as it can go now and says when to look again; `ahead` units go first.
-    fn advance(&mut self, host: &mut dyn Host, now: Nanos, id: u32, ahead: &mut f64) -> Nanos {
+    /// Advances a held RPC as far as possible now, and returns when to check it again. `units_ahead` are the units of the RPCs
+    /// before it in the queue, which take precedence.
+    fn advance(&mut self, host: &mut dyn Host, now: Nanos, id: u32, units_ahead: &mut f64) -> Nanos {
         let Some(rpc) = self.rpcs.get(&id) else { return Nanos::MAX };
-        let Rpc {
-            customer: key,
-            service,
-            method,
-            units,
-            soft_timeout: soft,
-            patient,
-            units_taken: drawn,
-            ..
-        } = *rpc;
-        let ran = rpc.first_run.is_some(); // and bound to a group, maybe
-        // Too little time left for an answer in time, or no further call-out allowed: it ends here.
+        let Rpc { customer: key, service, method, units, soft_timeout, patient, units_taken, .. } = *rpc;
+        let ran = rpc.first_run.is_some(); // and may therefore be bound to a group of servers
+        // Give up if too little time is left for an answer in time, or if no further attempt is allowed.
         let latest = self.latest_send_time(now, rpc);
         if now >= latest || self.attempts_left(rpc) == 0 || now >= rpc.repeat_deadline() {
             return self.finish(host, now, id, 0);
         }
-        // Room: the customer's store, down to the reserve line if the RPC is patient.
-        let mut thin = false;
-        if !drawn {
-            let room_at = self.quota_available_at(now, key, units, *ahead, patient);
-            if room_at > now {
-                *ahead += units;
-                if room_at > latest {
-                    // With this gateway's part of a ceiling spent, another of the set may have room now.
+        // Quota: the customer's bucket, down to the reserve line if the RPC is patient.
+        let mut needs_claim = false;
+        if !units_taken {
+            let available_at = self.quota_available_at(now, key, units, *units_ahead, patient);
+            if available_at > now {
+                *units_ahead += units;
+                if available_at > latest {
+                    // If it is this gateway's share of the ceiling that is used up, another gateway may have room now.
                     let own = &self.customers[&key];
-                    let part = own.quota.ceiling_rate > 0.0
+                    let is_ceiling_share = own.quota.ceiling_rate > 0.0
                         && own.quota.ceiling_level < units
                         && own.quota.gateway_count > 1.0;
-                    return self.finish(host, now, id, if part { RECHECK_INTERVAL } else { room_at - now });
+                    return self.finish(
+                        host,
+                        now,
+                        id,
+                        if is_ceiling_share { RECHECK_INTERVAL } else { available_at - now },
+                    );
                 }
-                return room_at;
+                return available_at;
             }
-            thin = self.needs_claim(now, key, units + *ahead, patient);
+            needs_claim = self.needs_claim(now, key, units + *units_ahead, patient);
         }
-        // A server that can take it, unless the brake holds or all are crowded.
-        let crowded = self.is_crowded(now, soft, patient);
-        let held = !drawn && patient && self.is_braked(now, key);
-        let most = secs(soft) * if patient { PATIENT_WAIT_SHARE } else { URGENT_WAIT_SHARE };
+        // Select a server that can take the RPC, unless it is throttled or all servers are crowded.
+        let crowded = self.is_crowded(now, soft_timeout, patient);
+        let held = !units_taken && patient && self.is_throttled(now, key);
+        let max_latency = secs(soft_timeout) * if patient { PATIENT_WAIT_SHARE } else { URGENT_WAIT_SHARE };
         let held =
             held || !ran && self.no_server_until.get(&(service, method)).is_some_and(|until| now < *until);
-        let Some(server) = (if held { None } else { self.select_server(now, id, crowded.then_some(most)) })
+        let Some(server) =
+            (if held { None } else { self.select_server(now, id, crowded.then_some(max_latency)) })
         else {
             if !held && !ran {
                 self.no_server_until.insert((service, method), now + RECHECK_INTERVAL);
             }
             return (now + RECHECK_INTERVAL).min(latest);
         };
-        // Units are taken; where another gateway could take the same last ones, the counter is asked first.
-        if !drawn {
+        // Take the units. If other gateways could take the same last units, claim them at the counter first.
+        if !units_taken {
             let customer = self.customer(now, key);
             customer.quota.take(units);
-            let claim = customer.quota.last_serial + 1;
-            self.rpcs.entry(id).and_modify(|rpc| (rpc.units_taken, rpc.claim_serial) = (true, claim));
-            if thin {
+            let claim_serial = customer.quota.last_serial + 1;
+            self.rpcs.entry(id).and_modify(|rpc| (rpc.units_taken, rpc.claim_serial) = (true, claim_serial));
+            if needs_claim {
                 self.set_state(id, RpcState::Claiming);
                 self.call_counter(host, now, key);
-                return latest; // `release` ends it there if the counter has not answered
+                return latest; // `advance_queue` ends it then if the counter has not answered
             }
         }
         self.send(host, now, id, server);
         Nanos::MAX
     }
 
-    fn send(&mut self, host: &mut dyn Host, now: Nanos, id: u32, chosen: u32) {
+    fn send(&mut self, host: &mut dyn Host, now: Nanos, id: u32, server_id: u32) {
         self.set_state(id, RpcState::InFlight);
         let limit = self.attempt_timeout(now, id);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let (nth, key, before) = (rpc.attempts as u16, rpc.customer, rpc.repeat_deadline());
+        let (attempt_number, key, before) = (rpc.attempts as u16, rpc.customer, rpc.repeat_deadline());
         rpc.attempts += 1;
         let soft_deadline = if rpc.patient { Nanos::MAX } else { rpc.soft_deadline };
         let refund = if rpc.written { 0.0 } else { rpc.units };
         self.customer(now, key).open_attempts += 1;
-        if let Some(server) = self.servers.get_mut(&chosen) {
-            server.open_attempts.push_back((id, nth, now));
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            server.open_attempts.push_back((id, attempt_number, now));
             server.cold_gap = (now, 1.0);
             let service = self.services.get_mut(&server.entry.service);
-            service.into_iter().for_each(|service| service.subsetter.took(chosen));
+            service.into_iter().for_each(|service| service.subsetter.took(server_id));
         }
-        let attempt = OpenAttempt { server: chosen, customer: key, sent_at: now, soft_deadline, refund };
-        self.open_attempts.insert((id, nth), attempt);
-        host.send_attempt(id, chosen, limit, before);
+        let attempt = OpenAttempt { server: server_id, customer: key, sent_at: now, soft_deadline, refund };
+        self.open_attempts.insert((id, attempt_number), attempt);
+        host.send_attempt(id, server_id, limit, before);
         self.expected_wait.0 = 0;
         self.report_usage(host, now, key);
     }
 
-    /// The end of a call-out; a closed RPC has its answer, any other goes on or is answered now.
-    pub fn on_attempt_end(&mut self, host: &mut dyn Host, now: Nanos, ended: &AttemptResult) {
-        let Some(attempt) = self.open_attempts.remove(&(ended.rpc, ended.attempt)) else { return };
-        let OpenAttempt { server: chosen, customer: key, sent_at: sent, refund, .. } = attempt;
-        let unwritten = matches!(ended.outcome, CallOutcome::NoConnection | CallOutcome::NotSent);
-        let never_ran = unwritten || ended.outcome == CallOutcome::Full;
-        let mut place = (u16::MAX, u16::MAX);
+    /// An attempt ended. If the RPC has not been answered with it, the RPC is retried or gets its final answer now.
+    pub fn on_attempt_end(&mut self, host: &mut dyn Host, now: Nanos, result: &AttemptResult) {
+        let Some(attempt) = self.open_attempts.remove(&(result.rpc, result.attempt)) else { return };
+        let OpenAttempt { server: server_id, customer: key, sent_at, refund, .. } = attempt;
+        let unwritten = matches!(result.outcome, CallOutcome::NoConnection | CallOutcome::NotSent);
+        let never_ran = unwritten || result.outcome == CallOutcome::Full;
+        let mut zone_and_cell = (u16::MAX, u16::MAX);
         let mut columns = self.settings.get("reporting.columns").map_or("", String::as_str).split(',');
-        let told =
-            columns.position(|name| name == "busy_reqs").and_then(|at| ended.load_report.get(at).copied());
-        if let Some(server) = self.servers.get_mut(&chosen) {
-            place = (server.entry.zone, server.entry.cell);
-            server.open_attempts.retain(|open| (open.0, open.1) != (ended.rpc, ended.attempt));
-            if ended.outcome != CallOutcome::NotSent {
+        let busy_requests = columns
+            .position(|name| name == "busy_reqs")
+            .and_then(|index| result.load_report.get(index).copied());
+        if let Some(server) = self.servers.get_mut(&server_id) {
+            zone_and_cell = (server.entry.zone, server.entry.cell);
+            server.open_attempts.retain(|open| (open.0, open.1) != (result.rpc, result.attempt));
+            if result.outcome != CallOutcome::NotSent {
                 push_bounded(
                     &mut server.results,
-                    (now, ended.duration, ended.outcome == CallOutcome::Ok),
+                    (now, result.duration, result.outcome == CallOutcome::Ok),
                     SAMPLES_KEPT,
                 );
             }
-            server.reported_load = told.map_or(server.reported_load, |held| (now, held.max(0.0)));
+            server.reported_load = busy_requests.map_or(server.reported_load, |busy| (now, busy.max(0.0)));
             let service = self.services.get_mut(&server.entry.service).filter(|_| !never_ran);
             service
                 .into_iter()
@@ -455,21 +474,22 @@
         if !never_ran {
             push_bounded(
                 &mut self.results,
-                (now, ended.duration, ended.outcome == CallOutcome::Ok),
+                (now, result.duration, result.outcome == CallOutcome::Ok),
                 2 * SAMPLES_KEPT,
             );
         }
         self.customer(now, key).open_attempts -= 1;
-        (self.expected_wait.0, self.latency_brake.0, self.typical_latency.0) = (0, 0, 0);
+        (self.expected_wait.0, self.latency_throttle.0, self.typical_latency.0) = (0, 0, 0);
         self.no_server_until.clear();
-        if let Some(rpc) = self.rpcs.get_mut(&ended.rpc) {
-            let (urgent, units, soft) = (!rpc.patient, rpc.units, secs(rpc.soft_timeout));
-            rpc.first_run = rpc.first_run.or((!never_ran).then_some((sent, place.0, place.1)));
+        if let Some(rpc) = self.rpcs.get_mut(&result.rpc) {
+            let (urgent, units, soft_timeout) = (!rpc.patient, rpc.units, secs(rpc.soft_timeout));
+            rpc.first_run =
+                rpc.first_run.or((!never_ran).then_some((sent_at, zone_and_cell.0, zone_and_cell.1)));
             rpc.written |= !unwritten;
-            if urgent && matches!(ended.outcome, CallOutcome::Ok | CallOutcome::TimedOut) {
+            if urgent && matches!(result.outcome, CallOutcome::Ok | CallOutcome::TimedOut) {
                 push_bounded(
                     &mut self.urgent_latencies,
-                    (now, secs(ended.duration) / soft.max(1e-3)),
+                    (now, secs(result.duration) / soft_timeout.max(1e-3)),
                     2 * SAMPLES_KEPT,
                 );
             }
@@ -477,54 +497,56 @@
             if urgent {
                 push_bounded(&mut customer.urgent_outcomes, (now, false), 2 * SAMPLES_KEPT);
             }
-            if ended.settled_units > 0.0 {
-                customer.quota.settle(ended.settled_units - units); // the guess is put right with what it counted
+            if result.settled_units > 0.0 {
+                customer.quota.settle(result.settled_units - units); // corrects the estimate by the actual units
             }
-            self.set_state(ended.rpc, if ended.rpc_answered { RpcState::Ended } else { RpcState::Held });
+            self.set_state(result.rpc, if result.rpc_answered { RpcState::Ended } else { RpcState::Held });
         } else if unwritten {
             self.customer(now, key).quota.take(-refund);
         }
         self.advance_queue(host, now, key);
     }
 
-    /// Looks at all that waits of a customer, most urgent first, and sets the timer for the next look.
+    /// Advances all waiting RPCs of a customer, most urgent first, and sets the timer for the next check.
     ///
-    /// Guards against a burst of one customer: dozens wait, each event of theirs would look at all of them,
-    /// and with a small part of a core the turns grow until answers are late. So a long line is looked at
-    /// once an instant. Harm: what a second event of the instant makes room for goes out a millisecond later.
+    /// A long queue is checked only once for each instant of time. In a burst of one customer dozens of RPCs wait, and if each
+    /// of their events checked them all, a gateway with a small share of a core would fall behind until answers are late. The
+    /// cost: an RPC that a second event of the same instant makes room for is sent a millisecond later.
     fn advance_queue(&mut self, host: &mut dyn Host, now: Nanos, key: u64) {
         let customer = self.customer(now, key);
         if customer.queue.len() > LONG_QUEUE_LEN && customer.checked_at == now {
             return self.schedule_customer(host, now, key, now + MS);
         }
         customer.checked_at = now;
-        let (mut ahead, mut next) = (0.0, Nanos::MAX);
+        let (mut units_ahead, mut next) = (0.0, Nanos::MAX);
         self.typical_latency = (now, self.typical_latency(now));
         for id in self.customer(now, key).queue.clone() {
             let Some(rpc) = self.rpcs.get(&id) else { continue };
             let latest = self.latest_send_time(now, rpc);
-            // Guards against a count call that never gets out or back: a late claim ends like any held RPC.
+            // A claim that is not answered in time ends like any held RPC, in case its counter call is never sent or answered.
             let due = rpc.state == RpcState::Held || now >= latest;
-            next = next.min(if due { self.advance(host, now, id, &mut ahead) } else { latest });
+            next = next.min(if due { self.advance(host, now, id, &mut units_ahead) } else { latest });
         }
         self.schedule_customer(host, now, key, next);
     }
 
-    /// Gives an RPC its final answer at once, with a time to come back where that is known.
-    fn finish(&mut self, host: &mut dyn Host, now: Nanos, id: u32, room_in: Nanos) -> Nanos {
+    /// Gives an RPC its final answer. `available_in` is the time until there is quota for it, or 0 if quota is not the reason;
+    /// a rejection passes it on as advice when to retry.
+    fn finish(&mut self, host: &mut dyn Host, now: Nanos, id: u32, available_in: Nanos) -> Nanos {
         let Some(rpc) = self.rpcs.get(&id) else { return Nanos::MAX };
-        let all = rpc.setting_is("group", "all");
-        let again = all || rpc.first_run.is_none() || rpc.setting_is("idempotency", "free");
-        let harmless = again && now < rpc.repeat_deadline();
+        let any_server = rpc.setting_is("group", "all");
+        let may_repeat = any_server || rpc.first_run.is_none() || rpc.setting_is("idempotency", "free");
+        let harmless = may_repeat && now < rpc.repeat_deadline();
         let key = rpc.customer;
-        if !rpc.patient && room_in > 0 {
+        if !rpc.patient && available_in > 0 {
             push_bounded(&mut self.customer(now, key).urgent_outcomes, (now, true), 2 * SAMPLES_KEPT);
         }
         self.set_state(id, RpcState::Ended);
-        let most = nanos(self.setting("ceilings.maxRetryAfter", 0.0));
-        let come_back = if self.is_enabled("ceilings.retryAfter") { room_in.min(most) } else { 0 };
+        let max_retry_after = nanos(self.setting("ceilings.maxRetryAfter", 0.0));
+        let retry_after =
+            if self.is_enabled("ceilings.retryAfter") { available_in.min(max_retry_after) } else { 0 };
         match harmless {
-            true => host.reject(id, come_back),
+            true => host.reject(id, retry_after),
             false => host.abort(id),
         }
         Nanos::MAX
@@ -534,59 +556,66 @@
         (number_setting(&rpc.settings, "ceilings.attemptsCap", 1.0) as u64).saturating_sub(rpc.attempts)
     }
 
-    /// How long to wait for this call-out; 0 is until the deadline. Guards against hanging and slow servers:
-    /// an RPC that may go out again leaves itself time, unless all are slow, when that would only add work.
+    /// How long to wait for the answer to an attempt; 0 means until the deadline. An RPC that may be retried leaves time for
+    /// that, in case the server hangs or is slow. If all servers are slow it does not, since retries would only add load.
     fn attempt_timeout(&self, now: Nanos, id: u32) -> Nanos {
         let Some(rpc) = self.rpcs.get(&id) else { return 0 };
-        let again = self.attempts_left(rpc) > 1
+        let may_retry = self.attempts_left(rpc) > 1
             && (rpc.setting_is("idempotency", "free") || rpc.setting_is("idempotency", "guarded"));
         let limit = rpc.soft_deadline.saturating_sub(now) * 3 / 5;
-        if again && limit > 4 * self.typical_latency(now) { limit } else { 0 }
+        if may_retry && limit > 4 * self.typical_latency(now) { limit } else { 0 }
     }
 
-    /// When an RPC must be out to be answered in time as a rule.
+    /// The latest time to send an RPC so that it is typically answered in time.
     fn latest_send_time(&self, now: Nanos, rpc: &Rpc) -> Nanos {
         rpc.soft_deadline.saturating_sub(self.typical_latency(now).min(rpc.soft_timeout / 2))
     }
 
-    /// Whether one more would be late: open over answered a second; of few answers the last ones tell more.
-    /// Guards against overload of any cause, patient RPCs giving way first; hanging servers are left out, or
-    /// they would stop all. A rate below what servers can do says too much: while calm the last ends bound
-    /// it.
-    fn is_crowded(&mut self, now: Nanos, soft: Nanos, patient: bool) -> bool {
+    /// Whether one more RPC would be late, whatever the cause of the overload. Patient RPCs are held back first.
+    ///
+    /// The expected wait is the number of open attempts over the rate of answers; with few answers the recent latencies are
+    /// the better estimate. Attempts at hanging servers are excluded, or they would stop all traffic. At low load the rate of
+    /// answers is below what the servers can do and overstates the wait, so recent latencies bound it while there is no
+    /// throttling.
+    fn is_crowded(&mut self, now: Nanos, soft_timeout: Nanos, patient: bool) -> bool {
         if self.expected_wait.0 != now {
             let typical = self.typical_latency(now);
-            let hangs = |id| self.servers.get(id).is_some_and(|server| server.is_hanging(now, typical));
-            let up = self.open_attempts.values().filter(|attempt| !hangs(&attempt.server));
-            let open: Vec<_> = up.map(|attempt| now - attempt.sent_at).collect();
+            let is_hanging = |id| self.servers.get(id).is_some_and(|server| server.is_hanging(now, typical));
+            let healthy = self.open_attempts.values().filter(|attempt| !is_hanging(&attempt.server));
+            let open_ages: Vec<_> = healthy.map(|attempt| now - attempt.sent_at).collect();
             let (count, rate) = recent_success_rate(now, &self.results, 1);
-            let last =
-                self.results.iter().rev().take(SAMPLES_KEPT / 2).filter(|end| now - end.0 < SAMPLE_LIFETIME);
-            let mut took: Vec<Nanos> = last.map(|end| end.1).collect();
-            took.extend(open.iter().filter(|age| **age > typical));
-            let by_last = if open.is_empty() { 0.0 } else { secs(median(took)) };
-            let spare = if count < SAMPLES_KEPT { 3.0 } else { 0.0 }; // of few answers the rate says little
-            let by_rate = if count > 0 { (open.len() as f64 + 1.0 - spare) / rate } else { 0.0 };
-            let bound = if self.latency_brake.1 { by_rate } else { 2.0 * by_last };
+            let recent = self
+                .results
+                .iter()
+                .rev()
+                .take(SAMPLES_KEPT / 2)
+                .filter(|result| now - result.0 < SAMPLE_LIFETIME);
+            let mut latencies: Vec<Nanos> = recent.map(|result| result.1).collect();
+            latencies.extend(open_ages.iter().filter(|age| **age > typical));
+            let by_latency = if open_ages.is_empty() { 0.0 } else { secs(median(latencies)) };
+            let allowance = if count < SAMPLES_KEPT { 3.0 } else { 0.0 }; // a rate from few answers is imprecise
+            let by_rate = if count > 0 { (open_ages.len() as f64 + 1.0 - allowance) / rate } else { 0.0 };
+            let bound = if self.latency_throttle.1 { by_rate } else { 2.0 * by_latency };
             self.expected_wait =
-                (now, if count < SAMPLES_KEPT { by_last.max(by_rate) } else { by_rate.min(bound) });
+                (now, if count < SAMPLES_KEPT { by_latency.max(by_rate) } else { by_rate.min(bound) });
         }
-        self.expected_wait.1 > if patient { PATIENT_WAIT_SHARE } else { URGENT_WAIT_SHARE } * secs(soft)
+        self.expected_wait.1
+            > if patient { PATIENT_WAIT_SHARE } else { URGENT_WAIT_SHARE } * secs(soft_timeout)
     }
 
-    /// What a call-out takes now: the median, cut off ones too, or a fleet too slow to answer any in time
-    /// would look quick; old ones don't count, or a gateway they stopped would stay so.
+    /// The median duration of recent attempts. It includes attempts that timed out, or a fleet too slow to answer any in time
+    /// would look fast. Old ones are excluded, or a gateway that they stopped from sending would never send again.
     fn typical_latency(&self, now: Nanos) -> Nanos {
         if self.typical_latency.0 == now {
             return self.typical_latency.1;
         }
-        median(self.results.iter().filter(|end| now - end.0 < SEC).map(|end| end.1).collect())
+        median(self.results.iter().filter(|result| now - result.0 < SEC).map(|result| result.1).collect())
     }
 
-    fn set_timer(&mut self, host: &mut dyn Host, now: Nanos, at: Nanos, wake: u64) {
-        // Rounded up: a host that counts microseconds must not ring before what waits is due.
+    fn set_timer(&mut self, host: &mut dyn Host, now: Nanos, at: Nanos, purpose: u64) {
+        // Rounded up, so that the timer of a host with microsecond resolution does not expire too early.
         let at = at.max(now + MS).next_multiple_of(1000);
-        self.timers.insert(self.next_timer_token, wake);
+        self.timers.insert(self.next_timer_token, purpose);
         host.set_timer(at - now, self.next_timer_token);
         self.next_timer_token = self.next_timer_token.wrapping_add(1);
     }
--- a/src/admission/quota_check.rs
+++ b/src/admission/quota_check.rs
@@ -22,7 +22,7 @@
     ) -> Nanos {
         // Nothing is known of the others' use: the even split decides.
         let alone = self.is_counter_silent() || !self.is_enabled("extra.hasCounter");
-        let borrows = self.customer(now, key).may_borrow && !self.is_braked(now, key);
+        let borrows = self.customer(now, key).may_borrow && !self.is_throttled(now, key);
         let (customer, quota) = (&self.customers[&key], &self.customers[&key].quota);
         let mut at = now;
         // Never read, the counter is asked (a claim): with many gateways the even split is less than an RPC.
@@ -69,16 +69,17 @@
 
     /// The brake on patient RPCs: urgent ones pushed back for lack of this customer's quota (over once the
     /// store holds two reserves; harm: the next spike finds less there), or late (p95).
-    pub(super) fn is_braked(&mut self, now: Nanos, key: u64) -> bool {
-        let fresh = |at: Nanos| now.saturating_sub(at) < BRAKE_WINDOW;
+    pub(super) fn is_throttled(&mut self, now: Nanos, key: u64) -> bool {
+        let fresh = |at: Nanos| now.saturating_sub(at) < THROTTLE_WINDOW;
         let customer = &self.customers[&key];
         let outcomes = customer.urgent_outcomes.iter().filter(|sample| fresh(sample.0));
         let (count, pushed) = (outcomes.clone().count(), outcomes.filter(|sample| sample.1).count());
         let quota = &customer.quota;
         let lack =
             quota.level.min(quota.even_split * quota.gateway_count) < 2.0 * RESERVE_SHARE * quota.burst;
-        let short = lack && count >= BRAKE_MIN_SAMPLES && pushed as f64 > BRAKE_REJECTED_SHARE * count as f64;
-        if self.latency_brake.0 != now {
+        let short =
+            lack && count >= THROTTLE_MIN_SAMPLES && pushed as f64 > THROTTLE_REJECTED_SHARE * count as f64;
+        if self.latency_throttle.0 != now {
             let samples = self.urgent_latencies.iter().filter(|sample| fresh(sample.0));
             let mut ratios: Vec<f64> = samples.map(|sample| sample.1).collect();
             // A call-out open past its soft deadline is distress though no latency has come.
@@ -87,10 +88,10 @@
             );
             ratios.sort_by(f64::total_cmp);
             let p95 = (ratios.len() * 95).div_ceil(100).max(1) - 1; // of 20 samples the 19th
-            self.latency_brake = (now, ratios.len() >= BRAKE_MIN_SAMPLES && ratios[p95] > 1.0);
+            self.latency_throttle = (now, ratios.len() >= THROTTLE_MIN_SAMPLES && ratios[p95] > 1.0);
         }
         // Guards against a brake that holds all, so that none ends: one may go a second after the last end.
         let idle = self.open_attempts.is_empty() && self.results.back().is_none_or(|end| now - end.0 >= SEC);
-        (short || self.latency_brake.1) && !idle
+        (short || self.latency_throttle.1) && !idle
     }
 }
