--- a/src/admission.rs
+++ b/src/admission.rs
@@ -177,7 +177,7 @@
     started_at: Option<Nanos>,
     servers: BTreeMap<u32, Server>,
     ready_servers: BTreeMap<u32, BTreeSet<u32>>, // by service
-    draining: BTreeSet<u32>,                     // not ready; forgotten when their last attempt has ended
+    draining: BTreeSet<u32>,                     // not ready; forgotten once they have no open attempts
     services: BTreeMap<u32, Service>,
     salt: u64,
     customers: HashMap<u64, Customer>,
@@ -325,7 +325,7 @@
     /// A timer that was set through the host has expired.
     pub fn on_timer(&mut self, host: &mut dyn Host, now: Nanos, token: u32) {
         match self.timers.remove(&token) {
-            Some(COUNTER_TIMER) => self.call_counter_for_next(host, now),
+            Some(COUNTER_TIMER) => self.call_counter_for_queued(host, now),
             Some(key) if self.customers.get(&key).is_some_and(|customer| customer.timer_at <= now) => {
                 self.customer(now, key).timer_at = Nanos::MAX;
                 self.advance_queue(host, now, key);
--- a/src/admission/server_list.rs
+++ b/src/admission/server_list.rs
@@ -1,22 +1,23 @@
-//! The servers that discovery lists, and this gateway's subset of each service.
+//! Applies the server list of discovery, and maintains this gateway's subset of the servers of each service.
 
 use super::*;
 
 impl AdmissionController {
-    /// Discovery's list, whole or only what changed. A server off the whole list is gone.
+    /// Discovery sent a list: all servers, or only those that changed. A server missing from a whole list is gone. The subsets
+    /// are computed at once.
     pub fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
         let changes = self.apply_list(now, whole, list);
         changes.into_keys().for_each(|service| self.rebuild_subset(now, service));
     }
 
-    /// What changed of discovery's list. What is no longer ready gets nothing new from here on; the subsets follow in
-    /// `work_on_subsets`.
+    /// Discovery sent changes of its list. Servers that are no longer ready get no new RPCs from now on; the subsets are
+    /// computed later, in `work_on_subsets`.
     pub fn on_server_list_deferred(&mut self, now: Nanos, list: &[DiscoveredServer]) {
         let changes = self.apply_list(now, false, list);
         changes.into_iter().for_each(|(service, change)| self.apply_change(now, service, &change));
     }
 
-    /// Takes the list in; which services it changes, and how.
+    /// Applies a list, and returns the changes by service.
     pub(super) fn apply_list(
         &mut self,
         now: Nanos,
@@ -29,14 +30,14 @@
         if whole {
             self.servers.values_mut().for_each(|server| server.entry.ready = false);
             self.draining.extend(self.servers.keys());
-            for (service, gone) in std::mem::take(&mut self.ready_servers) {
-                changes.entry(service).or_default().removed.extend(gone);
+            for (service, removed) in std::mem::take(&mut self.ready_servers) {
+                changes.entry(service).or_default().removed.extend(removed);
             }
         }
         for listed in list {
             let server = self.servers.entry(listed.server).or_default();
             if server.entry.started_at != listed.started_at {
-                server.results.clear(); // a new life: what the old one showed says nothing, and it is cold
+                server.results.clear(); // a new incarnation: earlier results no longer apply, and it is cold
                 server.cold_gap = (now, self.rng.f64());
             }
             let was = std::mem::replace(&mut server.entry, listed.clone());
@@ -50,91 +51,94 @@
                 self.draining.insert(listed.server);
             }
         }
-        self.remove_unlisted_servers();
+        self.remove_drained_servers();
         changes
     }
 
-    /// Lets a service's subset follow a change, without working it out.
+    /// Passes the changes of a service to its subsetter, without computing the subset.
     pub(super) fn apply_change(&mut self, now: Nanos, service: u32, change: &ServiceChange) {
-        let Some(mut at) = self.services.remove(&service) else { return };
-        // Of two changes of one server the later one counts.
+        let Some(mut state) = self.services.remove(&service) else { return };
+        // If a server changed twice, the last change applies.
         let is_ready = |id: &u32| self.ready_servers.get(&service).is_some_and(|ready| ready.contains(id));
-        let came: BTreeSet<u32> = change.added.iter().copied().filter(is_ready).collect();
-        let gone: Vec<u32> = change.removed.iter().copied().filter(|id| !is_ready(id)).collect();
-        at.subsetter.change(&gone, self.endpoints(came.iter()), SUBSETS_PER_SERVER);
+        let added: BTreeSet<u32> = change.added.iter().copied().filter(is_ready).collect();
+        let removed: Vec<u32> = change.removed.iter().copied().filter(|id| !is_ready(id)).collect();
+        state.subsetter.change(&removed, self.endpoints(added.iter()), SUBSETS_PER_SERVER);
         let is_cold = |id: &u32| self.warm_share(now, &self.servers[id].entry) < 1.0;
-        let shared = at.subsetter.shared().iter().copied();
-        let new = came.iter().copied().filter(|id| !at.subsetter.is_shared(*id));
+        let shared = state.subsetter.shared().iter().copied();
+        let new = added.iter().copied().filter(|id| !state.subsetter.is_shared(*id));
         let shared: Vec<u32> = shared.chain(new).filter(is_cold).collect();
-        at.subsetter.share(shared);
-        self.services.insert(service, at);
+        state.subsetter.share(shared);
+        self.services.insert(service, state);
     }
 
-    /// When there is work on subsets to be done; nothing if all are worked out.
+    /// When the next work on a subset is due, or `None` if all subsets are up to date.
     pub fn subset_work_due(&self) -> Option<Nanos> {
-        let stale = self.services.values().filter(|at| !at.subsetter.is_worked_out());
-        stale.map(|at| at.resume_at).min()
+        let outdated = self.services.values().filter(|state| !state.subsetter.is_worked_out());
+        outdated.map(|state| state.resume_at).min()
     }
 
-    /// Goes on with the subset that is due first, for so many units of some nanoseconds.
+    /// Continues to compute the subset that is due first, for a number of work units that take some nanoseconds each.
     pub fn work_on_subsets(&mut self, now: Nanos, units: usize) {
-        let stale = self.services.values_mut().filter(|at| !at.subsetter.is_worked_out());
-        let Some(at) = stale.min_by_key(|at| at.resume_at).filter(|at| at.resume_at <= now) else {
+        let outdated = self.services.values_mut().filter(|state| !state.subsetter.is_worked_out());
+        let Some(state) = outdated.min_by_key(|state| state.resume_at).filter(|state| state.resume_at <= now)
+        else {
             return;
         };
         let mut left = units;
-        let done = at.subsetter.work(&mut left);
-        at.work_done += units - left;
+        let done = state.subsetter.work(&mut left);
+        state.work_done += units - left;
         if done {
-            let rest = std::mem::take(&mut at.work_done) as Nanos * PAUSE_PER_WORK_UNIT;
-            at.resume_at = now + rest.min(MAX_WORK_PAUSE);
+            let pause = std::mem::take(&mut state.work_done) as Nanos * PAUSE_PER_WORK_UNIT;
+            state.resume_at = now + pause.min(MAX_WORK_PAUSE);
         }
     }
 
-    /// Forgets servers that are not ready and have no call-outs open.
-    pub(super) fn remove_unlisted_servers(&mut self) {
+    /// Removes servers that are not ready and have no open attempts.
+    pub(super) fn remove_drained_servers(&mut self) {
         self.draining.retain(|id| {
             let Some(server) = self.servers.get(id).filter(|server| !server.entry.ready) else {
                 return false;
             };
-            let open = !server.open_attempts.is_empty();
-            if !open {
+            let has_open = !server.open_attempts.is_empty();
+            if !has_open {
                 self.servers.remove(id);
             }
-            open
+            has_open
         });
     }
 
-    /// Subsets are worked out and held only for services that RPCs ask for; 0 is one from the start.
+    /// Notes that a service is in use. Subsets are computed and kept only for services that RPCs request; service 0 is kept from
+    /// the start.
     pub(super) fn use_service(&mut self, now: Nanos, service: u32) {
         if let Some(known) = self.services.get_mut(&service) {
             known.last_used = now;
             return;
         }
         self.services
-            .retain(|number, at| *number == 0 || now.saturating_sub(at.last_used) < UNUSED_SERVICE_TTL);
+            .retain(|number, state| *number == 0 || now.saturating_sub(state.last_used) < UNUSED_SERVICE_TTL);
         let number = self.settings.get("me").and_then(|number| number.parse().ok());
         let subsetter = Subsetter::new(number, self.gateway_count() as usize, self.salt);
         self.services.insert(service, Service { subsetter, last_used: now, ..Service::default() });
         self.rebuild_subset(now, service);
     }
 
+    /// The given servers in the form that the subsetter takes.
     pub(super) fn endpoints<'a>(&self, ids: impl Iterator<Item = &'a u32>) -> Vec<Endpoint> {
-        let near = self.setting("zone", -1.0);
+        let own_zone = self.setting("zone", -1.0);
         let endpoint = |id: &u32| {
             let DiscoveredServer { key, zone, weight, .. } = self.servers[id].entry;
-            Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == near }
+            Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == own_zone }
         };
         ids.map(endpoint).collect()
     }
 
-    /// Works out this gateway's subset of a service that it was asked for, of the servers ready now.
+    /// Computes this gateway's subset of the ready servers of a service, if the service is in use.
     pub(super) fn rebuild_subset(&mut self, now: Nanos, service: u32) {
-        let Some(mut at) = self.services.remove(&service) else { return };
+        let Some(mut state) = self.services.remove(&service) else { return };
         let endpoints = self.endpoints(self.ready_servers.get(&service).into_iter().flatten());
-        at.subsetter.update(endpoints, SUBSETS_PER_SERVER);
+        state.subsetter.update(endpoints, SUBSETS_PER_SERVER);
         let is_cold = |id: &&u32| self.warm_share(now, &self.servers[*id].entry) < 1.0;
-        at.subsetter.share(at.subsetter.order().iter().filter(is_cold).copied().collect());
-        self.services.insert(service, at);
+        state.subsetter.share(state.subsetter.order().iter().filter(is_cold).copied().collect());
+        self.services.insert(service, state);
     }
 }
--- a/src/admission/server_selection.rs
+++ b/src/admission/server_selection.rs
@@ -1,171 +1,199 @@
-//! Which server an attempt goes to.
+//! Selects the server for an attempt.
 
 use super::*;
 
 impl AdmissionController {
-    /// Guards against knowing nothing of any server: one of hundreds of gateways that calls out to all meets
-    /// each seldom, learns too late which are slow or bad, and opens a connection for each call-out. So it
-    /// draws from a part of its own, even over the fleet (see `subsetting`), or from as many more as it meets
-    /// often.
+    /// The number of servers to choose from, in the order of the subsetter: this gateway's subset, or more of them if its
+    /// traffic is enough to use that many often.
+    ///
+    /// One of hundreds of gateways that sent to every server would use each of them rarely, learn too late which are slow or
+    /// faulty, and open a connection for each attempt. The subsets are spread evenly over the fleet (see `subsetting`).
     pub(super) fn candidate_count(now: Nanos, service: &Service) -> usize {
         let since = service.run_ends.front().map_or(SEC, |first| now - first).max(SEC);
-        let often = service.run_ends.len() as f64 / secs(since) * secs(REVISIT_INTERVAL);
-        (often.ceil() as usize).max(service.subsetter.subset_len())
+        let used_often = service.run_ends.len() as f64 / secs(since) * secs(REVISIT_INTERVAL);
+        (used_often.ceil() as usize).max(service.subsetter.subset_len())
     }
 
-    pub(super) fn select_server(&mut self, now: Nanos, id: u32, most: Option<f64>) -> Option<u32> {
+    /// Selects a server of the RPC's service, if any can take it; see `select_from`.
+    pub(super) fn select_server(&mut self, now: Nanos, id: u32, max_latency: Option<f64>) -> Option<u32> {
         let number = self.rpcs[&id].service;
         let mut service = self.services.remove(&number)?;
-        let chosen = self.select_from(&mut service, now, id, most);
+        let selected = self.select_from(&mut service, now, id, max_latency);
         self.services.insert(number, service);
-        chosen
+        selected
     }
 
-    /// A few drawn at random, the one that this gateway's own counts favour is taken. What can't take it is
-    /// passed over in the draw, so that a fleet in health costs two looks, whatever its size. Drawn are its
-    /// part and the cold, whose budget all share, the others if none is able; where servers are met seldom,
-    /// by turns. While all are crowded (`most` is the time that counts as quick), it calls out only where it
-    /// meets servers seldom, and there to one that answered quickly just now or has room while cold. Guards
-    /// against a few slow servers met by chance that stop a gateway with few answers. Harm: what was quick
-    /// may be full by now.
+    /// Draws a few servers at random and selects the one with the lowest expected cost.
+    ///
+    /// Servers that can't take the RPC are skipped in the draw, so that a healthy fleet costs two looks whatever its size. The
+    /// draw is from this gateway's subset and the cold servers, whose budget is shared by all gateways, and from the other
+    /// servers only if none of these is usable. Where this gateway uses servers rarely, they take turns.
+    ///
+    /// While all servers are crowded, `max_latency` is the longest latency that counts as fast. An RPC is then sent only where
+    /// servers are used rarely, and only to a server that has just answered fast or is cold and has budget left. This keeps a
+    /// few slow servers, met by chance, from stopping a gateway that gets few answers. The cost: a server that was fast may be
+    /// full by now.
     pub(super) fn select_from(
         &mut self,
         service: &mut Service,
         now: Nanos,
         id: u32,
-        most: Option<f64>,
+        max_latency: Option<f64>,
     ) -> Option<u32> {
-        let mut chance = self.rng.fork();
+        let mut rng = self.rng.fork();
         let rpc = &self.rpcs[&id];
         let group = rpc
             .first_run
             .filter(|_| rpc.setting_is("idempotency", "guarded") && !rpc.setting_is("group", "all"));
-        let zoned = rpc.setting_is("group", "zone");
-        let in_group =
-            |at: &DiscoveredServer| group.is_none_or(|(_, z, c)| at.cell == c || zoned && at.zone == z);
-        let (soft, typical) = (secs(rpc.soft_timeout), self.typical_latency(now));
-        let least = (9.0 / self.gateway_count()).clamp(1.0, 3.0);
+        let same_zone = rpc.setting_is("group", "zone");
+        let in_group = |entry: &DiscoveredServer| {
+            group.is_none_or(|(_, zone, cell)| entry.cell == cell || same_zone && entry.zone == zone)
+        };
+        let (soft_timeout, typical) = (secs(rpc.soft_timeout), self.typical_latency(now));
+        let min_open = (9.0 / self.gateway_count()).clamp(1.0, 3.0);
         let is_cold = |id: &&u32| self.warm_share(now, &self.servers[*id].entry) < 1.0;
         service.subsetter.share(service.subsetter.shared().iter().filter(is_cold).copied().collect());
-        let carries = if service.subsetter.shared().is_empty() {
+        let warm_rate = if service.subsetter.shared().is_empty() {
             0.0
         } else {
             self.warm_rate_per_weight(now, rpc.service)
         };
-        let (mut drawn, mut last_resort) = (Vec::new(), Vec::new());
+        let (mut candidates, mut last_resort) = (Vec::new(), Vec::new());
         let all = service.subsetter.order();
-        let part = AdmissionController::candidate_count(now, service).min(all.len());
-        // Guards against a part that is down as a whole: what missed twice draws from all. Harm: connections.
-        let split = if rpc.attempts >= 2 { all.len() } else { part };
+        let preferred = AdmissionController::candidate_count(now, service).min(all.len());
+        // After two attempts the draw is from all servers, in case the whole subset is down. The cost is more connections.
+        let split = if rpc.attempts >= 2 { all.len() } else { preferred };
         let cold_others = service.subsetter.shared().iter().filter(|id| !all[..split].contains(id));
         let mut ready: Vec<u32> = all[..split].iter().chain(cold_others).copied().collect();
-        let seldom = all[part..].iter().any(|id| !service.subsetter.is_shared(*id));
-        let (own, all) = (ready.len(), all.len());
-        let few = if seldom { 3 } else { 2 };
-        for place in 0..all {
-            if drawn.len() == few || place >= own && !drawn.is_empty() {
+        let rarely_used = all[preferred..].iter().any(|id| !service.subsetter.is_shared(*id));
+        let (own_count, total) = (ready.len(), all.len());
+        let draws = if rarely_used { 3 } else { 2 };
+        for index in 0..total {
+            if candidates.len() == draws || index >= own_count && !candidates.is_empty() {
                 break;
             }
-            if place == own {
+            if index == own_count {
                 let others = &service.subsetter.order()[split..];
                 ready.extend(others.iter().filter(|id| !service.subsetter.is_shared(**id)));
             }
-            if place == ready.len() {
+            if index == ready.len() {
                 break;
             }
-            let upto = if place < own { own } else { ready.len() };
-            ready.swap(place, chance.usize(place..upto));
-            let server = &self.servers[&ready[place]];
+            let end = if index < own_count { own_count } else { ready.len() };
+            ready.swap(index, rng.usize(index..end));
+            let server = &self.servers[&ready[index]];
             let (_, rate) = recent_success_rate(now, &server.results, SAMPLES_KEPT);
-            let full = server.open_attempts.len() as f64 >= (URGENT_WAIT_SHARE * soft * rate).max(least);
-            let last = server
-                .results
-                .back()
-                .filter(|end| end.2 && now - end.0 < SAMPLE_LIFETIME && server.open_attempts.is_empty());
-            let quick = |most| last.is_some_and(|end| secs(end.1) < most);
-            let able = |most| seldom && (quick(most) || self.warm_share(now, &server.entry) < 1.0);
+            let full =
+                server.open_attempts.len() as f64 >= (URGENT_WAIT_SHARE * soft_timeout * rate).max(min_open);
+            let last_success = server.results.back().filter(|result| {
+                result.2 && now - result.0 < SAMPLE_LIFETIME && server.open_attempts.is_empty()
+            });
+            let is_fast = |limit| last_success.is_some_and(|result| secs(result.1) < limit);
+            let usable = |limit| rarely_used && (is_fast(limit) || self.warm_share(now, &server.entry) < 1.0);
             if full
-                || !most.is_none_or(able)
+                || !max_latency.is_none_or(usable)
                 || !in_group(&server.entry)
-                || !self.has_warmup_budget(now, server, carries)
+                || !self.has_warmup_budget(now, server, warm_rate)
             {
-                service.subsetter.passed_over(ready[place]);
+                service.subsetter.passed_over(ready[index]);
                 continue;
             }
-            let unwell = server.is_backing_off(now, self.gateway_count()) || server.is_hanging(now, typical);
-            if unwell {
-                service.subsetter.passed_over(ready[place]);
+            let is_unhealthy =
+                server.is_backing_off(now, self.gateway_count()) || server.is_hanging(now, typical);
+            if is_unhealthy {
+                service.subsetter.passed_over(ready[index]);
             }
-            if unwell { &mut last_resort } else { &mut drawn }.push(ready[place]);
+            if is_unhealthy { &mut last_resort } else { &mut candidates }.push(ready[index]);
         }
-        let drawn = if drawn.is_empty() { last_resort } else { drawn };
-        let drawn = drawn.iter().take(few).map(|id| (*id, self.expected_cost(now, *id, seldom)));
-        let drawn: Vec<(u32, f64)> = drawn.collect();
-        if seldom {
-            return service.subsetter.pick(&drawn);
+        let candidates = if candidates.is_empty() { last_resort } else { candidates };
+        let candidates =
+            candidates.iter().take(draws).map(|id| (*id, self.expected_cost(now, *id, rarely_used)));
+        let candidates: Vec<(u32, f64)> = candidates.collect();
+        if rarely_used {
+            return service.subsetter.pick(&candidates);
         }
-        drawn.iter().min_by(|one, two| one.1.total_cmp(&two.1)).map(|least| least.0)
+        candidates.iter().min_by(|a, b| a.1.total_cmp(&b.1)).map(|cheapest| cheapest.0)
     }
 
-    /// How long one more would take there, by this gateway's own counts and, where it meets servers seldom,
-    /// by what they told of all others' RPCs.
-    pub(super) fn expected_cost(&self, now: Nanos, id: u32, seldom: bool) -> f64 {
+    /// The expected time of one more attempt at a server, from this gateway's own measurements and, where it uses servers
+    /// rarely, from the load that the server reported for all gateways.
+    pub(super) fn expected_cost(&self, now: Nanos, id: u32, rarely_used: bool) -> f64 {
         let (server, typical) = (&self.servers[&id], self.typical_latency(now).max(MS) as f64);
-        let ran = server.results.iter().rev().filter(|end| end.2 || end.1 as f64 > typical);
-        let fresh = ran.take(8).filter(|end| now - end.0 < 4 * SAMPLE_LIFETIME).map(|end| end.1);
-        // A call-out open for long tells of a hanging or paused server before any answer does.
+        let relevant = server.results.iter().rev().filter(|result| result.2 || result.1 as f64 > typical);
+        let recent =
+            relevant.take(8).filter(|result| now - result.0 < 4 * SAMPLE_LIFETIME).map(|result| result.1);
+        // An attempt that has been open for long reveals a hanging or paused server before any answer does.
         let oldest =
             server.open_attempts.front().map(|open| now - open.2).filter(|age| *age as f64 > 4.0 * typical);
-        let took = fresh.chain(oldest).map(|took| took as f64);
-        let (count, sum) = took.fold((1.0, typical), |(count, sum), took| (count + 1.0, sum + took));
-        let far = if f64::from(server.entry.zone) == self.setting("zone", -1.0) { 1.0 } else { 1.1 };
+        let durations = recent.chain(oldest).map(|duration| duration as f64);
+        let (count, sum) =
+            durations.fold((1.0, typical), |(count, sum), duration| (count + 1.0, sum + duration));
+        let distance = if f64::from(server.entry.zone) == self.setting("zone", -1.0) { 1.0 } else { 1.1 };
         let age = now.saturating_sub(server.reported_load.0).min(SAMPLE_LIFETIME);
-        let held =
-            if seldom { server.reported_load.1 * (1.0 - secs(age) / secs(SAMPLE_LIFETIME)) } else { 0.0 };
-        let (open, weight) = (held + server.open_attempts.len() as f64, server.entry.weight.max(0.05));
-        // Guards against errors that come quickly and so look quick, where a rest is over before the next
-        // meeting.
-        let missed =
-            server.results.iter().rev().take_while(|end| !end.2 && now - end.0 < 4 * SAMPLE_LIFETIME).count();
-        let line = if seldom { open / weight + 1.0 + 2.0 * missed as f64 } else { (open + 1.0) / weight };
-        line * (sum / count) * far
+        let reported = if rarely_used {
+            server.reported_load.1 * (1.0 - secs(age) / secs(SAMPLE_LIFETIME))
+        } else {
+            0.0
+        };
+        let (open, weight) = (reported + server.open_attempts.len() as f64, server.entry.weight.max(0.05));
+        // Each recent failure adds to the cost. A server that fails fast would otherwise look fast where its backoff is over
+        // before this gateway uses it again.
+        let failures = server
+            .results
+            .iter()
+            .rev()
+            .take_while(|result| !result.2 && now - result.0 < 4 * SAMPLE_LIFETIME)
+            .count();
+        let queue =
+            if rarely_used { open / weight + 1.0 + 2.0 * failures as f64 } else { (open + 1.0) / weight };
+        queue * (sum / count) * distance
     }
 
-    /// Guards against pushing over a server that has just started: until warm all gateways together send 3/4
-    /// of the told multiple of its cold part, less what chance adds. Each keeps a gap, at first a random part
-    /// of it, so that any number may restart, and opens no more than answers allow. Harm: idle if warm soon.
-    pub(super) fn has_warmup_budget(&self, now: Nanos, server: &Server, carries: f64) -> bool {
-        let own = self.warm_share(now, &server.entry);
-        if own >= 1.0 || server.open_attempts.len() > server.results.iter().filter(|end| end.2).count() {
-            return own >= 1.0;
+    /// Whether a server that may still be cold can take one more attempt now, so that the fleet does not overload a server that
+    /// has just started.
+    ///
+    /// Until the server is warm, all gateways together send it 3/4 of the configured multiple of its cold capacity, less an
+    /// allowance for random variation. Each gateway keeps a gap between its attempts. The first gap is a random fraction of
+    /// it, so that any number of gateways may restart at once. A gateway also opens no more attempts than the server has
+    /// answered. The cost: a server that warms up sooner is underused.
+    pub(super) fn has_warmup_budget(&self, now: Nanos, server: &Server, warm_rate: f64) -> bool {
+        let warm_share = self.warm_share(now, &server.entry);
+        if warm_share >= 1.0
+            || server.open_attempts.len() > server.results.iter().filter(|result| result.2).count()
+        {
+            return warm_share >= 1.0;
         }
-        let fall = self.setting("rules.fall", 1.0);
-        let most =
-            0.75 * self.setting("rules.fallMultiple", 1.0) * own * carries * server.entry.weight * fall;
-        let budget = (most - 2.0 * most.min(self.gateway_count() / 4.0).sqrt()).max(3.0);
+        let period = self.setting("rules.fall", 1.0);
+        let limit = 0.75
+            * self.setting("rules.fallMultiple", 1.0)
+            * warm_share
+            * warm_rate
+            * server.entry.weight
+            * period;
+        let budget = (limit - 2.0 * limit.min(self.gateway_count() / 4.0).sqrt()).max(3.0);
         secs(now.saturating_sub(server.cold_gap.0))
-            >= server.cold_gap.1 * self.gateway_count() * fall / budget
+            >= server.cold_gap.1 * self.gateway_count() * period / budget
     }
 
-    /// What a warm server of the service answers all gateways a second, for each unit of weight.
+    /// The rate a second at which a warm server of the service answers all gateways together, for each unit of weight.
     pub(super) fn warm_rate_per_weight(&self, now: Nanos, service: u32) -> f64 {
         let ready = self.ready_servers.get(&service).into_iter().flatten().map(|id| &self.servers[id]);
-        let warm = |peer: &&Server| self.warm_share(now, &peer.entry) >= 1.0;
-        let each =
+        let is_warm = |peer: &&Server| self.warm_share(now, &peer.entry) >= 1.0;
+        let rate_and_weight =
             |peer: &Server| (recent_success_rate(now, &peer.results, SAMPLES_KEPT).1, peer.entry.weight);
-        let sum = |one: (f64, f64), two: (f64, f64)| (one.0 + two.0, one.1 + two.1);
-        let (rate, fleet) = ready.filter(warm).map(each).fold((0.0, 0.0), sum);
-        rate * self.gateway_count() / fleet.max(0.05)
+        let sum = |a: (f64, f64), b: (f64, f64)| (a.0 + b.0, a.1 + b.1);
+        let (rate, weight) = ready.filter(is_warm).map(rate_and_weight).fold((0.0, 0.0), sum);
+        rate * self.gateway_count() / weight.max(0.05)
     }
 
-    /// The part of its capacity that a server surely has by now.
+    /// The share of its full capacity that a server is guaranteed to have by now. It grows linearly after the start.
     pub(super) fn warm_share(&self, now: Nanos, server: &DiscoveredServer) -> f64 {
         if server.started_at == 0 {
             return 1.0;
         }
-        let within = self.setting("rules.warmWithin", 30.0).max(1e-3);
+        let warm_up_time = self.setting("rules.warmWithin", 30.0).max(1e-3);
         let age = secs(now.saturating_sub(server.started_at));
-        let from = self.setting("rules.coldFrom", 0.1);
-        (from + (1.0 - from) * age / within).min(1.0)
+        let initial = self.setting("rules.coldFrom", 0.1);
+        (initial + (1.0 - initial) * age / warm_up_time).min(1.0)
     }
 }
