--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -8,7 +8,7 @@
 use crate::measure::{Operation, Traffic};
 use crate::player::{Asked, counter_answer};
 use crate::replica::Replica;
-use gateway::counter::{Call, Line};
+use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, Nanos};
 use std::collections::HashMap;
@@ -135,8 +135,8 @@
     fn play(&mut self, rpcs: u64) {
         self.events.set(START, (0, Event::Arrives));
         let last = START + rpcs * SECOND / self.rate;
-        while let Some(at) = self.events.next().filter(|at| *at < last + PATIENCE) {
-            let Some((gateway, event)) = self.events.due(at) else { return };
+        while let Some(at) = self.events.next_due().filter(|at| *at < last + PATIENCE) {
+            let Some((gateway, event)) = self.events.pop_due(at) else { return };
             self.happens(at, gateway, event, rpcs);
         }
     }
@@ -202,14 +202,14 @@
                 Event::Answered { rpc: open.rpc, server: open.server, attempt: open.attempt, sent: now };
             self.events.set(now + SERVED_IN, (gateway, event));
         }
-        while let Some(at) = asked.timers.next() {
-            if let Some(token) = asked.timers.due(at) {
+        while let Some(at) = asked.timers.next_due() {
+            if let Some(token) = asked.timers.pop_due(at) {
                 self.events.set(at, (gateway, Event::Woke(token)));
             }
         }
         for (name, add, forget) in asked.counts.drain(..) {
             self.calls += 1;
-            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, forget }));
+            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, ttl: forget }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
             self.traffic.received.add(counter_answer(*total).len());
@@ -220,9 +220,9 @@
 
 /// The bytes of a call, as the gateway's line to the counter writes it.
 fn call_bytes(call: Call) -> usize {
-    let mut line = Line::default();
+    let mut line = CounterConnection::default();
     let mut written = Vec::new();
-    line.opened(&mut written, 0);
-    line.call(&mut written, 0, call);
+    line.connected(&mut written, 0);
+    line.send_call(&mut written, 0, call);
     written.len()
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -221,7 +221,7 @@
         self.settings = Arc::new(settings);
         self.no_server_until.clear();
         let gateways = self.gateway_count() as usize;
-        self.services.values_mut().for_each(|service| service.subsetter.resize(gateways));
+        self.services.values_mut().for_each(|service| service.subsetter.set_fleet_size(gateways));
         let services: Vec<u32> = self.services.keys().copied().collect();
         services.into_iter().for_each(|service| self.rebuild_subset(now, service));
     }
@@ -435,7 +435,7 @@
             server.open_attempts.push_back((id, attempt_number, now));
             server.cold_gap = (now, 1.0);
             let service = self.services.get_mut(&server.entry.service);
-            service.into_iter().for_each(|service| service.subsetter.took(server_id));
+            service.into_iter().for_each(|service| service.subsetter.record_sent(server_id));
         }
         let attempt = OpenAttempt { server: server_id, customer: key, sent_at: now, soft_deadline, refund };
         self.open_attempts.insert((id, attempt_number), attempt);
--- a/src/admission/server_list.rs
+++ b/src/admission/server_list.rs
@@ -62,30 +62,30 @@
         let is_ready = |id: &u32| self.ready_servers.get(&service).is_some_and(|ready| ready.contains(id));
         let added: BTreeSet<u32> = change.added.iter().copied().filter(is_ready).collect();
         let removed: Vec<u32> = change.removed.iter().copied().filter(|id| !is_ready(id)).collect();
-        state.subsetter.change(&removed, self.endpoints(added.iter()), SUBSETS_PER_SERVER);
+        state.subsetter.apply_change(&removed, self.endpoints(added.iter()), SUBSETS_PER_SERVER);
         let is_cold = |id: &u32| self.warm_share(now, &self.servers[id].entry) < 1.0;
         let shared = state.subsetter.shared().iter().copied();
         let new = added.iter().copied().filter(|id| !state.subsetter.is_shared(*id));
         let shared: Vec<u32> = shared.chain(new).filter(is_cold).collect();
-        state.subsetter.share(shared);
+        state.subsetter.set_shared(shared);
         self.services.insert(service, state);
     }
 
     /// When the next work on a subset is due, or `None` if all subsets are up to date.
     pub fn subset_work_due(&self) -> Option<Nanos> {
-        let outdated = self.services.values().filter(|state| !state.subsetter.is_worked_out());
+        let outdated = self.services.values().filter(|state| !state.subsetter.is_up_to_date());
         outdated.map(|state| state.resume_at).min()
     }
 
     /// Continues to compute the subset that is due first, for a number of work units that take some nanoseconds each.
     pub fn work_on_subsets(&mut self, now: Nanos, units: usize) {
-        let outdated = self.services.values_mut().filter(|state| !state.subsetter.is_worked_out());
+        let outdated = self.services.values_mut().filter(|state| !state.subsetter.is_up_to_date());
         let Some(state) = outdated.min_by_key(|state| state.resume_at).filter(|state| state.resume_at <= now)
         else {
             return;
         };
         let mut left = units;
-        let done = state.subsetter.work(&mut left);
+        let done = state.subsetter.advance(&mut left);
         state.work_done += units - left;
         if done {
             let pause = std::mem::take(&mut state.work_done) as Nanos * PAUSE_PER_WORK_UNIT;
@@ -127,7 +127,7 @@
         let own_zone = self.setting("zone", -1.0);
         let endpoint = |id: &u32| {
             let DiscoveredServer { key, zone, weight, .. } = self.servers[id].entry;
-            Endpoint { id: *id, key, zone, weight, near: f64::from(zone) == own_zone }
+            Endpoint { id: *id, key, zone, weight, same_zone: f64::from(zone) == own_zone }
         };
         ids.map(endpoint).collect()
     }
@@ -136,9 +136,9 @@
     pub(super) fn rebuild_subset(&mut self, now: Nanos, service: u32) {
         let Some(mut state) = self.services.remove(&service) else { return };
         let endpoints = self.endpoints(self.ready_servers.get(&service).into_iter().flatten());
-        state.subsetter.update(endpoints, SUBSETS_PER_SERVER);
+        state.subsetter.set_endpoints(endpoints, SUBSETS_PER_SERVER);
         let is_cold = |id: &&u32| self.warm_share(now, &self.servers[*id].entry) < 1.0;
-        state.subsetter.share(state.subsetter.order().iter().filter(is_cold).copied().collect());
+        state.subsetter.set_shared(state.subsetter.order().iter().filter(is_cold).copied().collect());
         self.services.insert(service, state);
     }
 }
--- a/src/admission/server_selection.rs
+++ b/src/admission/server_selection.rs
@@ -52,7 +52,7 @@
         let (soft_timeout, typical) = (secs(rpc.soft_timeout), self.typical_latency(now));
         let min_open = (9.0 / self.gateway_count()).clamp(1.0, 3.0);
         let is_cold = |id: &&u32| self.warm_share(now, &self.servers[*id].entry) < 1.0;
-        service.subsetter.share(service.subsetter.shared().iter().filter(is_cold).copied().collect());
+        service.subsetter.set_shared(service.subsetter.shared().iter().filter(is_cold).copied().collect());
         let warm_rate = if service.subsetter.shared().is_empty() {
             0.0
         } else {
@@ -95,13 +95,13 @@
                 || !in_group(&server.entry)
                 || !self.has_warmup_budget(now, server, warm_rate)
             {
-                service.subsetter.passed_over(ready[index]);
+                service.subsetter.skip_turn(ready[index]);
                 continue;
             }
             let is_unhealthy =
                 server.is_backing_off(now, self.gateway_count()) || server.is_hanging(now, typical);
             if is_unhealthy {
-                service.subsetter.passed_over(ready[index]);
+                service.subsetter.skip_turn(ready[index]);
             }
             if is_unhealthy { &mut last_resort } else { &mut candidates }.push(ready[index]);
         }
