--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{MS, SEC, START, Story, gateway, server};
+use harness::{MS, SEC, START, Scenario, ready_server, scenario_with_seed};
 use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -89,7 +89,7 @@
         let count = if joined { self.servers + self.joins } else { self.servers };
         let since = |id: u32| if id > self.servers { JOIN_AT } else { 0 };
         (1..=count)
-            .map(|id| DiscoveredServer { started_at: since(id), ..server(id, id as u16 % 2) })
+            .map(|id| DiscoveredServer { started_at: since(id), ..ready_server(id, id as u16 % 2) })
             .collect()
     }
 }
@@ -120,7 +120,7 @@
 
 struct Fleet {
     deployment: Deployment,
-    gateways: Vec<Story>,
+    gateways: Vec<Scenario>,
     lives: Vec<usize>,
     /// Call-outs of each gateway that its servers have seen.
     seen: Vec<usize>,
@@ -148,10 +148,10 @@
     }
 
     /// A new life of a gateway: it knows the list and nothing else.
-    fn started(&mut self, number: usize, now: Nanos) -> Story {
-        let mut story = gateway(self.chance.u64(..), &self.deployment.settings(number));
-        story.notes.now = now;
-        story.list(true, &self.deployment.list(now >= JOIN_AT));
+    fn started(&mut self, number: usize, now: Nanos) -> Scenario {
+        let mut story = scenario_with_seed(self.chance.u64(..), &self.deployment.settings(number));
+        story.host.now = now;
+        story.deliver_list(true, &self.deployment.list(now >= JOIN_AT));
         story
     }
 
@@ -170,7 +170,7 @@
         let mut arrivals: Vec<Nanos> = vec![START; self.deployment.gateways];
         let mut script = VecDeque::from([(JOIN_AT, Step::Join), (RESTART_AT, Step::Restart)]);
         loop {
-            let timers = self.gateways.iter().map(|story| story.notes.next_timer().unwrap_or(Nanos::MAX));
+            let timers = self.gateways.iter().map(|story| story.host.next_timer_at().unwrap_or(Nanos::MAX));
             let (timer, rings) = timers.zip(0..).min().unwrap();
             let (arrival, number) = arrivals.iter().copied().zip(0..).min().unwrap();
             let ends = self.work.peek().map_or(Nanos::MAX, |work| work.0.ends);
@@ -182,8 +182,8 @@
                 script.pop_front();
                 self.carry_out(at, step);
             } else if now == timer {
-                let wait = now - self.gateways[rings].notes.now;
-                self.gateways[rings].pass(wait);
+                let wait = now - self.gateways[rings].host.now;
+                self.gateways[rings].advance(wait);
                 self.sent(rings);
             } else if now == ends {
                 self.answer(now);
@@ -202,8 +202,8 @@
             Step::Join => {
                 let list = self.deployment.list(true);
                 for story in &mut self.gateways {
-                    story.notes.now = now;
-                    story.list(true, &list);
+                    story.host.now = now;
+                    story.deliver_list(true, &list);
                 }
             }
             Step::Restart => {
@@ -218,9 +218,9 @@
     }
 
     fn arrive(&mut self, now: Nanos, number: usize) {
-        self.gateways[number].notes.now = now;
+        self.gateways[number].host.now = now;
         let (method, customer) = (self.chance.u16(0..3), self.chance.u64(0..50));
-        self.gateways[number].rpc_of(customer, method, 1.0, 3 * SEC);
+        self.gateways[number].submit_for(customer, method, 1.0, 3 * SEC);
         self.sent(number);
     }
 
@@ -228,15 +228,15 @@
     fn answer(&mut self, now: Nanos) {
         let Some(Reverse(work)) = self.work.pop() else { return };
         if self.lives[work.gateway] == work.life {
-            self.gateways[work.gateway].notes.now = now;
-            self.gateways[work.gateway].end(work.rpc, CallOutcome::Ok);
+            self.gateways[work.gateway].host.now = now;
+            self.gateways[work.gateway].end_attempt(work.rpc, CallOutcome::Ok);
             self.sent(work.gateway);
         }
     }
 
     /// What a gateway has just called out reaches its servers.
     fn sent(&mut self, number: usize) {
-        let out = self.gateways[number].notes.out[self.seen[number]..].to_vec();
+        let out = self.gateways[number].host.sent[self.seen[number]..].to_vec();
         self.seen[number] += out.len();
         for (rpc, id, _, now) in out {
             let deployment = &self.deployment;
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -9,32 +9,32 @@
 pub const START: Nanos = 100 * SEC;
 
 #[derive(Default)]
-pub struct Notes {
+pub struct RecordingHost {
     pub now: Nanos,
     /// RPC, server, time-out, when.
-    pub out: Vec<(u32, u32, Nanos, Nanos)>,
+    pub sent: Vec<(u32, u32, Nanos, Nanos)>,
     /// Before when each has to be written.
-    pub before: Vec<Nanos>,
-    pub pushed: Vec<(u32, Nanos, Nanos)>,
+    pub write_deadlines: Vec<Nanos>,
+    pub rejected: Vec<(u32, Nanos, Nanos)>,
     pub aborted: Vec<u32>,
-    pub counts: Vec<(u64, f64)>,
+    pub counter_calls: Vec<(u64, f64)>,
     timers: Vec<(Nanos, u32)>,
 }
 
-impl Notes {
+impl RecordingHost {
     /// When the next timer is due.
-    pub fn next_timer(&self) -> Option<Nanos> {
+    pub fn next_timer_at(&self) -> Option<Nanos> {
         self.timers.iter().map(|timer| timer.0).min()
     }
 }
 
-impl Host for Notes {
+impl Host for RecordingHost {
     fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos) {
-        self.before.push(before);
-        self.out.push((rpc, server, limit, self.now));
+        self.write_deadlines.push(before);
+        self.sent.push((rpc, server, limit, self.now));
     }
     fn reject(&mut self, rpc: u32, come_back: Nanos) {
-        self.pushed.push((rpc, come_back, self.now));
+        self.rejected.push((rpc, come_back, self.now));
     }
     fn abort(&mut self, rpc: u32) {
         self.aborted.push(rpc);
@@ -44,38 +44,38 @@
         self.timers.push((self.now + after / 1000 * 1000, token));
     }
     fn add_to_counter(&mut self, name: u64, add: f64, _forget: Nanos) {
-        self.counts.push((name, add));
+        self.counter_calls.push((name, add));
     }
 }
 
-pub struct Story {
-    pub brain: AdmissionController,
-    pub notes: Notes,
+pub struct Scenario {
+    pub controller: AdmissionController,
+    pub host: RecordingHost,
     /// What the next ends settle.
-    pub settled: f64,
+    pub settled_units: f64,
     /// The load report of the next ends.
-    pub told: Vec<f64>,
+    pub load_report: Vec<f64>,
     /// How many gateways the customers' RPCs come in through.
-    pub width: u32,
-    next: u32,
+    pub gateway_count: u32,
+    next_rpc_id: u32,
 }
 
 /// Methods: 0 patient and idempotent, 1 urgent and deduplicated within a zone, 2 urgent and non-idempotent.
 /// One plan of 10 units a second and 10 at once, and what the story adds.
-pub fn story(extra: &str) -> Story {
-    gateway(1, extra)
+pub fn scenario(extra: &str) -> Scenario {
+    scenario_with_seed(1, extra)
 }
 
 /// The same, with a seed of its own.
-pub fn gateway(seed: u64, extra: &str) -> Story {
-    let notes = Notes { now: START, ..Notes::default() };
-    Story {
-        brain: AdmissionController::new(seed, settings(extra)),
-        notes,
-        settled: 0.0,
-        told: Vec::new(),
-        width: 2,
-        next: 0,
+pub fn scenario_with_seed(seed: u64, extra: &str) -> Scenario {
+    let notes = RecordingHost { now: START, ..RecordingHost::default() };
+    Scenario {
+        controller: AdmissionController::new(seed, settings(extra)),
+        host: notes,
+        settled_units: 0.0,
+        load_report: Vec::new(),
+        gateway_count: 2,
+        next_rpc_id: 0,
     }
 }
 
@@ -90,7 +90,7 @@
     lines.filter_map(|line| line.trim().split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
 
-pub fn server(server: u32, zone: u16) -> DiscoveredServer {
+pub fn ready_server(server: u32, zone: u16) -> DiscoveredServer {
     DiscoveredServer {
         server,
         key: u64::from(server),
@@ -102,87 +102,87 @@
     }
 }
 
-impl Story {
+impl Scenario {
     pub fn with_servers(mut self, count: u32) -> Self {
-        let list: Vec<DiscoveredServer> = (1..=count).map(|id| server(id, id as u16 % 2)).collect();
-        self.list(true, &list);
+        let list: Vec<DiscoveredServer> = (1..=count).map(|id| ready_server(id, id as u16 % 2)).collect();
+        self.deliver_list(true, &list);
         self
     }
 
-    pub fn list(&mut self, whole: bool, list: &[DiscoveredServer]) {
-        self.brain.on_server_list(self.notes.now, whole, list);
+    pub fn deliver_list(&mut self, whole: bool, list: &[DiscoveredServer]) {
+        self.controller.on_server_list(self.host.now, whole, list);
     }
 
     /// An RPC of customer 9, who comes in through two gateways.
-    pub fn rpc(&mut self, method: u16, units: f64) -> u32 {
-        self.rpc_of(9, method, units, 4 * SEC)
+    pub fn submit(&mut self, method: u16, units: f64) -> u32 {
+        self.submit_for(9, method, units, 4 * SEC)
     }
 
-    pub fn rpc_of(&mut self, customer: u64, method: u16, units: f64, left: Nanos) -> u32 {
-        self.next += 1;
-        let deadline = self.notes.now + left;
+    pub fn submit_for(&mut self, customer: u64, method: u16, units: f64, left: Nanos) -> u32 {
+        self.next_rpc_id += 1;
+        let deadline = self.host.now + left;
         let arrival = Arrival {
-            id: self.next,
+            id: self.next_rpc_id,
             method,
             customer,
             deadline,
             units,
-            gateway_count: self.width,
+            gateway_count: self.gateway_count,
             ..Arrival::default()
         };
-        self.brain.on_arrival(&mut self.notes, arrival.deadline - left, &arrival);
-        self.next
+        self.controller.on_arrival(&mut self.host, arrival.deadline - left, &arrival);
+        self.next_rpc_id
     }
 
     /// Lets time pass, ringing each timer when it is due.
-    pub fn pass(&mut self, span: Nanos) {
-        let until = self.notes.now + span;
-        while let Some(place) = (0..self.notes.timers.len()).min_by_key(|i| self.notes.timers[*i]) {
-            if self.notes.timers[place].0 > until {
+    pub fn advance(&mut self, span: Nanos) {
+        let until = self.host.now + span;
+        while let Some(place) = (0..self.host.timers.len()).min_by_key(|i| self.host.timers[*i]) {
+            if self.host.timers[place].0 > until {
                 break;
             }
-            let (at, token) = self.notes.timers.swap_remove(place);
-            self.notes.now = at;
-            self.brain.on_timer(&mut self.notes, at, token);
+            let (at, token) = self.host.timers.swap_remove(place);
+            self.host.now = at;
+            self.controller.on_timer(&mut self.host, at, token);
         }
-        self.notes.now = until;
+        self.host.now = until;
     }
 
     /// Ends the last call-out of an RPC.
-    pub fn end(&mut self, rpc: u32, how: CallOutcome) {
-        let outs: Vec<_> = self.notes.out.iter().filter(|out| out.0 == rpc).collect();
+    pub fn end_attempt(&mut self, rpc: u32, how: CallOutcome) {
+        let outs: Vec<_> = self.host.sent.iter().filter(|out| out.0 == rpc).collect();
         let (nth, last) = (outs.len() as u16 - 1, outs[outs.len() - 1]);
         let ended = AttemptResult {
             rpc,
             server: last.1,
             attempt: nth,
             outcome: how,
-            duration: self.notes.now - last.3,
+            duration: self.host.now - last.3,
             rpc_answered: how == CallOutcome::Ok,
-            settled_units: self.settled,
-            load_report: self.told.clone(),
+            settled_units: self.settled_units,
+            load_report: self.load_report.clone(),
         };
-        let now = self.notes.now;
-        self.brain.on_attempt_end(&mut self.notes, now, &ended);
+        let now = self.host.now;
+        self.controller.on_attempt_end(&mut self.host, now, &ended);
     }
 
     /// The counter answers the call made `back` calls before the last.
-    pub fn counted(&mut self, back: usize, how: CallOutcome, total: f64) {
-        let name = self.notes.counts[self.notes.counts.len() - 1 - back].0;
-        let now = self.notes.now;
-        self.brain.on_counter_reply(&mut self.notes, now, name, how, total);
+    pub fn answer_counter(&mut self, back: usize, how: CallOutcome, total: f64) {
+        let name = self.host.counter_calls[self.host.counter_calls.len() - 1 - back].0;
+        let now = self.host.now;
+        self.controller.on_counter_reply(&mut self.host, now, name, how, total);
     }
 
     /// RPCs one after another, each answered ok after a while.
-    pub fn answered(&mut self, count: u32, method: u16, after: Nanos) {
+    pub fn run_answered(&mut self, count: u32, method: u16, after: Nanos) {
         for customer in 0..u64::from(count) {
-            let rpc = self.rpc_of(1000 + customer, method, 0.1, 4 * SEC);
-            self.pass(after);
-            self.end(rpc, CallOutcome::Ok);
+            let rpc = self.submit_for(1000 + customer, method, 0.1, 4 * SEC);
+            self.advance(after);
+            self.end_attempt(rpc, CallOutcome::Ok);
         }
     }
 
-    pub fn sent(&self, rpc: u32) -> usize {
-        self.notes.out.iter().filter(|out| out.0 == rpc).count()
+    pub fn attempt_count(&self, rpc: u32) -> usize {
+        self.host.sent.iter().filter(|out| out.0 == rpc).count()
     }
 }
--- a/tests/liveness.rs
+++ b/tests/liveness.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{MS, SEC, START, Story, gateway, server};
+use harness::{MS, SEC, START, Scenario, ready_server, scenario_with_seed};
 use martenramp::host::{CallOutcome, DiscoveredServer, Nanos};
 use martenramp::subsetting::{self, Endpoint};
 use std::cmp::Reverse;
@@ -23,7 +23,7 @@
 
 /// One gateway of thirty, its servers and the counter, as a script has them.
 struct Day {
-    story: Story,
+    story: Scenario,
     /// When a call-out ends: RPC and how.
     ends: BinaryHeap<Reverse<(Nanos, u32, bool, bool)>>,
     counts: BinaryHeap<Reverse<(Nanos, usize)>>,
@@ -40,7 +40,7 @@
     fn start(seed: u64, extra: &str) -> Day {
         let extra = format!("balancers={GATEWAYS} me=0 rules.fallMultiple=2 {extra}");
         Day {
-            story: gateway(seed, &extra).with_servers(SERVERS),
+            story: scenario_with_seed(seed, &extra).with_servers(SERVERS),
             ends: BinaryHeap::new(),
             counts: BinaryHeap::new(),
             seen: 0,
@@ -53,43 +53,43 @@
 
     /// RPCs of these methods come `rate` times a second for a while, and servers answer as `answer` says.
     fn play(&mut self, span: Nanos, rate: f64, methods: &[u16], answer: impl Fn(u32, Nanos) -> Answer) {
-        let until = self.story.notes.now + span;
-        let mut arrival = self.story.notes.now;
+        let until = self.story.host.now + span;
+        let mut arrival = self.story.host.now;
         loop {
-            let timer = self.story.notes.next_timer().unwrap_or(Nanos::MAX);
+            let timer = self.story.host.next_timer_at().unwrap_or(Nanos::MAX);
             let end = self.ends.peek().map_or(Nanos::MAX, |end| end.0.0);
             let count = self.counts.peek().map_or(Nanos::MAX, |count| count.0.0);
-            let now = timer.min(arrival).min(end).min(count).max(self.story.notes.now);
+            let now = timer.min(arrival).min(end).min(count).max(self.story.host.now);
             if now >= until {
-                self.story.notes.now = until;
+                self.story.host.now = until;
                 return;
             }
             if now == timer {
-                self.story.pass(now - self.story.notes.now);
+                self.story.advance(now - self.story.host.now);
             } else if now == end {
                 let Reverse((_, rpc, ok, refused)) = self.ends.pop().unwrap();
-                self.story.notes.now = now;
+                self.story.host.now = now;
                 let how = if refused { CallOutcome::NoConnection } else { CallOutcome::TimedOut };
-                self.story.end(rpc, if ok { CallOutcome::Ok } else { how });
+                self.story.end_attempt(rpc, if ok { CallOutcome::Ok } else { how });
             } else if now == count {
                 let Reverse((_, place)) = self.counts.pop().unwrap();
-                self.story.notes.now = now;
-                let back = self.story.notes.counts.len() - 1 - place;
+                self.story.host.now = now;
+                let back = self.story.host.counter_calls.len() - 1 - place;
                 let how = if self.counts_well { CallOutcome::Ok } else { CallOutcome::TimedOut };
-                self.story.counted(back, how, 1.0);
+                self.story.answer_counter(back, how, 1.0);
             } else {
-                self.story.notes.now = now;
+                self.story.host.now = now;
                 arrival = now + (-(1.0 - self.chance.f64()).ln() / rate * 1e9) as Nanos;
                 let method = methods[self.chance.usize(..methods.len())];
                 let customer = self.chance.u64(0..40);
-                self.story.rpc_of(customer, method, 0.1, 2 * SEC);
+                self.story.submit_for(customer, method, 0.1, 2 * SEC);
             }
             self.called(&answer);
         }
     }
 
     fn called(&mut self, answer: &impl Fn(u32, Nanos) -> Answer) {
-        for (rpc, id, limit, now) in self.story.notes.out[self.seen..].iter().copied() {
+        for (rpc, id, limit, now) in self.story.host.sent[self.seen..].iter().copied() {
             let limit = if limit == 0 { 2 * SEC } else { limit };
             let answer = answer(id, now);
             if answer.is_none_or(|answer| answer.1 != CallOutcome::NoConnection) {
@@ -104,21 +104,21 @@
                 how == CallOutcome::NoConnection,
             )));
         }
-        self.seen = self.story.notes.out.len();
-        for place in self.asked..self.story.notes.counts.len() {
+        self.seen = self.story.host.sent.len();
+        for place in self.asked..self.story.host.counter_calls.len() {
             let after = if self.counts_well { 2 * MS } else { 50 * MS };
-            self.counts.push(Reverse((self.story.notes.now + after, place)));
+            self.counts.push(Reverse((self.story.host.now + after, place)));
         }
-        self.asked = self.story.notes.counts.len();
+        self.asked = self.story.host.counter_calls.len();
     }
 
     /// The most that was turned away in a span of `ON_END` or more with no call-out that reached a server.
     fn turned_away(&self, from: Nanos) -> usize {
         let mut marks: Vec<Nanos> = self.reached.iter().copied().filter(|at| *at > from).collect();
         marks.insert(0, from);
-        marks.push(self.story.notes.now);
+        marks.push(self.story.host.now);
         let pushed = |from, to| {
-            self.story.notes.pushed.iter().filter(|pushed| pushed.2 > from && pushed.2 <= to).count()
+            self.story.host.rejected.iter().filter(|pushed| pushed.2 > from && pushed.2 <= to).count()
         };
         let gaps = marks.windows(2).filter(|gap| gap[1] - gap[0] >= ON_END);
         gaps.map(|gap| pushed(gap[0], gap[1])).max().unwrap_or(0)
@@ -145,11 +145,11 @@
     for seed in 0..10 {
         let mut day = Day::start(seed, "tariffs.0.perSecond=0");
         day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| Some((1500 * MS, CallOutcome::Ok)));
-        let from = day.story.notes.now;
+        let from = day.story.host.now;
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.serves(from);
         // Slow for good: it sends less, but goes on.
-        let from = day.story.notes.now;
+        let from = day.story.host.now;
         day.play(12 * SEC, 12.0, &[0, 1, 2], |_, _| Some((1500 * MS, CallOutcome::Ok)));
         day.serves(from);
     }
@@ -160,7 +160,7 @@
     for seed in 0..10 {
         let mut day = Day::start(seed, "tariffs.0.perSecond=0");
         day.play(4 * SEC, 20.0, &[1, 2], |_, _| Some((1100 * MS, CallOutcome::Ok)));
-        let from = day.story.notes.now;
+        let from = day.story.host.now;
         day.play(10 * SEC, 6.0, &[0], |_, _| QUICK);
         day.serves(from);
     }
@@ -175,7 +175,7 @@
             for answer in [Some((MS, CallOutcome::NoConnection)), None] {
                 let mut day = Day::start(seed, "tariffs.0.perSecond=0");
                 day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
-                let from = day.story.notes.now;
+                let from = day.story.host.now;
                 let bad = |id: u32, _| if part.contains(&id) { answer } else { QUICK };
                 day.play(12 * SEC, 6.0, &[method], bad);
                 day.serves(from);
@@ -201,14 +201,14 @@
         let mut day = Day::start(seed, "tariffs.0.perSecond=0");
         day.play(3 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.play(6 * SEC, 6.0, &[0, 1, 2], |_, _| None);
-        let from = day.story.notes.now;
+        let from = day.story.host.now;
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.serves(from);
         // Likewise where all refuse, and the list then says that nothing changed.
         day.play(6 * SEC, 6.0, &[0, 1, 2], |_, _| Some((MS, CallOutcome::NoConnection)));
-        let list: Vec<DiscoveredServer> = (1..=SERVERS).map(|id| server(id, id as u16 % 2)).collect();
-        day.story.list(true, &list);
-        let from = day.story.notes.now;
+        let list: Vec<DiscoveredServer> = (1..=SERVERS).map(|id| ready_server(id, id as u16 % 2)).collect();
+        day.story.deliver_list(true, &list);
+        let from = day.story.host.now;
         day.play(10 * SEC, 6.0, &[0, 1, 2], |_, _| QUICK);
         day.serves(from);
     }
