--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -1,5 +1,6 @@
-//! A fleet of gateways, each a module of its own, against servers that start cold: what all together send one in the told
-//! span stays under N + 2 root(N) + 2 RPCs of mean work, N being what the settings allow it then.
+//! A fleet of gateways, each with its own admission controller, must not overload servers that start cold. The work that all
+//! gateways together send one server within the period of `rules.fall` must stay below N + 2 sqrt(N) + 2 RPCs of mean work,
+//! where N is what the settings allow the server at that time.
 
 mod harness;
 
@@ -8,29 +9,29 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// One deployment and what happens to it.
+/// A deployment and the events that happen to it.
 #[derive(Clone, Copy)]
 struct Deployment {
     gateways: usize,
     servers: u32,
     cores: usize,
-    /// Mean work of an RPC on a warm core.
+    /// Mean time that an RPC takes on a warm core.
     work: Nanos,
-    /// Share of the capacity of all servers that is asked for while calm.
+    /// Load before the burst, as a share of the capacity of all servers.
     load: f64,
     cold_from: f64,
     warm_within: f64,
     multiple: f64,
     fall: f64,
-    /// How many times as often RPCs come during the burst.
+    /// Factor by which the burst increases the rate of RPCs.
     burst: f64,
-    /// Servers that join cold when the burst begins, and gateways (in a hundred) that are started anew in it.
+    /// The number of servers that join cold when the burst begins, and the percentage of gateways that restart during it.
     joins: u32,
     restarts: usize,
 }
 
-/// Boards of 150 ms of work: a server bears 22 RPCs of mean work in 3 s at its start.
-const BOARDS: Deployment = Deployment {
+/// RPCs of 150 ms each: a server may get 22 RPCs of mean work in the first 3 s after its start.
+const SLOW_RPCS: Deployment = Deployment {
     gateways: 24,
     servers: 8,
     cores: 3,
@@ -50,24 +51,24 @@
 const END_AT: Nanos = JOIN_AT + 6 * SEC;
 
 impl Deployment {
-    /// RPCs a second that a warm server can do.
+    /// RPCs a second that a warm server can handle.
     fn capacity(&self) -> f64 {
         self.cores as f64 * SEC as f64 / self.work as f64
     }
 
-    /// The part of it that one has so long after its start.
+    /// The share of its capacity that a server of this age has.
     fn warmth(&self, age: Nanos) -> f64 {
         (self.cold_from + (1.0 - self.cold_from) * age as f64 / 1e9 / self.warm_within).min(1.0)
     }
 
-    /// What may come in the told span that begins so long after a server's start; nothing is said of a warm one.
-    fn bound(&self, age: Nanos) -> Option<f64> {
+    /// The limit on the work sent in a period that begins at this age of the server; `None` once it is warm.
+    fn limit(&self, age: Nanos) -> Option<f64> {
         let warmth = self.warmth(age);
         let allowed = self.multiple * warmth * self.capacity() * self.fall;
         (warmth < 1.0).then_some(allowed + 2.0 * allowed.sqrt() + 2.0)
     }
 
-    /// The servers that join.
+    /// The IDs of the servers that join.
     fn joining(&self) -> std::ops::RangeInclusive<u32> {
         self.servers + 1..=self.servers + self.joins
     }
@@ -94,26 +95,26 @@
     }
 }
 
-/// What the script does to the fleet.
+/// An event that the test causes in the fleet.
 #[derive(Clone, Copy)]
-enum Step {
+enum Event {
     Join,
     Restart,
 }
 
-/// A call-out that a server works on.
+/// An attempt that a server is working on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Work {
-    ends: Nanos,
+    ends_at: Nanos,
     gateway: usize,
-    /// Which life of that gateway.
-    life: usize,
+    /// The incarnation of that gateway.
+    incarnation: usize,
     rpc: u32,
 }
 
-/// An RPC that came to a server: when, and its work over the mean.
+/// An RPC that arrived at a server: when, and its work as a multiple of the mean.
 #[derive(Clone, Copy, Debug)]
-struct Visit {
+struct ServerArrival {
     at: Nanos,
     work: f64,
 }
@@ -121,14 +122,14 @@
 struct Fleet {
     deployment: Deployment,
     gateways: Vec<Scenario>,
-    lives: Vec<usize>,
-    /// Call-outs of each gateway that its servers have seen.
-    seen: Vec<usize>,
-    /// When each core of each server is free, and what came there.
+    incarnations: Vec<usize>,
+    /// The number of attempts of each gateway that have been delivered to the servers.
+    delivered: Vec<usize>,
+    /// For each server, when each of its cores is free, and the RPCs that arrived.
     cores: BTreeMap<u32, Vec<Nanos>>,
-    came: BTreeMap<u32, Vec<Visit>>,
+    arrivals: BTreeMap<u32, Vec<ServerArrival>>,
     work: BinaryHeap<Reverse<Work>>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl Fleet {
@@ -136,82 +137,84 @@
         let mut fleet = Fleet {
             deployment,
             gateways: Vec::new(),
-            lives: vec![0; deployment.gateways],
-            seen: vec![0; deployment.gateways],
+            incarnations: vec![0; deployment.gateways],
+            delivered: vec![0; deployment.gateways],
             cores: BTreeMap::new(),
-            came: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
             work: BinaryHeap::new(),
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
         };
-        fleet.gateways = (0..deployment.gateways).map(|number| fleet.started(number, START)).collect();
+        fleet.gateways = (0..deployment.gateways).map(|number| fleet.start_gateway(number, START)).collect();
         fleet
     }
 
-    /// A new life of a gateway: it knows the list and nothing else.
-    fn started(&mut self, number: usize, now: Nanos) -> Scenario {
-        let mut story = scenario_with_seed(self.chance.u64(..), &self.deployment.settings(number));
-        story.host.now = now;
-        story.deliver_list(true, &self.deployment.list(now >= JOIN_AT));
-        story
+    /// A new incarnation of a gateway, which knows only the server list.
+    fn start_gateway(&mut self, number: usize, now: Nanos) -> Scenario {
+        let mut gateway = scenario_with_seed(self.rng.u64(..), &self.deployment.settings(number));
+        gateway.host.now = now;
+        gateway.deliver_list(true, &self.deployment.list(now >= JOIN_AT));
+        gateway
     }
 
-    /// Shares of the traffic: one gateway in six has several times the mean.
-    fn shares(&mut self) -> Vec<f64> {
+    /// Each gateway's share of the traffic. One gateway in six gets several times the mean.
+    fn traffic_shares(&mut self) -> Vec<f64> {
         let count = self.deployment.gateways;
         let raw: Vec<f64> =
-            (0..count).map(|at| if at % 6 == 0 { 3.0 } else { 0.2 + 0.8 * self.chance.f64() }).collect();
+            (0..count).map(|index| if index % 6 == 0 { 3.0 } else { 0.2 + 0.8 * self.rng.f64() }).collect();
         let sum: f64 = raw.iter().sum();
-        raw.into_iter().map(|one| one / sum).collect()
+        raw.into_iter().map(|share| share / sum).collect()
     }
 
     fn play(&mut self) {
-        let shares = self.shares();
-        let asked = f64::from(self.deployment.servers) * self.deployment.capacity() * self.deployment.load;
-        let mut arrivals: Vec<Nanos> = vec![START; self.deployment.gateways];
-        let mut script = VecDeque::from([(JOIN_AT, Step::Join), (RESTART_AT, Step::Restart)]);
+        let shares = self.traffic_shares();
+        let request_rate =
+            f64::from(self.deployment.servers) * self.deployment.capacity() * self.deployment.load;
+        let mut next_arrivals: Vec<Nanos> = vec![START; self.deployment.gateways];
+        let mut events = VecDeque::from([(JOIN_AT, Event::Join), (RESTART_AT, Event::Restart)]);
         loop {
-            let timers = self.gateways.iter().map(|story| story.host.next_timer_at().unwrap_or(Nanos::MAX));
-            let (timer, rings) = timers.zip(0..).min().unwrap();
-            let (arrival, number) = arrivals.iter().copied().zip(0..).min().unwrap();
-            let ends = self.work.peek().map_or(Nanos::MAX, |work| work.0.ends);
-            let now = timer.min(arrival).min(ends);
+            let timers =
+                self.gateways.iter().map(|gateway| gateway.host.next_timer_at().unwrap_or(Nanos::MAX));
+            let (timer, timer_gateway) = timers.zip(0..).min().unwrap();
+            let (arrival, number) = next_arrivals.iter().copied().zip(0..).min().unwrap();
+            let work_end = self.work.peek().map_or(Nanos::MAX, |work| work.0.ends_at);
+            let now = timer.min(arrival).min(work_end);
             if now >= END_AT {
                 return;
             }
-            if let Some((at, step)) = script.front().copied().filter(|step| now >= step.0) {
-                script.pop_front();
-                self.carry_out(at, step);
+            if let Some((at, event)) = events.front().copied().filter(|event| now >= event.0) {
+                events.pop_front();
+                self.apply(at, event);
             } else if now == timer {
-                let wait = now - self.gateways[rings].host.now;
-                self.gateways[rings].advance(wait);
-                self.sent(rings);
-            } else if now == ends {
+                let wait = now - self.gateways[timer_gateway].host.now;
+                self.gateways[timer_gateway].advance(wait);
+                self.deliver_attempts(timer_gateway);
+            } else if now == work_end {
                 self.answer(now);
             } else {
                 let burst = if now >= JOIN_AT { self.deployment.burst } else { 1.0 };
-                let wait = -(1.0 - self.chance.f64()).ln() / (asked * shares[number] * burst);
-                arrivals[number] = now + (wait * 1e9) as Nanos;
+                let wait = -(1.0 - self.rng.f64()).ln() / (request_rate * shares[number] * burst);
+                next_arrivals[number] = now + (wait * 1e9) as Nanos;
                 self.arrive(now, number);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Nanos, step: Step) {
+    fn apply(&mut self, now: Nanos, event: Event) {
         let count = self.deployment.gateways;
-        match step {
-            Step::Join => {
+        match event {
+            Event::Join => {
                 let list = self.deployment.list(true);
-                for story in &mut self.gateways {
-                    story.host.now = now;
-                    story.deliver_list(true, &list);
+                for gateway in &mut self.gateways {
+                    gateway.host.now = now;
+                    gateway.deliver_list(true, &list);
                 }
             }
-            Step::Restart => {
-                let mut which: Vec<usize> = (0..count).collect();
-                self.chance.shuffle(&mut which);
-                for number in which.into_iter().take(count * self.deployment.restarts / 100) {
-                    self.gateways[number] = self.started(number, now);
-                    (self.lives[number], self.seen[number]) = (self.lives[number] + 1, 0);
+            Event::Restart => {
+                let mut numbers: Vec<usize> = (0..count).collect();
+                self.rng.shuffle(&mut numbers);
+                for number in numbers.into_iter().take(count * self.deployment.restarts / 100) {
+                    self.gateways[number] = self.start_gateway(number, now);
+                    (self.incarnations[number], self.delivered[number]) = (self.incarnations[number] + 1, 0);
                 }
             }
         }
@@ -219,90 +222,95 @@
 
     fn arrive(&mut self, now: Nanos, number: usize) {
         self.gateways[number].host.now = now;
-        let (method, customer) = (self.chance.u16(0..3), self.chance.u64(0..50));
+        let (method, customer) = (self.rng.u16(0..3), self.rng.u64(0..50));
         self.gateways[number].submit_for(customer, method, 1.0, 3 * SEC);
-        self.sent(number);
+        self.deliver_attempts(number);
     }
 
-    /// The work that is done first is answered, unless its gateway has ended.
+    /// Completes the work that ends first and answers it, unless its gateway has restarted.
     fn answer(&mut self, now: Nanos) {
         let Some(Reverse(work)) = self.work.pop() else { return };
-        if self.lives[work.gateway] == work.life {
+        if self.incarnations[work.gateway] == work.incarnation {
             self.gateways[work.gateway].host.now = now;
             self.gateways[work.gateway].end_attempt(work.rpc, CallOutcome::Ok);
-            self.sent(work.gateway);
+            self.deliver_attempts(work.gateway);
         }
     }
 
-    /// What a gateway has just called out reaches its servers.
-    fn sent(&mut self, number: usize) {
-        let out = self.gateways[number].host.sent[self.seen[number]..].to_vec();
-        self.seen[number] += out.len();
-        for (rpc, id, _, now) in out {
+    /// Delivers the attempts that a gateway has just sent to their servers.
+    fn deliver_attempts(&mut self, number: usize) {
+        let sent = self.gateways[number].host.sent[self.delivered[number]..].to_vec();
+        self.delivered[number] += sent.len();
+        for (rpc, id, _, now) in sent {
             let deployment = &self.deployment;
-            let share = 0.6 + 0.8 * self.chance.f64();
+            let size = 0.6 + 0.8 * self.rng.f64();
             let is_new = id > deployment.servers;
             let speed = if is_new { deployment.warmth(now - JOIN_AT) } else { 1.0 };
             let cores = self.cores.entry(id).or_insert_with(|| vec![0; deployment.cores]);
-            let free = cores.iter_mut().min().unwrap();
-            *free = now.max(*free) + (deployment.work as f64 * share / speed) as Nanos;
-            let work = Work { ends: *free, gateway: number, life: self.lives[number], rpc };
+            let free_at = cores.iter_mut().min().unwrap();
+            *free_at = now.max(*free_at) + (deployment.work as f64 * size / speed) as Nanos;
+            let work =
+                Work { ends_at: *free_at, gateway: number, incarnation: self.incarnations[number], rpc };
             self.work.push(Reverse(work));
-            self.came.entry(id).or_default().push(Visit { at: now, work: share });
+            self.arrivals.entry(id).or_default().push(ServerArrival { at: now, work: size });
         }
     }
 
-    /// Each span of the told length that ends with an arrival at a cold server: the work in it over the bound.
-    fn spans(&self) -> Vec<f64> {
+    /// For each period of `rules.fall` that ends with an arrival at a cold server: the work in it as a multiple of the limit.
+    fn period_loads(&self) -> Vec<f64> {
         let deployment = &self.deployment;
         let fall = (deployment.fall * 1e9) as Nanos;
-        let mut spans = Vec::new();
+        let mut loads = Vec::new();
         for id in deployment.joining() {
-            let Some(came) = self.came.get(&id) else { continue };
-            for (place, last) in came.iter().enumerate() {
+            let Some(arrivals) = self.arrivals.get(&id) else { continue };
+            for (index, last) in arrivals.iter().enumerate() {
                 let from = last.at.saturating_sub(fall).max(JOIN_AT);
-                let Some(bound) = deployment.bound(from - JOIN_AT) else { break };
-                let inside = came[..=place].iter().rev().take_while(|visit| visit.at > from);
-                spans.push(inside.map(|visit| visit.work).sum::<f64>() / bound);
+                let Some(limit) = deployment.limit(from - JOIN_AT) else { break };
+                let inside = arrivals[..=index].iter().rev().take_while(|arrival| arrival.at > from);
+                loads.push(inside.map(|arrival| arrival.work).sum::<f64>() / limit);
             }
         }
-        spans
+        loads
     }
 
-    /// RPCs that came to the joining servers within so long after the start, on average over these.
-    fn met_within(&self, span: Nanos) -> f64 {
-        let came = self.deployment.joining().filter_map(|id| self.came.get(&id)).flatten();
-        came.filter(|visit| visit.at <= JOIN_AT + span).count() as f64 / f64::from(self.deployment.joins)
+    /// The mean number of RPCs that a joining server got within this time after its start.
+    fn mean_arrivals_within(&self, duration: Nanos) -> f64 {
+        let arrivals = self.deployment.joining().filter_map(|id| self.arrivals.get(&id)).flatten();
+        arrivals.filter(|arrival| arrival.at <= JOIN_AT + duration).count() as f64
+            / f64::from(self.deployment.joins)
     }
 }
 
-/// Plays a deployment with so many seeds and holds every span of every cold server against the bound.
-fn none_is_pushed_over(name: &str, deployment: Deployment, seeds: u64) {
-    let mut spans = Vec::new();
+/// Runs a deployment with a number of seeds and checks every period of every cold server against the limit.
+fn assert_within_budget(name: &str, deployment: Deployment, seeds: u64) {
+    let mut loads = Vec::new();
     for seed in 0..seeds {
         let mut fleet = Fleet::start(deployment, seed);
         fleet.play();
-        spans.extend(fleet.spans());
+        loads.extend(fleet.period_loads());
     }
-    let worst = spans.iter().copied().fold(0.0, f64::max);
-    let over = spans.iter().filter(|span| **span > 1.0).count();
-    println!("{name}: {over} of {} spans over the bound, the worst {worst:.2} of it", spans.len());
-    assert!(spans.len() > 100 * seeds as usize / 4 && over == 0, "{name}: {over} spans over, worst {worst}");
+    let worst = loads.iter().copied().fold(0.0, f64::max);
+    let over = loads.iter().filter(|load| **load > 1.0).count();
+    println!("{name}: {over} of {} periods above the limit, the worst at {worst:.2} of it", loads.len());
+    assert!(
+        loads.len() > 100 * seeds as usize / 4 && over == 0,
+        "{name}: {over} periods above the limit, the worst at {worst}"
+    );
 }
 
 #[test]
-fn unequal_gateways_push_no_cold_server_over_under_a_burst() {
-    none_is_pushed_over("long span", BOARDS, 6);
-    none_is_pushed_over("long span, twice the traffic", Deployment { burst: 2.0, ..BOARDS }, 4);
+fn unequal_gateways_overload_no_cold_server_in_a_burst() {
+    assert_within_budget("long period", SLOW_RPCS, 6);
+    assert_within_budget("long period, twice the traffic", Deployment { burst: 2.0, ..SLOW_RPCS }, 4);
 }
 
 #[test]
-fn more_servers_that_join_than_were_there_get_no_more_each() {
-    none_is_pushed_over("most join", Deployment { joins: 12, ..BOARDS }, 4);
+fn cold_servers_stay_within_budget_when_more_join_than_were_there() {
+    assert_within_budget("most servers join", Deployment { joins: 12, ..SLOW_RPCS }, 4);
 }
 
 #[test]
-fn a_budget_smaller_than_the_fleet_holds_though_all_gateways_start_anew() {
+fn a_budget_smaller_than_the_fleet_holds_when_all_gateways_restart() {
     let deployment = Deployment {
         gateways: 30,
         cores: 2,
@@ -311,13 +319,13 @@
         cold_from: 0.2,
         burst: 2.0,
         restarts: 100,
-        ..BOARDS
+        ..SLOW_RPCS
     };
-    none_is_pushed_over("all start anew", deployment, 6);
+    assert_within_budget("all gateways restart", deployment, 6);
 }
 
 #[test]
-fn gateways_that_hear_of_a_small_server_at_once_do_not_all_call_out_to_it() {
+fn gateways_that_learn_of_a_small_server_at_once_do_not_all_send_to_it() {
     let deployment = Deployment {
         servers: 16,
         joins: 6,
@@ -326,16 +334,16 @@
         fall: 1.0,
         cold_from: 0.1,
         restarts: 0,
-        ..BOARDS
+        ..SLOW_RPCS
     };
     let seeds = 6;
-    let met = |seed: u64| {
+    let arrivals = |seed: u64| {
         let mut fleet = Fleet::start(deployment, seed);
         fleet.play();
-        fleet.met_within(1500 * MS)
+        fleet.mean_arrivals_within(1500 * MS)
     };
-    let mean = (0..seeds).map(met).sum::<f64>() / seeds as f64;
-    // It bears 1.0 a second at its start and 2.4 after 1.5 s: 2.5 in all.
+    let mean = (0..seeds).map(arrivals).sum::<f64>() / seeds as f64;
+    // The server may get 1.0 a second at its start and 2.4 a second after 1.5 s: 2.5 in all.
     println!("{mean:.2} RPCs in the first 1.5 s");
     assert!(mean > 0.5 && mean < 2.5, "{mean}");
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! What the module's stories share: a tiny host that writes down what the module asks for and rings its timers in order.
-#![allow(dead_code)] // each test uses a part of it
+//! Test harness for the admission controller: a host that records its requests and fires its timers in order.
+#![allow(dead_code)] // each test file uses only some of it
 
 use martenramp::admission::AdmissionController;
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Host, Nanos, Settings};
@@ -8,15 +8,18 @@
 pub const SEC: Nanos = 1_000 * MS;
 pub const START: Nanos = 100 * SEC;
 
+/// A host that records what the controller requests.
 #[derive(Default)]
 pub struct RecordingHost {
     pub now: Nanos,
-    /// RPC, server, time-out, when.
+    /// Attempts: RPC, server, timeout, and when it was sent.
     pub sent: Vec<(u32, u32, Nanos, Nanos)>,
-    /// Before when each has to be written.
+    /// For each attempt, the time before which it has to be written.
     pub write_deadlines: Vec<Nanos>,
+    /// RPC, advice when to retry, and when it was rejected.
     pub rejected: Vec<(u32, Nanos, Nanos)>,
     pub aborted: Vec<u32>,
+    /// Name of the count, and the units added.
     pub counter_calls: Vec<(u64, f64)>,
     timers: Vec<(Nanos, u32)>,
 }
@@ -33,14 +36,14 @@
         self.write_deadlines.push(before);
         self.sent.push((rpc, server, limit, self.now));
     }
-    fn reject(&mut self, rpc: u32, come_back: Nanos) {
-        self.rejected.push((rpc, come_back, self.now));
+    fn reject(&mut self, rpc: u32, retry_after: Nanos) {
+        self.rejected.push((rpc, retry_after, self.now));
     }
     fn abort(&mut self, rpc: u32) {
         self.aborted.push(rpc);
     }
     fn set_timer(&mut self, after: Nanos, token: u32) {
-        // Like the simulator's wire, this clock counts whole microseconds.
+        // The clock has a resolution of one microsecond, like that of the simulator's protocol.
         self.timers.push((self.now + after / 1000 * 1000, token));
     }
     fn add_to_counter(&mut self, name: u64, add: f64, _forget: Nanos) {
@@ -48,30 +51,31 @@
     }
 }
 
+/// A controller under test, and the state of its environment.
 pub struct Scenario {
     pub controller: AdmissionController,
     pub host: RecordingHost,
-    /// What the next ends settle.
+    /// The actual units that the next results report; 0 for none.
     pub settled_units: f64,
-    /// The load report of the next ends.
+    /// The load report of the next results.
     pub load_report: Vec<f64>,
-    /// How many gateways the customers' RPCs come in through.
+    /// The number of gateways that receive the customers' RPCs.
     pub gateway_count: u32,
     next_rpc_id: u32,
 }
 
-/// Methods: 0 patient and idempotent, 1 urgent and deduplicated within a zone, 2 urgent and non-idempotent.
-/// One plan of 10 units a second and 10 at once, and what the story adds.
+/// A gateway with three methods: 0 is patient and idempotent, 1 urgent and deduplicated within a zone, 2 urgent and not
+/// idempotent. Its only plan has a rate of 10 units a second and a burst of 10. `extra` adds settings.
 pub fn scenario(extra: &str) -> Scenario {
     scenario_with_seed(1, extra)
 }
 
-/// The same, with a seed of its own.
+/// Like [`scenario`], with a given random seed.
 pub fn scenario_with_seed(seed: u64, extra: &str) -> Scenario {
-    let notes = RecordingHost { now: START, ..RecordingHost::default() };
+    let host = RecordingHost { now: START, ..RecordingHost::default() };
     Scenario {
         controller: AdmissionController::new(seed, settings(extra)),
-        host: notes,
+        host,
         settled_units: 0.0,
         load_report: Vec::new(),
         gateway_count: 2,
@@ -113,14 +117,15 @@
         self.controller.on_server_list(self.host.now, whole, list);
     }
 
-    /// An RPC of customer 9, who comes in through two gateways.
+    /// An RPC of customer 9 arrives.
     pub fn submit(&mut self, method: u16, units: f64) -> u32 {
         self.submit_for(9, method, units, 4 * SEC)
     }
 
-    pub fn submit_for(&mut self, customer: u64, method: u16, units: f64, left: Nanos) -> u32 {
+    /// An RPC of the given customer arrives, with a deadline after `time_left`. Returns its ID.
+    pub fn submit_for(&mut self, customer: u64, method: u16, units: f64, time_left: Nanos) -> u32 {
         self.next_rpc_id += 1;
-        let deadline = self.host.now + left;
+        let deadline = self.host.now + time_left;
         let arrival = Arrival {
             id: self.next_rpc_id,
             method,
@@ -130,35 +135,35 @@
             gateway_count: self.gateway_count,
             ..Arrival::default()
         };
-        self.controller.on_arrival(&mut self.host, arrival.deadline - left, &arrival);
+        self.controller.on_arrival(&mut self.host, arrival.deadline - time_left, &arrival);
         self.next_rpc_id
     }
 
-    /// Lets time pass, ringing each timer when it is due.
-    pub fn advance(&mut self, span: Nanos) {
-        let until = self.host.now + span;
-        while let Some(place) = (0..self.host.timers.len()).min_by_key(|i| self.host.timers[*i]) {
-            if self.host.timers[place].0 > until {
+    /// Advances the clock and fires each timer when it is due.
+    pub fn advance(&mut self, duration: Nanos) {
+        let until = self.host.now + duration;
+        while let Some(index) = (0..self.host.timers.len()).min_by_key(|i| self.host.timers[*i]) {
+            if self.host.timers[index].0 > until {
                 break;
             }
-            let (at, token) = self.host.timers.swap_remove(place);
+            let (at, token) = self.host.timers.swap_remove(index);
             self.host.now = at;
             self.controller.on_timer(&mut self.host, at, token);
         }
         self.host.now = until;
     }
 
-    /// Ends the last call-out of an RPC.
-    pub fn end_attempt(&mut self, rpc: u32, how: CallOutcome) {
-        let outs: Vec<_> = self.host.sent.iter().filter(|out| out.0 == rpc).collect();
-        let (nth, last) = (outs.len() as u16 - 1, outs[outs.len() - 1]);
+    /// Ends the last attempt of an RPC.
+    pub fn end_attempt(&mut self, rpc: u32, outcome: CallOutcome) {
+        let attempts: Vec<_> = self.host.sent.iter().filter(|sent| sent.0 == rpc).collect();
+        let (attempt, last) = (attempts.len() as u16 - 1, attempts[attempts.len() - 1]);
         let ended = AttemptResult {
             rpc,
             server: last.1,
-            attempt: nth,
-            outcome: how,
+            attempt,
+            outcome,
             duration: self.host.now - last.3,
-            rpc_answered: how == CallOutcome::Ok,
+            rpc_answered: outcome == CallOutcome::Ok,
             settled_units: self.settled_units,
             load_report: self.load_report.clone(),
         };
@@ -166,23 +171,24 @@
         self.controller.on_attempt_end(&mut self.host, now, &ended);
     }
 
-    /// The counter answers the call made `back` calls before the last.
-    pub fn answer_counter(&mut self, back: usize, how: CallOutcome, total: f64) {
-        let name = self.host.counter_calls[self.host.counter_calls.len() - 1 - back].0;
+    /// The counter answers the call made `calls_back` calls before the last one.
+    pub fn answer_counter(&mut self, calls_back: usize, outcome: CallOutcome, total: f64) {
+        let name = self.host.counter_calls[self.host.counter_calls.len() - 1 - calls_back].0;
         let now = self.host.now;
-        self.controller.on_counter_reply(&mut self.host, now, name, how, total);
+        self.controller.on_counter_reply(&mut self.host, now, name, outcome, total);
     }
 
-    /// RPCs one after another, each answered ok after a while.
-    pub fn run_answered(&mut self, count: u32, method: u16, after: Nanos) {
+    /// Runs RPCs one after another, each answered successfully after `latency`.
+    pub fn run_answered(&mut self, count: u32, method: u16, latency: Nanos) {
         for customer in 0..u64::from(count) {
             let rpc = self.submit_for(1000 + customer, method, 0.1, 4 * SEC);
-            self.advance(after);
+            self.advance(latency);
             self.end_attempt(rpc, CallOutcome::Ok);
         }
     }
 
+    /// The number of attempts sent for an RPC.
     pub fn attempt_count(&self, rpc: u32) -> usize {
-        self.host.sent.iter().filter(|out| out.0 == rpc).count()
+        self.host.sent.iter().filter(|sent| sent.0 == rpc).count()
     }
 }
