--- a/src/admission.rs
+++ b/src/admission.rs
@@ -64,6 +64,7 @@
     Ended,
 }
 
+/// An RPC that has no final answer yet.
 #[derive(Default)]
 struct Rpc {
     state: RpcState,
@@ -102,6 +103,7 @@
     }
 }
 
+/// A customer as known at this gateway.
 #[derive(Clone, Default)]
 struct Customer {
     quota: Quota,
@@ -122,6 +124,7 @@
     }
 }
 
+/// A server on the list of discovery, with this gateway's measurements of it.
 #[derive(Default)]
 struct Server {
     entry: DiscoveredServer,
@@ -424,9 +427,9 @@
 
     fn send(&mut self, host: &mut dyn Host, now: Nanos, id: u32, server_id: u32) {
         self.set_state(id, RpcState::InFlight);
-        let limit = self.attempt_timeout(now, id);
+        let timeout = self.attempt_timeout(now, id);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let (attempt_number, key, before) = (rpc.attempts as u16, rpc.customer, rpc.repeat_deadline());
+        let (attempt_number, key, write_before) = (rpc.attempts as u16, rpc.customer, rpc.repeat_deadline());
         rpc.attempts += 1;
         let soft_deadline = if rpc.patient { Nanos::MAX } else { rpc.soft_deadline };
         let refund = if rpc.written { 0.0 } else { rpc.units };
@@ -439,7 +442,7 @@
         }
         let attempt = OpenAttempt { server: server_id, customer: key, sent_at: now, soft_deadline, refund };
         self.open_attempts.insert((id, attempt_number), attempt);
-        host.send_attempt(id, server_id, limit, before);
+        host.send_attempt(id, server_id, timeout, write_before);
         self.expected_wait.0 = 0;
         self.report_usage(host, now, key);
     }
@@ -562,8 +565,8 @@
         let Some(rpc) = self.rpcs.get(&id) else { return 0 };
         let may_retry = self.attempts_left(rpc) > 1
             && (rpc.setting_is("idempotency", "free") || rpc.setting_is("idempotency", "guarded"));
-        let limit = rpc.soft_deadline.saturating_sub(now) * 3 / 5;
-        if may_retry && limit > 4 * self.typical_latency(now) { limit } else { 0 }
+        let timeout = rpc.soft_deadline.saturating_sub(now) * 3 / 5;
+        if may_retry && timeout > 4 * self.typical_latency(now) { timeout } else { 0 }
     }
 
     /// The latest time to send an RPC so that it is typically answered in time.
--- a/src/admission/quota_check.rs
+++ b/src/admission/quota_check.rs
@@ -22,14 +22,14 @@
         patient: bool,
     ) -> Nanos {
         // While nothing is known of the other gateways' usage, the even split applies.
-        let alone = self.is_counter_silent() || !self.is_enabled("extra.hasCounter");
+        let use_even_split = self.is_counter_silent() || !self.is_enabled("extra.hasCounter");
         let borrows = self.customer(now, key).may_borrow && !self.is_throttled(now, key);
         let (customer, quota) = (&self.customers[&key], &self.customers[&key].quota);
         let mut at = now;
         // A count that was never read is read first, by a claim: with many gateways the even split is less than one RPC.
-        if quota.rate > 0.0 && (alone || quota.read_at > 0) {
-            let share = if alone { 1.0 / quota.gateway_count } else { 1.0 };
-            let level = if alone { quota.even_split } else { quota.estimated_level(now, units) };
+        if quota.rate > 0.0 && (use_even_split || quota.read_at > 0) {
+            let share = if use_even_split { 1.0 / quota.gateway_count } else { 1.0 };
+            let level = if use_even_split { quota.even_split } else { quota.estimated_level(now, units) };
             let reserve = customer.reserve_line(now, patient) * share;
             // An RPC larger than the share is admitted when the share is full.
             let floor = if borrows { -quota.burst * share } else { 0.0 };
@@ -53,8 +53,9 @@
     }
 
     /// Whether the RPC has to claim its units at the counter first, because other gateways could take the same units now or have
-    /// done so since the last total. Without claims, gateways that read the same late total would all see the same room. While
-    /// no counter call is allowed, only RPCs that the even split does not cover need a claim. The cost is a short delay.
+    /// done so since the last total. Without claims, gateways that read the same late total would all see the same room. The cost
+    /// is a short delay. While no counter call is allowed, an RPC needs a claim only if the bucket is or may be low and the even
+    /// split does not cover the RPC.
     pub(super) fn needs_claim(&self, now: Nanos, key: u64, units: f64, patient: bool) -> bool {
         let (customer, quota) = (&self.customers[&key], &self.customers[&key].quota);
         let spare = quota.level - units - customer.reserve_line(now, patient);
--- a/src/host.rs
+++ b/src/host.rs
@@ -10,10 +10,10 @@
 
 /// Requests that the controller makes of its host. Each takes effect at the time of the event being handled.
 pub trait Host {
-    /// Sends the RPC to a server. The attempts of an RPC are numbered from 0. A `limit` of 0 waits for the answer until the
-    /// RPC's deadline. If the connection is established so late that the attempt can't be written before the time `before`,
-    /// it must not be written at all.
-    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos);
+    /// Sends the RPC to a server. The attempts of an RPC are numbered from 0. A `timeout` of 0 waits for the answer until the
+    /// RPC's deadline. If the connection is established so late that the attempt can't be written before the time
+    /// `write_before`, it must not be written at all.
+    fn send_attempt(&mut self, rpc: u32, server: u32, timeout: Nanos, write_before: Nanos);
     /// Final answer: the RPC is rejected and may be retried safely. A `retry_after` of 0 gives no advice.
     fn reject(&mut self, rpc: u32, retry_after: Nanos);
     /// Final answer: the RPC failed. It may have run, so a retry may be unsafe.
--- a/tests/cold_budget.rs
+++ b/tests/cold_budget.rs
@@ -165,7 +165,7 @@
         raw.into_iter().map(|share| share / sum).collect()
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         let shares = self.traffic_shares();
         let request_rate =
             f64::from(self.deployment.servers) * self.deployment.capacity() * self.deployment.load;
@@ -286,7 +286,7 @@
     let mut loads = Vec::new();
     for seed in 0..seeds {
         let mut fleet = Fleet::start(deployment, seed);
-        fleet.play();
+        fleet.run();
         loads.extend(fleet.period_loads());
     }
     let worst = loads.iter().copied().fold(0.0, f64::max);
@@ -339,7 +339,7 @@
     let seeds = 6;
     let arrivals = |seed: u64| {
         let mut fleet = Fleet::start(deployment, seed);
-        fleet.play();
+        fleet.run();
         fleet.mean_arrivals_within(1500 * MS)
     };
     let mean = (0..seeds).map(arrivals).sum::<f64>() / seeds as f64;
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -32,9 +32,9 @@
 }
 
 impl Host for RecordingHost {
-    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, before: Nanos) {
-        self.write_deadlines.push(before);
-        self.sent.push((rpc, server, limit, self.now));
+    fn send_attempt(&mut self, rpc: u32, server: u32, timeout: Nanos, write_before: Nanos) {
+        self.write_deadlines.push(write_before);
+        self.sent.push((rpc, server, timeout, self.now));
     }
     fn reject(&mut self, rpc: u32, retry_after: Nanos) {
         self.rejected.push((rpc, retry_after, self.now));
