--- a/src/subsetting/local_fill.rs
+++ b/src/subsetting/local_fill.rs
@@ -1,51 +1,52 @@
-//! Filling a subset up by the gateway's own choice, where the table leaves it smaller than it should be.
+//! Fills a subset up with endpoints that the gateway chooses by itself, where the table leaves the subset too small.
 
-use super::assignment::SUBSET_LEAST;
-use super::table::{Line, raised_count};
+use super::assignment::MIN_SUBSET_RATIO;
+use super::table::{Row, effective_count};
 use super::{Endpoint, weight};
 use std::collections::BTreeSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Up to so many endpoints at most a gateway fills its subset up by itself.
-const FILL_MOST: usize = 3;
+/// A gateway fills its subset up to at most this many endpoints.
+const MAX_FILL_LEN: usize = 3;
 
-/// Adds endpoints of this gateway's own choice to a subset that is too small: weighted rendezvous hashing, so that a change of
-/// the list moves only what it touches.
+/// Adds endpoints to a subset that is too small. They are chosen by weighted rendezvous hashing, so that a change of
+/// the list moves only the pairs of the endpoints that changed.
 pub(super) fn fill_up(
-    line: &mut Line,
+    row: &mut Row,
     endpoints: &[Endpoint],
-    fleet: usize,
+    fleet_size: usize,
     subset_count: f64,
     gateway: usize,
 ) {
-    let missing = fill_len(endpoints.len(), fleet, subset_count).saturating_sub(line.subset_len);
+    let missing = fill_len(endpoints.len(), fleet_size, subset_count).saturating_sub(row.subset_len);
     if missing == 0 {
         return;
     }
-    let subset: BTreeSet<u32> = line.ids[..line.subset_len].iter().copied().collect();
+    let subset: BTreeSet<u32> = row.ids[..row.subset_len].iter().copied().collect();
     let others = endpoints.iter().filter(|endpoint| !subset.contains(&endpoint.id));
     let score = |endpoint: &Endpoint| (rendezvous_score(gateway as u64, endpoint), endpoint.key, endpoint.id);
     let mut scored: Vec<(f64, u64, u32)> = others.map(score).collect();
-    scored.sort_unstable_by(|one, two| two.0.total_cmp(&one.0).then(one.1.cmp(&two.1)));
+    scored.sort_unstable_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
     let chosen: Vec<u32> = scored.iter().take(missing).map(|scored| scored.2).collect();
-    let further = line.ids.split_off(line.subset_len);
-    line.subset_len += chosen.len();
-    line.ids.extend(&chosen);
-    line.ids.extend(further.into_iter().filter(|id| !chosen.contains(id)));
+    let overflow = row.ids.split_off(row.subset_len);
+    row.subset_len += chosen.len();
+    row.ids.extend(&chosen);
+    row.ids.extend(overflow.into_iter().filter(|id| !chosen.contains(id)));
 }
 
-/// Up to what size a subset is filled up by the gateway's own choice, where the table leaves it smaller.
-fn fill_len(endpoints: usize, fleet: usize, subset_count: f64) -> usize {
-    let mean = raised_count(endpoints, fleet, subset_count) * endpoints as f64 / fleet as f64;
-    least_len(mean).clamp(1, FILL_MOST).min(endpoints)
+/// The length up to which a subset is filled.
+fn fill_len(endpoints: usize, fleet_size: usize, subset_count: f64) -> usize {
+    let mean_len =
+        effective_count(endpoints, fleet_size, subset_count) * endpoints as f64 / fleet_size as f64;
+    min_len(mean_len).clamp(1, MAX_FILL_LEN).min(endpoints)
 }
 
-/// How many endpoints every gateway is to have, of so many in the mean.
-fn least_len(mean: f64) -> usize {
-    (mean * SUBSET_LEAST).floor() as usize
+/// The number of endpoints that every subset should have at least, given the mean length.
+fn min_len(mean_len: f64) -> usize {
+    (mean_len * MIN_SUBSET_RATIO).floor() as usize
 }
 
-/// Higher is better; an endpoint of twice the weight is best twice as often.
+/// Score for weighted rendezvous hashing: the highest wins, and an endpoint of twice the weight wins twice as often.
 fn rendezvous_score(seed: u64, endpoint: &Endpoint) -> f64 {
     let hash = xxh3_64_with_seed(&seed.to_le_bytes(), endpoint.key);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
--- a/src/subsetting/mod.rs
+++ b/src/subsetting/mod.rs
@@ -1,17 +1,18 @@
-//! Which endpoints of a service a gateway draws from, worked out by every gateway alone and yet even over the fleet: no talk
-//! between gateways, no I/O. `docs/spread-design.md` weighs what else there is.
+//! Deterministic subsetting: chooses the endpoints of a service that each gateway draws from. Every gateway computes
+//! its subset by itself, without I/O and without talking to the others, and the load is still even over the fleet.
+//! `docs/spread-design.md` compares the alternatives.
 //!
-//! From the gateway's number, the fleet's size and the service's endpoints, every gateway works out the same [`table`] of
-//! pairs (gateway, endpoint) and keeps its own line of it. Every endpoint is in nearly the same number of subsets, whatever
-//! the fleet's size, and a change of the list moves few pairs: one hash never depends on another. The subsets of each zone
-//! are worked out on their own, so that every gateway has its share of each zone, and the loss of one moves nothing in the
-//! others.
+//! From its number, the size of the fleet and the service's endpoints, every gateway computes the same [`table`] of
+//! (gateway, endpoint) pairs and keeps its own row. Every endpoint is in nearly the same number of subsets, whatever
+//! the size of the fleet, and a change of the list moves few pairs, as no hash depends on another. The subsets of each
+//! zone are computed separately, so that every gateway has its share of each zone and the loss of one zone moves
+//! nothing in the others.
 //!
-//! Within its subset a gateway draws a few at random and sends to the one that has had fewest [`stride`] for its share.
-
+//! Of a few endpoints drawn at random from its subset, a gateway sends to the one that has received the fewest RPCs for its
+//! share (see [`stride`]).
 //!
-//! A change of the list is followed at once as far as it must be (what has left is drawn no more, what has come can be drawn),
-//! and the table is worked out anew in steps of bounded work, many changes at once.
+//! A change of the list takes effect at once where it must: removed endpoints are no longer drawn, and added ones can
+//! be drawn. The table is then recomputed in steps of bounded work, which may cover many changes at once.
 
 mod assignment;
 mod candidates;
@@ -19,28 +20,29 @@
 mod stride;
 mod table;
 
-use assignment::Taking;
+use assignment::Assignment;
 use std::collections::{BTreeMap, BTreeSet};
-use stride::{Cost, Turns};
-use table::{Line, Table};
+use stride::{Stride, StrideScheduler};
+use table::{Row, Table};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A turn at an endpoint of another zone costs so much more.
-const FAR: f64 = 1.1;
-/// A weight below counts as this.
-const WEIGHT_MIN: f64 = 0.05;
-/// What setting the order and the costs takes for an endpoint, in units of [`Subsetter::advance`].
+/// Factor on the stride of an endpoint in another zone.
+const OTHER_ZONE_FACTOR: f64 = 1.1;
+/// Lower weights are raised to this one.
+const MIN_WEIGHT: f64 = 0.05;
+/// Cost per endpoint of computing the order and the strides, in units of [`Subsetter::advance`].
 const ORDER_UNITS: usize = 32;
 
-/// A server of the service, as the list has it.
+/// A server of the service, as listed by discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// As this gateway numbers it, and as all gateways know it.
+    /// This gateway's own number for the server.
     pub id: u32,
+    /// Hash of the server's name, the same at every gateway (see [`key`]).
     pub key: u64,
     pub zone: u16,
     pub weight: f64,
-    /// In this gateway's zone.
+    /// Whether the server is in this gateway's zone.
     pub same_zone: bool,
 }
 
@@ -49,117 +51,119 @@
     xxh3_64(name.as_bytes())
 }
 
-/// A gateway's subset of the endpoints of one service, and whose turn it is.
+/// One gateway's subset of the endpoints of one service, and the scheduler that chooses among them.
 #[derive(Debug, Default)]
 pub struct Subsetter {
-    /// This gateway's number, if it is told, of so many.
+    /// This gateway's number in the fleet, if it is configured.
     number: Option<usize>,
-    fleet: usize,
-    /// Of this life: the order of the list where no number is told.
+    fleet_size: usize,
+    /// Random per incarnation; seeds the order of the list for a gateway without a number.
     salt: u64,
-    /// An endpoint of mean weight is to be in so many subsets, or in more where gateways would have too few endpoints.
+    /// The number of subsets that an endpoint of mean weight is to be in; raised where gateways would have too few
+    /// endpoints.
     subset_count: f64,
     table: Table,
-    /// A table that is worked out, and the order that follows of it, before it holds.
-    taking: Option<Box<Taking>>,
-    next: Option<NextOrder>,
-    /// Costs are worked out against these means.
+    /// A completed table, and the order derived from it, before they take effect.
+    assignment: Option<Box<Assignment>>,
+    pending: Option<PendingOrder>,
+    /// The means that strides are relative to.
     means: Means,
-    /// Ids of all endpoints: first this gateway's subset, then the others in an order of its own.
+    /// Ids of all endpoints: first this gateway's subset, then the others in an order of the gateway's own.
     order: Vec<u32>,
     subset_len: usize,
-    turns: Turns,
+    scheduler: StrideScheduler,
 }
 
 /// Means over all endpoints, as of the last table.
 #[derive(Clone, Copy, Debug, Default)]
 struct Means {
     weight: f64,
-    cost: f64,
+    stride: f64,
 }
 
-/// What holds next.
+/// An order that takes effect at the next step.
 #[derive(Debug)]
-struct NextOrder {
-    line: Line,
+struct PendingOrder {
+    row: Row,
     endpoints: Vec<Endpoint>,
-    costs: BTreeMap<u32, Cost>,
+    strides: BTreeMap<u32, Stride>,
 }
 
 impl Subsetter {
-    /// `number` counts from 0 and is the same after a restart; `fleet` is how many gateways there are.
-    pub fn new(number: Option<usize>, fleet: usize, salt: u64) -> Subsetter {
-        let fleet = fleet.max(number.map_or(1, |number| number + 1));
-        let (table, turns) = (Table::new(fleet), Turns::new(salt));
-        Subsetter { number, fleet, salt, table, turns, ..Subsetter::default() }
+    /// `number` counts from 0 and stays the same after a restart; `fleet_size` is the number of gateways.
+    pub fn new(number: Option<usize>, fleet_size: usize, salt: u64) -> Subsetter {
+        let fleet_size = fleet_size.max(number.map_or(1, |number| number + 1));
+        let (table, scheduler) = (Table::new(fleet_size), StrideScheduler::new(salt));
+        Subsetter { number, fleet_size, salt, table, scheduler, ..Subsetter::default() }
     }
 
-    /// The fleet is told to have another size: all is to be worked out anew.
-    pub fn set_fleet_size(&mut self, fleet: usize) {
-        self.fleet = fleet.max(self.number.map_or(1, |number| number + 1));
+    /// Changes the number of gateways, which requires the whole table to be recomputed.
+    pub fn set_fleet_size(&mut self, fleet_size: usize) {
+        self.fleet_size = fleet_size.max(self.number.map_or(1, |number| number + 1));
         let endpoints: Vec<Endpoint> = self.table.endpoints().copied().collect();
-        self.table = Table::new(self.fleet);
-        (self.taking, self.next) = (None, None);
+        self.table = Table::new(self.fleet_size);
+        (self.assignment, self.pending) = (None, None);
         self.table.set_count(self.subset_count);
-        endpoints.into_iter().for_each(|endpoint| self.table.join(endpoint));
+        endpoints.into_iter().for_each(|endpoint| self.table.add(endpoint));
     }
 
-    /// Takes the whole list, and works all of it out; every endpoint of mean weight is to be in `subset_count` subsets, or in
-    /// more where gateways would have too few endpoints.
+    /// Replaces the whole list and computes the subset to the end. Every endpoint of mean weight is to be in `subset_count`
+    /// subsets, or in more where gateways would have too few endpoints.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>, subset_count: f64) {
-        let named: BTreeSet<u32> = endpoints.iter().map(|endpoint| endpoint.id).collect();
-        let gone = self.table.endpoints().map(|endpoint| endpoint.id).filter(|id| !named.contains(id));
-        let gone: Vec<u32> = gone.collect();
-        self.apply_change(&gone, endpoints, subset_count);
+        let listed: BTreeSet<u32> = endpoints.iter().map(|endpoint| endpoint.id).collect();
+        let removed = self.table.endpoints().map(|endpoint| endpoint.id).filter(|id| !listed.contains(id));
+        let removed: Vec<u32> = removed.collect();
+        self.apply_change(&removed, endpoints, subset_count);
         self.finish();
     }
 
-    /// Follows a change of the list: these left, and these came or are other than they were. Nothing that left is drawn any
-    /// more; what came can be drawn, and has its place in the subsets once [`Subsetter::advance`] is done.
-    pub fn apply_change(&mut self, gone: &[u32], came: Vec<Endpoint>, subset_count: f64) {
+    /// Applies a change of the list: the endpoints that were removed, and those that were added or modified. Removed
+    /// endpoints are no longer drawn; added ones can be drawn, and get their place in the subsets once
+    /// [`Subsetter::advance`] has recomputed them.
+    pub fn apply_change(&mut self, removed: &[u32], added: Vec<Endpoint>, subset_count: f64) {
         if self.subset_count != subset_count {
             self.subset_count = subset_count;
             self.table.set_count(subset_count);
         }
-        let mut gone: BTreeSet<u32> = gone.iter().copied().collect();
-        let new = |endpoint: &Endpoint| self.table.endpoint(endpoint.id) != Some(endpoint);
-        let came: Vec<Endpoint> = came.into_iter().filter(new).collect();
-        gone.extend(came.iter().map(|endpoint| endpoint.id));
-        gone.retain(|id| self.table.endpoint(*id).is_some());
-        if !gone.is_empty() || !came.is_empty() {
-            self.next = None;
+        let mut removed: BTreeSet<u32> = removed.iter().copied().collect();
+        let is_new = |endpoint: &Endpoint| self.table.endpoint(endpoint.id) != Some(endpoint);
+        let added: Vec<Endpoint> = added.into_iter().filter(is_new).collect();
+        removed.extend(added.iter().map(|endpoint| endpoint.id));
+        removed.retain(|id| self.table.endpoint(*id).is_some());
+        if !removed.is_empty() || !added.is_empty() {
+            self.pending = None;
         }
-        gone.iter().for_each(|id| self.table.leave(*id));
-        self.drop_from_order(&gone);
-        for endpoint in came {
-            self.table.join(endpoint);
+        removed.iter().for_each(|id| self.table.remove(*id));
+        self.remove_from_order(&removed);
+        for endpoint in added {
+            self.table.add(endpoint);
             self.order.push(endpoint.id);
-            self.turns.join(endpoint.id, self.cost(&endpoint));
+            self.scheduler.add(endpoint.id, self.stride(&endpoint));
         }
     }
 
-    fn drop_from_order(&mut self, gone: &BTreeSet<u32>) {
-        if gone.is_empty() {
+    fn remove_from_order(&mut self, removed: &BTreeSet<u32>) {
+        if removed.is_empty() {
             return;
         }
-        let mut place = 0;
+        let mut position = 0;
         let mut subset_len = self.subset_len;
         self.order.retain(|id| {
-            let stays = !gone.contains(id);
-            subset_len -= usize::from(!stays && place < self.subset_len);
-            place += 1;
-            stays
+            let keep = !removed.contains(id);
+            subset_len -= usize::from(!keep && position < self.subset_len);
+            position += 1;
+            keep
         });
         self.subset_len = subset_len;
-        self.turns.leave(gone);
+        self.scheduler.remove(removed);
     }
 
-    /// Whether the subset is that of the list.
+    /// Whether the subset matches the current list.
     pub fn is_up_to_date(&self) -> bool {
-        self.table.is_done() && self.taking.is_none()
+        self.table.is_done() && self.assignment.is_none()
     }
 
-    /// Works all of it out.
+    /// Computes the subset to the end.
     pub fn finish(&mut self) {
         while !self.is_up_to_date() {
             let mut units = usize::MAX;
@@ -167,89 +171,91 @@
         }
     }
 
-    /// Goes on working the subset out for as long as `units` allow, each some nanoseconds; takes off what it used. Returns
-    /// whether a subset holds from now on, which may be that of a list that has changed meanwhile.
+    /// Continues computing the subset until `units` (some nanoseconds each) are used up, and subtracts those it used.
+    /// Returns whether a new subset has taken effect; the list may have changed since that subset was begun.
     pub fn advance(&mut self, units: &mut usize) -> bool {
-        if let Some(next) = self.next.take() {
-            self.taking = None;
-            *units = units.saturating_sub(ORDER_UNITS * next.endpoints.len());
-            self.set_order(&next.line, &next.endpoints, &next.costs);
-            self.turns.update(next.costs);
+        if let Some(pending) = self.pending.take() {
+            self.assignment = None;
+            *units = units.saturating_sub(ORDER_UNITS * pending.endpoints.len());
+            self.set_order(&pending.row, &pending.endpoints, &pending.strides);
+            self.scheduler.set_strides(pending.strides);
             return true;
         }
-        if self.taking.is_none() {
-            self.taking = self.table.work(self.number, units);
+        if self.assignment.is_none() {
+            self.assignment = self.table.advance(self.number, units);
         }
-        if let Some(taking) = &self.taking {
-            let line = self.number.map_or_else(Line::default, |_| self.table.line(taking));
-            let next = self.next_order(line);
-            *units = units.saturating_sub(ORDER_UNITS * next.endpoints.len());
-            self.next = Some(next);
+        if let Some(assignment) = &self.assignment {
+            let row = self.number.map_or_else(Row::default, |_| self.table.row(assignment));
+            let pending = self.prepare_order(row);
+            *units = units.saturating_sub(ORDER_UNITS * pending.endpoints.len());
+            self.pending = Some(pending);
         }
         false
     }
 
-    /// What follows of a line for the endpoints that there are now.
-    fn next_order(&mut self, mut line: Line) -> NextOrder {
+    /// Derives the next order and the strides from a row and the current endpoints.
+    fn prepare_order(&mut self, mut row: Row) -> PendingOrder {
         let endpoints: Vec<Endpoint> = self.table.endpoints().copied().collect();
         if let Some(number) = self.number {
-            local_fill::fill_up(&mut line, &endpoints, self.fleet, self.subset_count, number);
+            local_fill::fill_up(&mut row, &endpoints, self.fleet_size, self.subset_count, number);
         }
         self.means.weight = table::mean_weight(endpoints.iter());
-        self.means.cost = 1.0;
-        let costs: Vec<Cost> = endpoints.iter().map(|endpoint| self.cost(endpoint)).collect();
-        self.means.cost = costs.iter().map(|cost| cost.own).sum::<f64>() / endpoints.len().max(1) as f64;
-        let mean = self.means.cost;
-        let scaled = |cost: &Cost| Cost { own: cost.own / mean, shared: cost.shared / mean };
-        let costs =
-            endpoints.iter().zip(&costs).map(|(endpoint, cost)| (endpoint.id, scaled(cost))).collect();
-        // Without a number each draws a subset of the mean size for itself.
+        self.means.stride = 1.0;
+        let strides: Vec<Stride> = endpoints.iter().map(|endpoint| self.stride(endpoint)).collect();
+        self.means.stride =
+            strides.iter().map(|stride| stride.own).sum::<f64>() / endpoints.len().max(1) as f64;
+        let mean = self.means.stride;
+        let scaled = |stride: &Stride| Stride { own: stride.own / mean, shared: stride.shared / mean };
+        let strides =
+            endpoints.iter().zip(&strides).map(|(endpoint, stride)| (endpoint.id, scaled(stride))).collect();
+        // A gateway without a number has a subset of the mean length, at the head of its own order.
         if self.number.is_none() {
             let counts = endpoints.iter().map(|endpoint| self.count(endpoint));
-            line.subset_len = counts.sum::<usize>().div_ceil(self.fleet).min(endpoints.len());
+            row.subset_len = counts.sum::<usize>().div_ceil(self.fleet_size).min(endpoints.len());
         }
-        NextOrder { line, endpoints, costs }
+        PendingOrder { row, endpoints, strides }
     }
 
-    /// In how many subsets an endpoint is to be: by weight, at least in one and at most in all. Not raised where there are few
-    /// endpoints: a cold one gets less than its share there rather than more.
+    /// The number of subsets that an endpoint is to be in: by weight, at least one and at most all. Not raised where
+    /// there are few endpoints, so that a cold endpoint gets less than its share there rather than more.
     fn count(&self, endpoint: &Endpoint) -> usize {
         let mean = if self.means.weight > 0.0 { self.means.weight } else { 1.0 };
         let count = (self.subset_count * weight(endpoint) / mean).round() as usize;
-        count.clamp(1, self.fleet.max(1))
+        count.clamp(1, self.fleet_size.max(1))
     }
 
-    /// What a turn costs at an endpoint: 1 in the mean.
-    fn cost(&self, endpoint: &Endpoint) -> Cost {
-        let far = if endpoint.same_zone { 1.0 } else { FAR };
-        let cost = |count: usize| count as f64 / weight(endpoint) * far;
-        let mean = if self.means.cost > 0.0 { self.means.cost } else { cost(self.count(endpoint)) };
-        Cost { own: cost(self.count(endpoint)) / mean, shared: cost(self.fleet) / mean }
+    /// The stride of an endpoint, relative to the mean stride.
+    fn stride(&self, endpoint: &Endpoint) -> Stride {
+        let zone_factor = if endpoint.same_zone { 1.0 } else { OTHER_ZONE_FACTOR };
+        let stride = |count: usize| count as f64 / weight(endpoint) * zone_factor;
+        let mean = if self.means.stride > 0.0 { self.means.stride } else { stride(self.count(endpoint)) };
+        Stride { own: stride(self.count(endpoint)) / mean, shared: stride(self.fleet_size) / mean }
     }
 
-    /// The line's endpoints come first, the others follow by hash.
-    fn set_order(&mut self, line: &Line, endpoints: &[Endpoint], costs: &BTreeMap<u32, Cost>) {
+    /// Sets the order: the endpoints of the row come first, the others follow in the order of their hashes.
+    fn set_order(&mut self, row: &Row, endpoints: &[Endpoint], strides: &BTreeMap<u32, Stride>) {
         let seed = self.number.map_or(self.salt, |number| number as u64);
-        let first: BTreeSet<u32> = line.ids.iter().copied().collect();
-        let others = endpoints.iter().filter(|endpoint| !first.contains(&endpoint.id));
+        let in_row: BTreeSet<u32> = row.ids.iter().copied().collect();
+        let others = endpoints.iter().filter(|endpoint| !in_row.contains(&endpoint.id));
         let hashed =
             others.map(|endpoint| (xxh3_64_with_seed(&seed.to_le_bytes(), endpoint.key), endpoint.id));
         let mut others: Vec<(u64, u32)> = hashed.collect();
         others.sort_unstable();
-        let ids: Vec<u32> = line.ids.iter().copied().chain(others.into_iter().map(|other| other.1)).collect();
-        // What is too heavy for the number of gateways stands in the order so many times, to be drawn as often.
-        let all = line.subset_len == ids.len();
-        let times = |id: &u32| {
-            let times = if all { 1.0 } else { (1.0 / costs[id].own).round().max(1.0) };
+        let ids: Vec<u32> = row.ids.iter().copied().chain(others.into_iter().map(|other| other.1)).collect();
+        // An endpoint whose weight calls for more subsets than there are gateways is repeated in the order, so that it
+        // is drawn accordingly more often.
+        let is_whole = row.subset_len == ids.len();
+        let repeated = |id: &u32| {
+            let times = if is_whole { 1.0 } else { (1.0 / strides[id].own).round().max(1.0) };
             std::iter::repeat_n(*id, times as usize)
         };
-        let mut order: Vec<u32> = ids[..line.subset_len].iter().flat_map(times).collect();
+        let mut order: Vec<u32> = ids[..row.subset_len].iter().flat_map(repeated).collect();
         self.subset_len = order.len();
-        order.extend(ids[line.subset_len..].iter().flat_map(times));
+        order.extend(ids[row.subset_len..].iter().flat_map(repeated));
         self.order = order;
     }
 
-    /// All endpoints, first the `subset_len` of this gateway's subset; some more than once.
+    /// All endpoints, first the `subset_len` entries of this gateway's subset; an id may occur more than once.
     pub fn order(&self) -> &[u32] {
         &self.order
     }
@@ -258,60 +264,62 @@
         self.subset_len
     }
 
-    /// Of a few endpoints drawn at random and what each bears now, whose turn it is: the one that had fewest, unless it
-    /// bears far more than the least; of equals the first.
-    pub fn pick(&mut self, drawn: &[(u32, f64)]) -> Option<u32> {
-        self.turns.pick(drawn)
+    /// Picks among randomly drawn candidates, given as (endpoint, current load): the one that has received the fewest
+    /// RPCs for its share, unless its load is far above the least; the first of equals.
+    pub fn pick(&mut self, candidates: &[(u32, f64)]) -> Option<u32> {
+        self.scheduler.pick(candidates)
     }
 
-    /// This endpoint was drawn and could not take an RPC: its turn is lost. Guards against a herd of all gateways at a
-    /// server that was bad, full or cold, once it is able again. Harm: it gets a little less than its share.
+    /// Records that an endpoint was drawn but could not take an RPC, and does not make up for it later. Guards against
+    /// a thundering herd: all gateways sending to a server that was failing, full or cold as soon as it recovers. The
+    /// price is that the server gets a little less than its share.
     pub fn skip_turn(&mut self, id: u32) {
-        self.turns.passed_over(id);
+        self.scheduler.skip_turn(id);
     }
 
-    /// From now on the whole fleet draws from these (they are cold, and have a budget in common), and no longer from
-    /// others it did. Guards against a herd at each that comes: for a gateway's first turn there it waits a random part of
-    /// the time between two. Afterwards it waits for the same part of the shorter time between two of its own turns.
+    /// Sets the endpoints that the whole fleet draws from (cold ones, which have a budget in common); those set before
+    /// and not now are drawn by their own subsets again. Guards against a thundering herd at each endpoint that is
+    /// added: a gateway waits with its first RPC to it for a random part of the time between two. Once the endpoint is
+    /// no longer shared, the gateway waits for the same part of the shorter time between two of its own RPCs.
     pub fn set_shared(&mut self, ids: Vec<u32>) {
-        self.turns.share(ids);
+        self.scheduler.set_shared(ids);
     }
 
     pub fn shared(&self) -> &[u32] {
-        self.turns.shared()
+        self.scheduler.shared()
     }
 
-    /// Whether the whole fleet draws from this endpoint for now.
+    /// Whether the whole fleet currently draws from this endpoint.
     pub fn is_shared(&self, id: u32) -> bool {
-        self.turns.is_shared(id)
+        self.scheduler.is_shared(id)
     }
 
-    /// An RPC went to this endpoint.
+    /// Records that an RPC was sent to this endpoint.
     pub fn record_sent(&mut self, id: u32) {
-        self.turns.took(id, &self.order[..self.subset_len]);
+        self.scheduler.record_sent(id, &self.order[..self.subset_len]);
     }
 }
 
 fn weight(endpoint: &Endpoint) -> f64 {
-    if endpoint.weight.is_finite() { endpoint.weight.max(WEIGHT_MIN) } else { 1.0 }
+    if endpoint.weight.is_finite() { endpoint.weight.max(MIN_WEIGHT) } else { 1.0 }
 }
 
-/// The subsets of all gateways of a fleet, as each of them works them out: ids of endpoints.
-pub fn subsets(endpoints: &[Endpoint], fleet: usize, subset_count: f64) -> Vec<Vec<u32>> {
-    let mut table = Table::new(fleet);
+/// The subsets of all gateways of a fleet, as each gateway computes its own: ids of endpoints by gateway number.
+pub fn subsets(endpoints: &[Endpoint], fleet_size: usize, subset_count: f64) -> Vec<Vec<u32>> {
+    let mut table = Table::new(fleet_size);
     table.set_count(subset_count);
-    endpoints.iter().for_each(|endpoint| table.join(*endpoint));
-    let mut subsets = vec![Vec::new(); fleet];
+    endpoints.iter().for_each(|endpoint| table.add(*endpoint));
+    let mut subsets = vec![Vec::new(); fleet_size];
     while !table.is_done() {
-        if let Some(taking) = table.work(None, &mut { usize::MAX }) {
-            subsets = table.subsets(&taking);
+        if let Some(assignment) = table.advance(None, &mut { usize::MAX }) {
+            subsets = table.subsets(&assignment);
         }
     }
     for (gateway, ids) in subsets.iter_mut().enumerate() {
-        let mut line = Line { subset_len: ids.len(), ids: std::mem::take(ids) };
-        local_fill::fill_up(&mut line, endpoints, fleet, subset_count, gateway);
-        line.ids.truncate(line.subset_len);
-        *ids = line.ids;
+        let mut row = Row { subset_len: ids.len(), ids: std::mem::take(ids) };
+        local_fill::fill_up(&mut row, endpoints, fleet_size, subset_count, gateway);
+        row.ids.truncate(row.subset_len);
+        *ids = row.ids;
     }
     subsets
 }
--- a/src/subsetting/stride.rs
+++ b/src/subsetting/stride.rs
@@ -1,108 +1,121 @@
-//! Whose turn it is among the endpoints of a subset, so that few RPCs come out nearly even and nobody's next turn is known
-//! beforehand. What is new, or could not take its turn, stands level with the others: a turn is never owed by a whole fleet
-//! at once.
+//! Chooses among the endpoints of a subset by stride scheduling, so that even a few RPCs are spread nearly evenly while
+//! no endpoint's next RPC can be predicted. An endpoint that is new, or that could not take an RPC when drawn, is set
+//! to the median virtual time: so the whole fleet never owes RPCs to one endpoint at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Of two drawn, one that bears so many times more is passed over.
-const FAR_WORSE: f64 = 2.0;
-/// So many turns can be owed at most to an endpoint that was not drawn from for a while.
-const BEHIND: f64 = 2.0;
-/// A gateway's first turn at what the whole fleet draws from comes after a random part of so many of the time between two.
-/// The whole of it (1.0) would be even from the first second on, but a cold budget that opens late comes on top.
-const FIRST_TURN: f64 = 0.5;
+/// A candidate whose load is above this multiple of the least loaded candidate's is skipped.
+const MAX_LOAD_RATIO: f64 = 2.0;
+/// An endpoint that was not drawn for a while lags behind the median virtual time by at most this, in mean strides.
+const MAX_LAG: f64 = 2.0;
+/// The first RPC of a gateway to a newly shared endpoint is delayed by a random part of this share of a stride. A whole
+/// stride (1.0) would give an even load from the first second on, but a cold endpoint's budget that opens late adds to
+/// the delay.
+const FIRST_RPC_DELAY: f64 = 0.5;
 
-/// What an endpoint's turn costs: by its subsets over its weight, and while the whole fleet draws from it.
+/// The virtual time that one RPC to an endpoint takes: the number of gateways that draw from it over its weight, scaled.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Cost {
+pub(super) struct Stride {
+    /// While the gateways that have the endpoint in their subset draw from it.
     pub own: f64,
+    /// While the whole fleet draws from it.
     pub shared: f64,
 }
 
-/// Turns that each endpoint has had, by what they cost.
+/// The virtual time of every endpoint: the sum of the strides of the RPCs sent to it.
 #[derive(Debug, Default)]
-pub(super) struct Turns {
-    /// Of this life: when the first turn at a shared endpoint comes.
+pub(super) struct StrideScheduler {
+    /// Random per incarnation; seeds the delay before the first RPC to a shared endpoint.
     salt: u64,
-    costs: BTreeMap<u32, Cost>,
-    had: BTreeMap<u32, f64>,
-    /// What the middle one of this gateway's subset has had.
-    level: f64,
-    /// What the whole fleet draws from for now, in whoever's subset it is; in the order told, and to look up.
+    strides: BTreeMap<u32, Stride>,
+    virtual_times: BTreeMap<u32, f64>,
+    /// The median virtual time over this gateway's subset.
+    median: f64,
+    /// Endpoints that the whole fleet draws from for now, in whichever subset they are: in the given order, and as a set.
     shared: Vec<u32>,
-    is_shared: BTreeSet<u32>,
+    shared_set: BTreeSet<u32>,
 }
 
-impl Turns {
-    pub(super) fn new(salt: u64) -> Turns {
-        Turns { salt, ..Turns::default() }
+impl StrideScheduler {
+    pub(super) fn new(salt: u64) -> StrideScheduler {
+        StrideScheduler { salt, ..StrideScheduler::default() }
     }
 
-    /// Takes the endpoints there are and their costs; new ones stand level with the others.
-    pub(super) fn update(&mut self, costs: BTreeMap<u32, Cost>) {
-        self.had.retain(|id, _| costs.contains_key(id));
-        for id in costs.keys() {
-            self.had.entry(*id).or_insert(self.level);
+    /// Replaces all endpoints and their strides; new endpoints start at the median.
+    pub(super) fn set_strides(&mut self, strides: BTreeMap<u32, Stride>) {
+        self.virtual_times.retain(|id, _| strides.contains_key(id));
+        for id in strides.keys() {
+            self.virtual_times.entry(*id).or_insert(self.median);
         }
-        self.shared.retain(|id| costs.contains_key(id));
-        self.is_shared.retain(|id| costs.contains_key(id));
-        self.costs = costs;
+        self.shared.retain(|id| strides.contains_key(id));
+        self.shared_set.retain(|id| strides.contains_key(id));
+        self.strides = strides;
     }
 
-    /// One has come: it stands level with the others.
-    pub(super) fn join(&mut self, id: u32, cost: Cost) {
-        self.costs.insert(id, cost);
-        self.had.entry(id).or_insert(self.level);
+    /// Adds an endpoint, which starts at the median.
+    pub(super) fn add(&mut self, id: u32, stride: Stride) {
+        self.strides.insert(id, stride);
+        self.virtual_times.entry(id).or_insert(self.median);
     }
 
-    /// These have left.
-    pub(super) fn leave(&mut self, gone: &BTreeSet<u32>) {
-        for id in gone {
-            self.costs.remove(id);
-            self.had.remove(id);
+    pub(super) fn remove(&mut self, removed: &BTreeSet<u32>) {
+        for id in removed {
+            self.strides.remove(id);
+            self.virtual_times.remove(id);
         }
-        self.shared.retain(|id| !gone.contains(id));
-        self.is_shared.retain(|id| !gone.contains(id));
+        self.shared.retain(|id| !removed.contains(id));
+        self.shared_set.retain(|id| !removed.contains(id));
     }
 
-    /// Of endpoints and what each bears now, whose turn it is: the one that had fewest, unless it bears far more than the
-    /// least; of equals the first.
-    pub(super) fn pick(&mut self, drawn: &[(u32, f64)]) -> Option<u32> {
-        let most = FAR_WORSE * drawn.iter().map(|at| at.1).fold(f64::MAX, f64::min);
-        drawn.iter().filter(|at| at.1 > most).for_each(|at| self.passed_over(at.0));
-        let ordinary = drawn.iter().filter(|at| at.1 <= most).map(|at| at.0);
-        ordinary.min_by(|one, two| self.had(*one).total_cmp(&self.had(*two)))
+    /// Picks among candidates given as (endpoint, current load): the one with the lowest virtual time, unless its load
+    /// is far above the least; the first of equals.
+    pub(super) fn pick(&mut self, candidates: &[(u32, f64)]) -> Option<u32> {
+        let max_load =
+            MAX_LOAD_RATIO * candidates.iter().map(|candidate| candidate.1).fold(f64::MAX, f64::min);
+        candidates
+            .iter()
+            .filter(|candidate| candidate.1 > max_load)
+            .for_each(|candidate| self.skip_turn(candidate.0));
+        let eligible =
+            candidates.iter().filter(|candidate| candidate.1 <= max_load).map(|candidate| candidate.0);
+        eligible.min_by(|left, right| self.virtual_time(*left).total_cmp(&self.virtual_time(*right)))
     }
 
-    /// Turns had, at most `BEHIND` fewer than the others: what was out of a busy gateway's reach for long is not owed
-    /// them all.
-    fn had(&self, id: u32) -> f64 {
-        self.had.get(&id).copied().unwrap_or(self.level).max(self.level - BEHIND)
+    /// The virtual time of an endpoint, at most [`MAX_LAG`] behind the median: an endpoint that a busy gateway could
+    /// not reach for long is not owed all the RPCs that it missed.
+    fn virtual_time(&self, id: u32) -> f64 {
+        self.virtual_times.get(&id).copied().unwrap_or(self.median).max(self.median - MAX_LAG)
     }
 
-    pub(super) fn passed_over(&mut self, id: u32) {
-        let had = self.had(id).max(self.level);
-        self.had.insert(id, had);
+    /// Raises the virtual time of an endpoint that could not take an RPC to the median.
+    pub(super) fn skip_turn(&mut self, id: u32) {
+        let virtual_time = self.virtual_time(id).max(self.median);
+        self.virtual_times.insert(id, virtual_time);
     }
 
-    pub(super) fn share(&mut self, ids: Vec<u32>) {
+    /// Sets the endpoints that the whole fleet draws from. A newly shared endpoint starts a random part of a stride
+    /// after the median. The lead over the median of one that is no longer shared is scaled to its own stride.
+    pub(super) fn set_shared(&mut self, ids: Vec<u32>) {
         if ids == self.shared {
             return;
         }
-        let is_shared: BTreeSet<u32> = ids.iter().copied().collect();
+        let shared_set: BTreeSet<u32> = ids.iter().copied().collect();
         for id in &ids {
-            if let Some(cost) = self.costs.get(id).filter(|_| !self.is_shared.contains(id)) {
+            if let Some(stride) = self.strides.get(id).filter(|_| !self.shared_set.contains(id)) {
                 let draw = xxh3_64_with_seed(&id.to_le_bytes(), self.salt) as f64 / u64::MAX as f64;
-                self.had.insert(*id, self.level + FIRST_TURN * draw * cost.shared);
+                self.virtual_times.insert(*id, self.median + FIRST_RPC_DELAY * draw * stride.shared);
             }
         }
-        for id in self.shared.iter().filter(|id| !is_shared.contains(id)) {
-            let (Some(had), Some(cost)) = (self.had.get_mut(id), self.costs.get(id)) else { continue };
-            let ahead = (*had - self.level).max(0.0);
-            *had -= ahead * (1.0 - cost.own / cost.shared);
+        for id in self.shared.iter().filter(|id| !shared_set.contains(id)) {
+            let (Some(virtual_time), Some(stride)) = (self.virtual_times.get_mut(id), self.strides.get(id))
+            else {
+                continue;
+            };
+            let lead = (*virtual_time - self.median).max(0.0);
+            *virtual_time -= lead * (1.0 - stride.own / stride.shared);
         }
-        (self.shared, self.is_shared) = (ids, is_shared);
+        (self.shared, self.shared_set) = (ids, shared_set);
     }
 
     pub(super) fn shared(&self) -> &[u32] {
@@ -110,16 +123,17 @@
     }
 
     pub(super) fn is_shared(&self, id: u32) -> bool {
-        self.is_shared.contains(&id)
+        self.shared_set.contains(&id)
     }
 
-    /// An RPC went to this endpoint; `subset` is what this gateway draws from.
-    pub(super) fn took(&mut self, id: u32, subset: &[u32]) {
-        let Some(cost) = self.costs.get(&id) else { return };
-        let had = self.had(id) + if self.is_shared.contains(&id) { cost.shared } else { cost.own };
-        self.had.insert(id, had);
-        let mut all: Vec<f64> = subset.iter().map(|id| self.had(*id)).collect();
+    /// Records an RPC sent to this endpoint; `subset` is the gateway's subset, over which the median is taken.
+    pub(super) fn record_sent(&mut self, id: u32, subset: &[u32]) {
+        let Some(stride) = self.strides.get(&id) else { return };
+        let virtual_time =
+            self.virtual_time(id) + if self.shared_set.contains(&id) { stride.shared } else { stride.own };
+        self.virtual_times.insert(id, virtual_time);
+        let mut all: Vec<f64> = subset.iter().map(|id| self.virtual_time(*id)).collect();
         all.sort_unstable_by(f64::total_cmp);
-        self.level = all.get(all.len() / 2).copied().unwrap_or(0.0);
+        self.median = all.get(all.len() / 2).copied().unwrap_or(0.0);
     }
 }
--- a/src/subsetting/table.rs
+++ b/src/subsetting/table.rs
@@ -1,106 +1,109 @@
 //! The table of subsets: which endpoints of a service each gateway of the fleet draws from.
 //!
-//! Every endpoint draws gateways at random, by its key alone; each drawn is a candidate pair. Pairs are taken in the order of
-//! their ranks while the endpoint is in fewer subsets than its count and the gateway's subset is not full. The work is in
-//! proportion to the endpoints of the service, whatever the size of the fleet. The candidates are kept while endpoints come
-//! and go, and the table is worked out in steps of bounded work: a call never takes longer than it is allowed to.
+//! Every endpoint draws gateways at random, by its key alone; each gateway drawn makes a candidate pair. Pairs are
+//! assigned in the order of their ranks while the endpoint is in fewer subsets than its count and the gateway's subset
+//! is not full. The work is proportional to the endpoints of the service, whatever the size of the fleet. The
+//! candidates are kept while endpoints come and go, and the table is computed in steps of bounded work, so that no call
+//! exceeds its budget.
 
-use super::assignment::{Plan, Taking};
-use super::candidates::{Candidates, last_rank};
+use super::assignment::{Assignment, Plan};
+use super::candidates::{Candidates, max_rank};
 use super::{Endpoint, weight};
 use std::collections::BTreeMap;
 
-/// So many candidates are drawn for each subset that an endpoint is to be in, and where they don't do, more.
-const CANDIDATES: [usize; 3] = [4, 8, 16];
-/// Where a service has so few endpoints that a gateway would have a part of one in the mean, it has one over the square root of
-/// that part, and this at most: so a change of the list moves few pairs while the number of endpoints falls, too.
-const FEW_LEN: f64 = 3.35;
-/// An endpoint of mean weight is in at most so many subsets by the table. Where more are needed each gateway chooses further
-/// endpoints itself by rendezvous hashing, which is even enough by then.
-const COUNT_MOST: f64 = 72.0;
-/// Pairs of endpoints that left are dropped once they are one in so many, or when new ones are merged in.
-const SWEEP_SHARE: usize = 4;
-/// What planning costs for an endpoint, in pairs looked at.
+/// Candidates drawn for each subset that an endpoint is to be in; the next number is used where the one before does not
+/// suffice.
+const CANDIDATES_PER_SUBSET: [usize; 3] = [4, 8, 16];
+/// Where a service has so few endpoints that the mean subset length would be below 1, the length is raised to one over
+/// the square root of that mean, up to this limit: so a change of the list moves few pairs even as the number of
+/// endpoints falls.
+const MAX_RAISED_LEN: f64 = 3.35;
+/// The table puts an endpoint of mean weight into at most this many subsets. Where more are needed each gateway chooses
+/// further endpoints itself by rendezvous hashing, which is even enough at these numbers.
+const MAX_TABLE_COUNT: f64 = 72.0;
+/// Pairs of removed endpoints are dropped once more than one slot in this many has been removed, or when new pairs are
+/// merged in.
+const SWEEP_DIVISOR: usize = 4;
+/// Cost of planning a slot, relative to examining a pair.
 const PLAN_UNITS: usize = 8;
 
-/// What one gateway draws from, as ids: first its subset, then what it goes on to when busy.
+/// One gateway's row of the table, as ids: its subset, then the endpoints that it also draws from when busy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(super) struct Line {
+pub(super) struct Row {
     pub ids: Vec<u32>,
     pub subset_len: usize,
 }
 
-/// An endpoint and what was drawn for it.
+/// An endpoint with the state of its candidates.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Slot {
     pub endpoint: Endpoint,
-    /// So many candidates.
+    /// Number of candidates drawn.
     drawn: usize,
     pub listed: bool,
 }
 
 #[derive(Debug, Default)]
 enum Stage {
-    /// The table is that of the endpoints.
+    /// The table matches the endpoints, unless they have changed since.
     #[default]
     Done,
     Plan,
-    /// Candidates are to be drawn for these slots, so many each.
+    /// Candidates are to be drawn for these slots: (slot, number of candidates).
     Draw(Vec<(u32, usize)>),
     Merge,
-    Take(Box<Taking>),
+    Assign(Box<Assignment>),
 }
 
-/// The table of one service, as one gateway works it out.
+/// The table of one service, as one gateway computes it.
 #[derive(Debug, Default)]
 pub(super) struct Table {
-    fleet: usize,
+    fleet_size: usize,
     subset_count: f64,
     slots: Vec<Slot>,
     slot_of: BTreeMap<u32, u32>,
-    /// Slots of endpoints that left, some of whose pairs are still here; those of them that the merge at hand drops; and
-    /// those with none.
-    left: Vec<u32>,
+    /// Slots of removed endpoints: those that still have pairs, those whose pairs the current merge drops, and those
+    /// without pairs, which can be reused.
+    removed: Vec<u32>,
     dropped: Vec<u32>,
     free: Vec<u32>,
     candidates: Candidates,
     stage: Stage,
-    /// The endpoints changed since the stage at hand began.
+    /// Whether the endpoints have changed since the current computation began.
     changed: bool,
-    level: usize,
+    /// Index into [`CANDIDATES_PER_SUBSET`].
+    draw_level: usize,
     plan: Plan,
 }
 
 impl Table {
-    /// A table for so many gateways.
-    pub(super) fn new(fleet: usize) -> Table {
-        Table { fleet, ..Table::default() }
+    pub(super) fn new(fleet_size: usize) -> Table {
+        Table { fleet_size, ..Table::default() }
     }
 
-    /// Every endpoint of mean weight is to be in so many subsets.
+    /// Sets the number of subsets that every endpoint of mean weight is to be in.
     pub(super) fn set_count(&mut self, subset_count: f64) {
         self.subset_count = subset_count;
         self.changed = true;
     }
 
-    /// The endpoints by their ids.
+    /// The endpoints in the order of their ids.
     pub(super) fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.slot_of.values().map(|slot| &self.slots[*slot as usize].endpoint)
     }
 
-    /// The endpoint with this id.
     pub(super) fn endpoint(&self, id: u32) -> Option<&Endpoint> {
         self.slot_of.get(&id).map(|slot| &self.slots[*slot as usize].endpoint)
     }
 
-    pub(super) fn leave(&mut self, id: u32) {
+    pub(super) fn remove(&mut self, id: u32) {
         let Some(slot) = self.slot_of.remove(&id) else { return };
         self.slots[slot as usize].listed = false;
-        self.left.push(slot);
+        self.removed.push(slot);
         self.changed = true;
     }
 
-    pub(super) fn join(&mut self, endpoint: Endpoint) {
+    pub(super) fn add(&mut self, endpoint: Endpoint) {
         let new = Slot { endpoint, drawn: 0, listed: true };
         let slot = match self.free.pop() {
             Some(slot) => {
@@ -116,30 +119,30 @@
         self.changed = true;
     }
 
-    /// Whether the table is that of the endpoints.
+    /// Whether the table matches the endpoints.
     pub(super) fn is_done(&self) -> bool {
         !self.changed && matches!(self.stage, Stage::Done)
     }
 
-    /// Goes on for as long as `units` allow, each about one pair looked at. Returns what has been taken once a table is
-    /// worked out, which may be that of endpoints that have changed meanwhile.
-    pub(super) fn work(&mut self, gateway: Option<usize>, units: &mut usize) -> Option<Box<Taking>> {
+    /// Continues until `units` are used up, each about the cost of examining one pair. Returns the assignment once a
+    /// table is complete; the endpoints may have changed since that table was begun.
+    pub(super) fn advance(&mut self, gateway: Option<usize>, units: &mut usize) -> Option<Box<Assignment>> {
         while *units > 0 && !self.is_done() {
             match std::mem::take(&mut self.stage) {
                 Stage::Done => {
-                    (self.changed, self.level, self.stage) = (false, 0, Stage::Plan);
+                    (self.changed, self.draw_level, self.stage) = (false, 0, Stage::Plan);
                 }
                 Stage::Plan => self.make_plan(units),
                 Stage::Draw(queue) => self.draw(queue, units),
                 Stage::Merge => self.merge(gateway, units),
-                Stage::Take(mut taking) => {
-                    if !taking.go_on(&self.plan, self.candidates.pairs(), units) {
-                        self.stage = Stage::Take(taking);
-                    } else if !taking.complete && self.level + 1 < CANDIDATES.len() {
-                        self.level += 1;
+                Stage::Assign(mut assignment) => {
+                    if !assignment.advance(&self.plan, self.candidates.pairs(), units) {
+                        self.stage = Stage::Assign(assignment);
+                    } else if !assignment.complete && self.draw_level + 1 < CANDIDATES_PER_SUBSET.len() {
+                        self.draw_level += 1;
                         self.stage = Stage::Plan;
                     } else {
-                        return Some(taking);
+                        return Some(assignment);
                     }
                 }
             }
@@ -147,37 +150,38 @@
         None
     }
 
-    /// Works out in how many subsets each endpoint is to be, and for whom more candidates are needed.
+    /// Computes how many subsets each endpoint is to be in, and which endpoints need more candidates.
     fn make_plan(&mut self, units: &mut usize) {
         *units = units.saturating_sub(PLAN_UNITS * self.slots.len());
-        let fleet = self.fleet;
-        let subset_count = raised_count(self.slot_of.len(), fleet, self.subset_count);
-        let subset_count = subset_count.min(COUNT_MOST.max(self.subset_count));
-        let per_count = CANDIDATES[self.level];
-        let wanted = |count: u32| (count as usize * per_count).min(fleet);
-        let plan = Plan::new(&self.slots, fleet, subset_count);
-        let short = |slot: &u32| {
+        let fleet_size = self.fleet_size;
+        let subset_count = effective_count(self.slot_of.len(), fleet_size, self.subset_count);
+        let subset_count = subset_count.min(MAX_TABLE_COUNT.max(self.subset_count));
+        let per_subset = CANDIDATES_PER_SUBSET[self.draw_level];
+        let wanted = |count: u32| (count as usize * per_subset).min(fleet_size);
+        let plan = Plan::new(&self.slots, fleet_size, subset_count);
+        let is_short = |slot: &u32| {
             let drawn = self.slots[*slot as usize].drawn;
             drawn > 0 && drawn < wanted(plan.counts[*slot as usize])
         };
-        // Whoever needs more than was drawn goes on in another slot; the pairs that it has go with the old one.
-        let short: Vec<u32> = self.slot_of.values().copied().filter(short).collect();
+        // An endpoint that needs more candidates than were drawn moves to a new slot; its old pairs are removed with
+        // the old slot.
+        let short: Vec<u32> = self.slot_of.values().copied().filter(is_short).collect();
         let changed = self.changed;
         for slot in &short {
             let endpoint = self.slots[*slot as usize].endpoint;
-            self.leave(endpoint.id);
-            self.join(endpoint);
+            self.remove(endpoint.id);
+            self.add(endpoint);
         }
         self.changed = changed;
-        self.plan = if short.is_empty() { plan } else { Plan::new(&self.slots, fleet, subset_count) };
+        self.plan = if short.is_empty() { plan } else { Plan::new(&self.slots, fleet_size, subset_count) };
         let mut queue = Vec::new();
         for slot in self.slot_of.values() {
-            let (number, drawn) = (*slot as usize, self.slots[*slot as usize].drawn);
-            let wanted = wanted(self.plan.counts[number]);
+            let (index, drawn) = (*slot as usize, self.slots[*slot as usize].drawn);
+            let wanted = wanted(self.plan.counts[index]);
             if drawn == 0 {
                 queue.push((*slot, wanted));
             } else if drawn > wanted {
-                self.plan.limit(number, last_rank(fleet, wanted));
+                self.plan.limit(index, max_rank(fleet_size, wanted));
             }
         }
         self.stage = Stage::Draw(queue);
@@ -185,22 +189,22 @@
 
     fn draw(&mut self, mut queue: Vec<(u32, usize)>, units: &mut usize) {
         while *units > 0
-            && let Some((number, wanted)) = queue.pop()
+            && let Some((index, wanted)) = queue.pop()
         {
-            let slot = &mut self.slots[number as usize];
+            let slot = &mut self.slots[index as usize];
             slot.drawn = wanted;
-            let used = self.candidates.draw(slot.endpoint.key, number, self.fleet, wanted);
+            let used = self.candidates.draw(slot.endpoint.key, index, self.fleet_size, wanted);
             *units = units.saturating_sub(used);
         }
         if !queue.is_empty() {
             self.stage = Stage::Draw(queue);
             return;
         }
-        if self.candidates.is_merged() && SWEEP_SHARE * self.left.len() > self.slots.len() {
-            self.candidates.sweep();
+        if self.candidates.is_merged() && SWEEP_DIVISOR * self.removed.len() > self.slots.len() {
+            self.candidates.force_merge();
         }
         if !self.candidates.is_merged() {
-            self.dropped.append(&mut self.left);
+            self.dropped.append(&mut self.removed);
         }
         self.stage = Stage::Merge;
     }
@@ -213,24 +217,25 @@
             self.stage = Stage::Merge;
             return;
         }
-        // What joins from here on may take these slots, and is not planned for.
-        dropped.iter().for_each(|slot| plan.drop_slot(*slot as usize));
+        // Endpoints that are added from here on may reuse these slots, and are not part of this plan.
+        dropped.iter().for_each(|slot| plan.clear_slot(*slot as usize));
         self.free.append(dropped);
-        self.stage = Stage::Take(Box::new(Taking::new(&self.plan, self.candidates.pairs().len(), gateway)));
+        self.stage =
+            Stage::Assign(Box::new(Assignment::new(&self.plan, self.candidates.pairs().len(), gateway)));
     }
 
-    /// The gateway's line, without those that have left meanwhile.
-    pub(super) fn line(&self, taking: &Taking) -> Line {
-        let (slots, planned) = taking.line();
-        let mut ids = self.ids(&slots[..planned]);
+    /// The gateway's row, without endpoints that have been removed meanwhile.
+    pub(super) fn row(&self, assignment: &Assignment) -> Row {
+        let (slots, planned_len) = assignment.row();
+        let mut ids = self.ids(&slots[..planned_len]);
         let subset_len = ids.len();
-        ids.extend(self.ids(&slots[planned..]));
-        Line { ids, subset_len }
+        ids.extend(self.ids(&slots[planned_len..]));
+        Row { ids, subset_len }
     }
 
-    /// All gateways' subsets.
-    pub(super) fn subsets(&self, taking: &Taking) -> Vec<Vec<u32>> {
-        let subsets = taking.subsets(&self.plan, self.candidates.pairs());
+    /// The subsets of all gateways.
+    pub(super) fn subsets(&self, assignment: &Assignment) -> Vec<Vec<u32>> {
+        let subsets = assignment.subsets(&self.plan, self.candidates.pairs());
         subsets.iter().map(|slots| self.ids(slots)).collect()
     }
 
@@ -240,15 +245,15 @@
     }
 }
 
-/// In how many subsets an endpoint of mean weight is to be: in `subset_count`, or in more where there are few endpoints.
-pub(super) fn raised_count(endpoints: usize, fleet: usize, subset_count: f64) -> f64 {
-    let per_count = endpoints.max(1) as f64 / fleet as f64;
-    let mean = subset_count * per_count;
-    if mean < 1.0 { mean.sqrt().recip().min(FEW_LEN) / per_count } else { subset_count }
+/// The number of subsets that an endpoint of mean weight is to be in: `subset_count`, or more where there are few
+/// endpoints (see [`MAX_RAISED_LEN`]).
+pub(super) fn effective_count(endpoints: usize, fleet_size: usize, subset_count: f64) -> f64 {
+    let per_count = endpoints.max(1) as f64 / fleet_size as f64;
+    let mean_len = subset_count * per_count;
+    if mean_len < 1.0 { mean_len.sqrt().recip().min(MAX_RAISED_LEN) / per_count } else { subset_count }
 }
 
-/// The mean weight of endpoints.
 pub(super) fn mean_weight<'a>(endpoints: impl Iterator<Item = &'a Endpoint>) -> f64 {
-    let (sum, count) = endpoints.fold((0.0, 0), |(sum, count), at| (sum + weight(at), count + 1));
+    let (sum, count) = endpoints.fold((0.0, 0), |(sum, count), endpoint| (sum + weight(endpoint), count + 1));
     sum / f64::from(count.max(1))
 }
