--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the decision module on the simulator's wire: decodes frames into calls, encodes
-//! what the module asks for. It decides nothing, and instances share nothing.
+//! Simulator adapter: hosts many instances of the decision module, decoding the simulator's frames into calls and
+//! encoding the actions that the module requests. It makes no decisions itself, and the instances share no state.
 #![deny(missing_docs)]
 
 mod wire;
@@ -10,25 +10,25 @@
 use std::io::{BufReader, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use wire::{Fields, Reply, Short, nanos};
+use wire::{Fields, OutOfBounds, Reply, nanos};
 
-/// Codes of the records that the simulator sends.
+/// Codes of the event records that the simulator sends.
 mod code {
     use std::ops::RangeInclusive;
 
-    /// Records that name an instance.
-    pub const OF_AN_INSTANCE: RangeInclusive<u8> = 16..=26;
+    /// Records that begin with the number of an instance.
+    pub const INSTANCE_RECORDS: RangeInclusive<u8> = 16..=26;
     /// An instance starts.
     pub const START: u8 = 16;
-    /// Discovery's list, whole or what changed.
+    /// Discovery's list, whole or its changes.
     pub const LIST: u8 = 17;
     /// An RPC arrived.
     pub const ARRIVAL: u8 = 18;
     /// An attempt ended.
     pub const ATTEMPT_ENDED: u8 = 20;
-    /// A client gave its RPC up.
+    /// A client abandoned its RPC.
     pub const CLIENT_LEFT: u8 = 21;
-    /// A time that was asked for has come.
+    /// A timer requested by the module has expired.
     pub const TIMER: u8 = 22;
     /// An instance ends.
     pub const END: u8 = 25;
@@ -37,110 +37,113 @@
 }
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|_| {})); // the text goes out as the instance's own report
+    std::panic::set_hook(Box::new(|_| {})); // the panic's text is reported in the instance's failure record
     match serve(BufReader::with_capacity(1 << 16, std::io::stdin().lock()), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("martenramp-wirehost: {why}");
+        Err(error) => {
+            eprintln!("martenramp-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers frames until the input ends; any malformed frame ends it with a plain line and no reply.
+/// Replies to frames until the input ends; a malformed frame ends it with an error and without a reply.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut brains: HashMap<u32, Brain> = HashMap::new();
+    let mut instances: HashMap<u32, Brain> = HashMap::new();
     let mut reply = Reply::default();
     let mut frame = Vec::new();
     while wire::read_frame(&mut input, &mut frame)? {
         let mut fields = Fields::new(&frame);
-        let (seq, records) = fields.head().map_err(at)?;
-        let now = nanos(fields.f64().map_err(at)?);
+        let (seq, records) = fields.read_header().map_err(out_of_bounds_message)?;
+        let now = nanos(fields.f64().map_err(out_of_bounds_message)?);
         reply.start(seq);
         for _ in 0..records {
-            let (code, mut record) = fields.record().map_err(at)?;
-            event(&mut brains, &mut reply, now, code, &mut record).map_err(at)?;
+            let (code, mut record) = fields.record().map_err(out_of_bounds_message)?;
+            handle_record(&mut instances, &mut reply, now, code, &mut record)
+                .map_err(out_of_bounds_message)?;
         }
         if !fields.at_end() {
-            return Err(format!("byte {}: more bytes than records", fields.position()));
+            return Err(format!("byte {}: trailing bytes after the last record", fields.position()));
         }
         output.write_all(reply.finish()).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
     }
     Ok(())
 }
 
-fn at(short: Short) -> String {
-    format!("byte {}: a field runs past its record or frame", short.0)
+fn out_of_bounds_message(error: OutOfBounds) -> String {
+    format!("byte {}: a field runs past its record or frame", error.0)
 }
 
-/// Decodes one record whole, then hands it to its instance; codes not known are skipped by their length.
-fn event(
-    brains: &mut HashMap<u32, Brain>,
+/// Decodes one whole record, then passes it to its instance. Records with an unknown code are skipped.
+fn handle_record(
+    instances: &mut HashMap<u32, Brain>,
     reply: &mut Reply,
     now: u64,
     code: u8,
     record: &mut Fields,
-) -> Result<(), Short> {
-    if !code::OF_AN_INSTANCE.contains(&code) {
+) -> Result<(), OutOfBounds> {
+    if !code::INSTANCE_RECORDS.contains(&code) {
         return Ok(());
     }
     let instance = record.u32()?;
-    reply.speak_for(instance);
+    reply.set_instance(instance);
     match code {
         code::START => {
             let seed = record.u64()?;
-            let settings = settings(record)?;
+            let settings = read_settings(record)?;
             match catch_unwind(AssertUnwindSafe(|| Brain::new(seed, settings))) {
-                Ok(brain) => drop(brains.insert(instance, brain)),
-                Err(panic) => reply.bail_out(&panic_text(&*panic)),
+                Ok(brain) => drop(instances.insert(instance, brain)),
+                Err(panic) => reply.report_failure(&panic_message(&*panic)),
             }
         }
         code::LIST => {
             let kind = record.u8()?;
-            let list = list(record)?;
+            let list = read_list(record)?;
             if kind <= 2 {
-                guarded(brains, reply, instance, |brain, _| brain.listed(now, kind != 0, &list));
+                call_instance(instances, reply, instance, |brain, _| brain.listed(now, kind != 0, &list));
             }
         }
         code::ARRIVAL => {
-            let rpc = arrival(record)?;
-            guarded(brains, reply, instance, |brain, host| brain.rpc(host, now, &rpc));
+            let rpc = read_arrival(record)?;
+            call_instance(instances, reply, instance, |brain, host| brain.rpc(host, now, &rpc));
         }
         code::ATTEMPT_ENDED => {
-            let ended = attempt_ended(record)?;
-            guarded(brains, reply, instance, |brain, host| brain.ended(host, now, &ended));
+            let ended = read_attempt_ended(record)?;
+            call_instance(instances, reply, instance, |brain, host| brain.ended(host, now, &ended));
         }
         code::CLIENT_LEFT => {
             let rpc = record.u32()?;
-            guarded(brains, reply, instance, |brain, _| brain.client_left(rpc));
+            call_instance(instances, reply, instance, |brain, _| brain.client_left(rpc));
         }
         code::TIMER => {
             let token = record.u32()?;
-            guarded(brains, reply, instance, |brain, host| brain.woke(host, now, token));
+            call_instance(instances, reply, instance, |brain, host| brain.woke(host, now, token));
         }
-        code::END => drop(brains.remove(&instance)),
+        code::END => drop(instances.remove(&instance)),
         code::COUNTED => {
-            let how = end(record.u8()?);
+            let how = attempt_end(record.u8()?);
             let total = f64::from(record.f32()?);
             record.f64()?;
             let name = record.u64()?;
-            guarded(brains, reply, instance, |brain, host| brain.counted(host, now, name, how, total));
+            call_instance(instances, reply, instance, |brain, host| {
+                brain.counted(host, now, name, how, total)
+            });
         }
-        _ => {} // the start of a stream and the end of a probe: the module asks for neither
+        _ => {} // start of a stream, end of a probe: the module requests neither
     }
     Ok(())
 }
 
-/// The settings of an instance that starts.
-fn settings(record: &mut Fields) -> Result<Settings, Short> {
+/// Decodes the settings of an instance: lines of `name=value`.
+fn read_settings(record: &mut Fields) -> Result<Settings, OutOfBounds> {
     let length = record.u32()? as usize;
     let text = String::from_utf8_lossy(record.bytes(length)?).into_owned();
     let entries = text.lines().filter_map(|line| line.split_once('='));
     Ok(entries.map(|(name, value)| (name.trim().to_string(), value.trim().to_string())).collect())
 }
 
-/// The servers of a list.
-fn list(record: &mut Fields) -> Result<Vec<Listed>, Short> {
+/// Decodes the servers of a list.
+fn read_list(record: &mut Fields) -> Result<Vec<Listed>, OutOfBounds> {
     record.u32()?;
     let count = record.u32()? as usize;
     let mut list = Vec::new();
@@ -161,8 +164,8 @@
     Ok(list)
 }
 
-/// An RPC that arrived.
-fn arrival(record: &mut Fields) -> Result<Arrival, Short> {
+/// Decodes the arrival of an RPC.
+fn read_arrival(record: &mut Fields) -> Result<Arrival, OutOfBounds> {
     Ok(Arrival {
         id: record.u32()?,
         method: record.u16()?,
@@ -176,22 +179,22 @@
     })
 }
 
-/// The end of an attempt.
-fn attempt_ended(record: &mut Fields) -> Result<Ended, Short> {
+/// Decodes the end of an attempt.
+fn read_attempt_ended(record: &mut Fields) -> Result<Ended, OutOfBounds> {
     let rpc = record.u32()?;
     let took = nanos(record.f64()?);
     record.u16()?;
     let closed = record.u8()? != 0;
     let settled = f64::from(record.u16()?);
     let server = record.u32()?;
-    let how = end(record.u8()?);
+    let how = attempt_end(record.u8()?);
     let nth = record.u16()?;
     let count = record.u8()?;
     let load = (0..count).map(|_| record.f32().map(f64::from)).collect::<Result<_, _>>()?;
     Ok(Ended { rpc, server, nth, how, took, closed, settled, load })
 }
 
-fn end(code: u8) -> End {
+fn attempt_end(code: u8) -> End {
     match code {
         0 => End::Ok,
         254 => End::Full,
@@ -204,25 +207,26 @@
     }
 }
 
-/// Runs one call; a panic takes back what the call had asked for and is reported as the instance's end.
-fn guarded(
-    brains: &mut HashMap<u32, Brain>,
+/// Calls an instance. If the call panics, the actions that it requested are discarded, a failure is reported and the
+/// instance is removed.
+fn call_instance(
+    instances: &mut HashMap<u32, Brain>,
     reply: &mut Reply,
     instance: u32,
     call: impl FnOnce(&mut Brain, &mut Reply),
 ) {
-    let Some(brain) = brains.get_mut(&instance) else { return };
-    let mark = reply.mark();
+    let Some(brain) = instances.get_mut(&instance) else { return };
+    let checkpoint = reply.checkpoint();
     if let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(brain, reply))) {
-        reply.back_to(mark);
-        reply.bail_out(&panic_text(&*panic));
-        brains.remove(&instance);
+        reply.roll_back(checkpoint);
+        reply.report_failure(&panic_message(&*panic));
+        instances.remove(&instance);
     }
 }
 
-fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
-    let plain = panic.downcast_ref::<&str>().map(|text| text.to_string());
-    plain.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_string())
+fn panic_message(panic: &(dyn std::any::Any + Send)) -> String {
+    let message = panic.downcast_ref::<&str>().map(|message| message.to_string());
+    message.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_string())
 }
 
 #[cfg(test)]
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,13 +1,13 @@
-//! Frames of the simulator's wire: big-endian, no padding, read in place.
+//! Reads and writes the frames of the simulator's wire format: big-endian, without padding, decoded in place.
 
 use martenramp::host::{Host, Nanos};
 use std::io::{ErrorKind, Read};
 
-/// The byte of the frame at which a field did not fit.
+/// A field runs past the end of its record or frame; holds its byte offset in the frame.
 #[derive(Debug)]
-pub struct Short(pub usize);
+pub struct OutOfBounds(pub usize);
 
-/// Seconds on the wire to nanoseconds, by way of the wire's whole microseconds.
+/// Converts the wire's seconds to nanoseconds, rounded to the wire's whole microseconds.
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds * 1e6).round().max(0.0) as Nanos * 1000
 }
@@ -16,106 +16,114 @@
     (span / 1000) as f64 / 1e6
 }
 
-const HEAD: usize = 20;
+const HEADER_LEN: usize = 20;
 
-/// Reads one whole frame; false at a clean end of input.
+/// Reads one whole frame; returns false if the input ends before a new frame.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
-    frame.resize(HEAD, 0);
-    let mut have = 0;
-    while have < HEAD {
-        match input.read(&mut frame[have..]) {
-            Ok(0) if have == 0 => return Ok(false),
-            Ok(0) => return Err(format!("byte {have}: the frame ends inside its header")),
-            Ok(n) => have += n,
+    frame.resize(HEADER_LEN, 0);
+    let mut filled = 0;
+    while filled < HEADER_LEN {
+        match input.read(&mut frame[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
+            Ok(0) => return Err(format!("byte {filled}: the input ended inside a frame header")),
+            Ok(n) => filled += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e.to_string()),
         }
     }
     let length = u32::from_be_bytes([frame[8], frame[9], frame[10], frame[11]]) as usize;
-    if length < HEAD {
-        return Err(format!("byte 8: a frame of {length} bytes cannot hold its header"));
+    if length < HEADER_LEN {
+        return Err(format!("byte 8: frame length {length} is shorter than the header"));
     }
-    let got = input.take((length - HEAD) as u64).read_to_end(frame).map_err(|e| e.to_string())?;
-    if got < length - HEAD {
-        return Err(format!("byte {}: the frame is cut short of its {length} bytes", HEAD + got));
+    let received = input.take((length - HEADER_LEN) as u64).read_to_end(frame).map_err(|e| e.to_string())?;
+    if received < length - HEADER_LEN {
+        return Err(format!(
+            "byte {}: the input ended before the {length} bytes of the frame",
+            HEADER_LEN + received
+        ));
     }
     Ok(true)
 }
 
-/// A walk over the fields of a frame or of one record of it.
+/// A cursor over the fields of a frame or of one of its records.
 pub struct Fields<'a> {
     frame: &'a [u8],
-    at: usize,
+    position: usize,
     end: usize,
 }
 
 impl<'a> Fields<'a> {
     pub fn new(frame: &'a [u8]) -> Self {
-        Fields { frame, at: 0, end: frame.len() }
+        Fields { frame, position: 0, end: frame.len() }
     }
 
-    /// Number of the batch and of its records; leaves the walk at the clock.
-    pub fn head(&mut self) -> Result<(u32, u32), Short> {
-        let head = (self.u32()?, self.u32()?);
+    /// Reads the sequence number of the batch and the number of its records; the next field is the clock.
+    pub fn read_header(&mut self) -> Result<(u32, u32), OutOfBounds> {
+        let header = (self.u32()?, self.u32()?);
         self.u32()?;
-        Ok(head)
+        Ok(header)
     }
 
-    pub fn record(&mut self) -> Result<(u8, Fields<'a>), Short> {
+    /// Reads the code of the next record and returns a cursor over its fields.
+    pub fn record(&mut self) -> Result<(u8, Fields<'a>), OutOfBounds> {
         let code = self.u8()?;
         let length = self.u32()? as usize;
-        let start = self.at;
+        let start = self.position;
         self.bytes(length)?;
-        Ok((code, Fields { frame: self.frame, at: start, end: self.at }))
+        Ok((code, Fields { frame: self.frame, position: start, end: self.position }))
     }
 
-    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], Short> {
-        let stop = self.at.checked_add(length).filter(|stop| *stop <= self.end).ok_or(Short(self.at))?;
-        let bytes = &self.frame[self.at..stop];
-        self.at = stop;
+    pub fn bytes(&mut self, length: usize) -> Result<&'a [u8], OutOfBounds> {
+        let end = self
+            .position
+            .checked_add(length)
+            .filter(|end| *end <= self.end)
+            .ok_or(OutOfBounds(self.position))?;
+        let bytes = &self.frame[self.position..end];
+        self.position = end;
         Ok(bytes)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Short> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], OutOfBounds> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N)?);
         Ok(array)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Short> {
+    pub fn u8(&mut self) -> Result<u8, OutOfBounds> {
         self.array::<1>().map(|bytes| bytes[0])
     }
 
-    pub fn u16(&mut self) -> Result<u16, Short> {
+    pub fn u16(&mut self) -> Result<u16, OutOfBounds> {
         self.array().map(u16::from_be_bytes)
     }
 
-    pub fn u32(&mut self) -> Result<u32, Short> {
+    pub fn u32(&mut self) -> Result<u32, OutOfBounds> {
         self.array().map(u32::from_be_bytes)
     }
 
-    pub fn u64(&mut self) -> Result<u64, Short> {
+    pub fn u64(&mut self) -> Result<u64, OutOfBounds> {
         self.array().map(u64::from_be_bytes)
     }
 
-    pub fn f32(&mut self) -> Result<f32, Short> {
+    pub fn f32(&mut self) -> Result<f32, OutOfBounds> {
         self.array().map(f32::from_be_bytes)
     }
 
-    pub fn f64(&mut self) -> Result<f64, Short> {
+    pub fn f64(&mut self) -> Result<f64, OutOfBounds> {
         self.array().map(f64::from_be_bytes)
     }
 
     pub fn position(&self) -> usize {
-        self.at
+        self.position
     }
 
     pub fn at_end(&self) -> bool {
-        self.at == self.end
+        self.position == self.end
     }
 }
 
-/// The reply to one batch, written as the module asks.
+/// The reply to one batch: a frame of the actions that the instances request.
 #[derive(Default)]
 pub struct Reply {
     frame: Vec<u8>,
@@ -131,10 +139,12 @@
         self.records = 0;
     }
 
-    pub fn speak_for(&mut self, instance: u32) {
+    /// Sets the instance that the next records belong to.
+    pub fn set_instance(&mut self, instance: u32) {
         self.instance = instance;
     }
 
+    /// Completes the header and returns the whole frame.
     pub fn finish(&mut self) -> &[u8] {
         let length = self.frame.len() as u32;
         self.frame[4..8].copy_from_slice(&length.to_be_bytes());
@@ -142,20 +152,23 @@
         &self.frame
     }
 
-    pub fn mark(&self) -> (usize, u32) {
+    pub fn checkpoint(&self) -> (usize, u32) {
         (self.frame.len(), self.records)
     }
 
-    pub fn back_to(&mut self, mark: (usize, u32)) {
-        self.frame.truncate(mark.0);
-        self.records = mark.1;
+    /// Discards the records written since the checkpoint.
+    pub fn roll_back(&mut self, checkpoint: (usize, u32)) {
+        self.frame.truncate(checkpoint.0);
+        self.records = checkpoint.1;
     }
 
-    pub fn bail_out(&mut self, text: &str) {
+    /// Reports that the instance has failed.
+    pub fn report_failure(&mut self, text: &str) {
         let bytes = &text.as_bytes()[..text.len().min(u16::MAX as usize)];
         self.record(25, &[&(bytes.len() as u16).to_be_bytes(), bytes]);
     }
 
+    /// Appends a record with this code and these fields for the current instance.
     fn record(&mut self, code: u8, fields: &[&[u8]]) {
         let length = 4 + fields.iter().map(|field| field.len() as u32).sum::<u32>();
         self.frame.push(code);
