--- a/benches/membership_figures.rs
+++ b/benches/membership_figures.rs
@@ -1,5 +1,6 @@
-//! What the list costs one gateway of 5,800 before 170,000 servers in 7,100 services of which it meets 64, printed:
-//! `cargo bench --bench membership_figures`. Times are the mean of so many events, bytes those held by the decision module.
+//! Prints the cost of discovery's list at one of 5,800 gateways, with 170,000 servers in 7,100 services of which the
+//! gateway is asked for 64: `cargo bench --bench membership_figures`. Times are means over the events; bytes are the
+//! heap memory that the decision module holds.
 
 use martenramp::brain::Brain;
 use martenramp::host::{Arrival, Host, Listed, Nanos, Settings};
@@ -7,38 +8,39 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-const FLEET: usize = 5_800;
+const GATEWAYS: usize = 5_800;
 const SERVERS: u32 = 170_000;
 const SERVICES: u32 = 7_100;
 const ZONES: u32 = 9;
-const MET: u32 = 64;
+const REQUESTED_SERVICES: u32 = 64;
 const CHANGES: u32 = 640;
 const NOW: Nanos = 1_000_000_000_000;
 
-/// Counts the bytes held.
-struct Counting;
+/// Allocator that counts the bytes currently allocated.
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-struct Silent;
+/// Host that ignores every request of the decision module.
+struct NullHost;
 
-impl Host for Silent {
+impl Host for NullHost {
     fn call_out(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
     fn push_back(&mut self, _rpc: u32, _come_back: Nanos) {}
     fn abort(&mut self, _rpc: u32) {}
@@ -46,7 +48,7 @@
     fn count(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
 }
 
-fn entry(server: u32) -> Listed {
+fn listed_server(server: u32) -> Listed {
     Listed {
         server,
         service: server % SERVICES,
@@ -58,44 +60,46 @@
     }
 }
 
-fn report(name: &str, count: u32, run: impl FnOnce()) {
-    let (held, started) = (HELD.load(Ordering::Relaxed), Instant::now());
+/// Runs `run` and prints its mean time per event and the growth of allocated memory.
+fn measure(name: &str, count: u32, run: impl FnOnce()) {
+    let (allocated, started) = (ALLOCATED.load(Ordering::Relaxed), Instant::now());
     run();
-    let each = started.elapsed().as_secs_f64() * 1e3 / f64::from(count);
-    let grown = HELD.load(Ordering::Relaxed) as f64 - held as f64;
-    println!("{name:40} {each:10.4} ms each of {count:6}, {:10.1} KB more held", grown / 1e3);
+    let mean_ms = started.elapsed().as_secs_f64() * 1e3 / f64::from(count);
+    let growth = ALLOCATED.load(Ordering::Relaxed) as f64 - allocated as f64;
+    println!("{name:40} {mean_ms:10.4} ms each of {count:6}, {:10.1} KB more allocated", growth / 1e3);
 }
 
-fn change(brain: &mut Brain, server: u32) {
-    brain.listed(NOW, false, &[Listed { ready: false, ..entry(server) }]);
-    brain.listed(NOW, false, &[entry(server)]);
+/// Removes a server from the list and adds it again: two changes.
+fn remove_and_add(brain: &mut Brain, server: u32) {
+    brain.listed(NOW, false, &[Listed { ready: false, ..listed_server(server) }]);
+    brain.listed(NOW, false, &[listed_server(server)]);
 }
 
 fn main() {
-    let settings = [("me", "17".to_string()), ("balancers", FLEET.to_string())];
+    let settings = [("me", "17".to_string()), ("balancers", GATEWAYS.to_string())];
     let settings: Settings = settings.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
     let mut brain = Brain::new(1, settings);
-    let list: Vec<Listed> = (0..SERVERS).map(entry).collect();
-    report("whole list", 1, || brain.listed(NOW, true, &list));
-    report("a service asked for first", MET, || {
-        for service in 1..=MET {
+    let list: Vec<Listed> = (0..SERVERS).map(listed_server).collect();
+    measure("whole list", 1, || brain.listed(NOW, true, &list));
+    measure("first request for a service", REQUESTED_SERVICES, || {
+        for service in 1..=REQUESTED_SERVICES {
             let arrival = Arrival { id: service, service, deadline: NOW, width: 1, ..Arrival::default() };
-            brain.rpc(&mut Silent, NOW, &arrival);
+            brain.rpc(&mut NullHost, NOW, &arrival);
         }
     });
-    report("one change, service met", 2 * CHANGES, || {
-        (0..CHANGES).for_each(|at| change(&mut brain, 1 + at % MET));
+    measure("one change, service requested", 2 * CHANGES, || {
+        (0..CHANGES).for_each(|index| remove_and_add(&mut brain, 1 + index % REQUESTED_SERVICES));
     });
-    report("one change, service not met", 2 * CHANGES, || {
-        (0..CHANGES).for_each(|at| change(&mut brain, 1 + MET + at));
+    measure("one change, service not requested", 2 * CHANGES, || {
+        (0..CHANGES).for_each(|index| remove_and_add(&mut brain, 1 + REQUESTED_SERVICES + index));
     });
-    let zone: Vec<Listed> = list.iter().filter(|at| at.zone == 2).cloned().collect();
-    let gone: Vec<Listed> = zone.iter().map(|at| Listed { ready: false, ..at.clone() }).collect();
-    println!("a zone has {} servers", zone.len());
-    report("a zone gone", 1, || brain.listed(NOW, false, &gone));
-    report("a zone back, cold", 1, || {
-        let cold: Vec<Listed> = zone.iter().map(|at| Listed { came_up: NOW, ..at.clone() }).collect();
+    let zone: Vec<Listed> = list.iter().filter(|server| server.zone == 2).cloned().collect();
+    let removed: Vec<Listed> = zone.iter().map(|server| Listed { ready: false, ..server.clone() }).collect();
+    println!("servers per zone: {}", zone.len());
+    measure("zone removed", 1, || brain.listed(NOW, false, &removed));
+    measure("zone added again, cold", 1, || {
+        let cold: Vec<Listed> = zone.iter().map(|server| Listed { came_up: NOW, ..server.clone() }).collect();
         brain.listed(NOW, false, &cold);
     });
-    report("the whole list again", 1, || brain.listed(NOW, true, &list));
+    measure("whole list again", 1, || brain.listed(NOW, true, &list));
 }
