--- a/benches/membership_figures.rs
+++ b/benches/membership_figures.rs
@@ -2,8 +2,8 @@
 //! gateway is asked for 64: `cargo bench --bench membership_figures`. Times are means over the events; bytes are the
 //! heap memory that the decision module holds.
 
-use martenramp::brain::Brain;
-use martenramp::host::{Arrival, Host, Listed, Nanos, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, DiscoveredServer, Host, Nanos, Settings};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -41,22 +41,22 @@
 struct NullHost;
 
 impl Host for NullHost {
-    fn call_out(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
-    fn push_back(&mut self, _rpc: u32, _come_back: Nanos) {}
+    fn send_attempt(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
+    fn reject(&mut self, _rpc: u32, _come_back: Nanos) {}
     fn abort(&mut self, _rpc: u32) {}
-    fn wake(&mut self, _after: Nanos, _token: u32) {}
-    fn count(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
+    fn set_timer(&mut self, _after: Nanos, _token: u32) {}
+    fn add_to_counter(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
 }
 
-fn listed_server(server: u32) -> Listed {
-    Listed {
+fn listed_server(server: u32) -> DiscoveredServer {
+    DiscoveredServer {
         server,
         service: server % SERVICES,
         key: martenramp::subsetting::key(&format!("s{server:06}")),
         zone: (server / SERVICES % ZONES) as u16,
         ready: true,
         weight: 1.0,
-        ..Listed::default()
+        ..DiscoveredServer::default()
     }
 }
 
@@ -70,21 +70,22 @@
 }
 
 /// Removes a server from the list and adds it again: two changes.
-fn remove_and_add(brain: &mut Brain, server: u32) {
-    brain.listed(NOW, false, &[Listed { ready: false, ..listed_server(server) }]);
-    brain.listed(NOW, false, &[listed_server(server)]);
+fn remove_and_add(brain: &mut AdmissionController, server: u32) {
+    brain.on_server_list(NOW, false, &[DiscoveredServer { ready: false, ..listed_server(server) }]);
+    brain.on_server_list(NOW, false, &[listed_server(server)]);
 }
 
 fn main() {
     let settings = [("me", "17".to_string()), ("balancers", GATEWAYS.to_string())];
     let settings: Settings = settings.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
-    let mut brain = Brain::new(1, settings);
-    let list: Vec<Listed> = (0..SERVERS).map(listed_server).collect();
-    measure("whole list", 1, || brain.listed(NOW, true, &list));
+    let mut brain = AdmissionController::new(1, settings);
+    let list: Vec<DiscoveredServer> = (0..SERVERS).map(listed_server).collect();
+    measure("whole list", 1, || brain.on_server_list(NOW, true, &list));
     measure("first request for a service", REQUESTED_SERVICES, || {
         for service in 1..=REQUESTED_SERVICES {
-            let arrival = Arrival { id: service, service, deadline: NOW, width: 1, ..Arrival::default() };
-            brain.rpc(&mut NullHost, NOW, &arrival);
+            let arrival =
+                Arrival { id: service, service, deadline: NOW, gateway_count: 1, ..Arrival::default() };
+            brain.on_arrival(&mut NullHost, NOW, &arrival);
         }
     });
     measure("one change, service requested", 2 * CHANGES, || {
@@ -93,13 +94,15 @@
     measure("one change, service not requested", 2 * CHANGES, || {
         (0..CHANGES).for_each(|index| remove_and_add(&mut brain, 1 + REQUESTED_SERVICES + index));
     });
-    let zone: Vec<Listed> = list.iter().filter(|server| server.zone == 2).cloned().collect();
-    let removed: Vec<Listed> = zone.iter().map(|server| Listed { ready: false, ..server.clone() }).collect();
+    let zone: Vec<DiscoveredServer> = list.iter().filter(|server| server.zone == 2).cloned().collect();
+    let removed: Vec<DiscoveredServer> =
+        zone.iter().map(|server| DiscoveredServer { ready: false, ..server.clone() }).collect();
     println!("servers per zone: {}", zone.len());
-    measure("zone removed", 1, || brain.listed(NOW, false, &removed));
+    measure("zone removed", 1, || brain.on_server_list(NOW, false, &removed));
     measure("zone added again, cold", 1, || {
-        let cold: Vec<Listed> = zone.iter().map(|server| Listed { came_up: NOW, ..server.clone() }).collect();
-        brain.listed(NOW, false, &cold);
+        let cold: Vec<DiscoveredServer> =
+            zone.iter().map(|server| DiscoveredServer { started_at: NOW, ..server.clone() }).collect();
+        brain.on_server_list(NOW, false, &cold);
     });
-    measure("whole list again", 1, || brain.listed(NOW, true, &list));
+    measure("whole list again", 1, || brain.on_server_list(NOW, true, &list));
 }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Lists of servers of any length: taken in pieces within a bound on memory, whole or not at all.
 
-use gateway::changes::{Change, Changes, WORK_A_TURN};
-use gateway::directory::Directory;
-use gateway::list::{self, Told, Watch};
-use gateway::objects::{DEPTH_MOST, ELEMENT_MOST, FRAME_MOST};
+use gateway::json_stream::{MAX_DEPTH, MAX_ELEMENT_LEN, MAX_ENVELOPE_LEN};
+use gateway::list::{self, ListUpdate, Watch};
+use gateway::list_diff::{ListDiff, ServerChange, WORK_PER_TURN};
+use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
 use martenramp::subsetting;
@@ -23,7 +23,7 @@
 }
 
 /// What a watch with this much memory for entries makes of an object that comes in pieces of this length, and its fault.
-fn taken(object: &[u8], memory: usize, piece: usize) -> (Vec<Told>, Option<&'static str>) {
+fn taken(object: &[u8], memory: usize, piece: usize) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut told, mut buffer) = (Watch::new(0, memory), Vec::new(), Vec::new());
     let head = format!("{WATCH}{:x}\r\n", object.len());
     let bytes = [head.as_bytes(), object, b"\r\n"].concat();
@@ -38,9 +38,9 @@
 }
 
 /// The first object in these bytes, read as a whole; a fault behind its end is another matter.
-fn parsed(bytes: &[u8]) -> Option<Told> {
+fn parsed(bytes: &[u8]) -> Option<ListUpdate> {
     let first = serde_json::Deserializer::from_slice(bytes).into_iter::<serde_json::Value>().next()?;
-    list::read(&first.ok()?, &Services::default())
+    list::parse(&first.ok()?, &Services::default())
 }
 
 /// Keys in any order, with others that mean nothing here, and white space wherever it may stand.
@@ -107,8 +107,8 @@
 fn an_object_that_can_not_be_taken_says_why_and_nothing_of_it_is_told() {
     let good = entry("a", address(1), "ready");
     let of = |entries: &str| format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entries}]}}");
-    let (deep, long) = ("[".repeat(DEPTH_MOST), "x".repeat(ELEMENT_MOST));
-    let frame = "x".repeat(FRAME_MOST);
+    let (deep, long) = ("[".repeat(MAX_DEPTH), "x".repeat(MAX_ELEMENT_LEN));
+    let frame = "x".repeat(MAX_ENVELOPE_LEN);
     for (object, why) in [
         ("[1,2]".to_string(), "garbled-object"),
         ("{\"error\":\"no such page\"}".to_string(), "garbled-object"),
@@ -136,7 +136,7 @@
         }
     }
     // White space around the entries takes no memory, however much of it there is.
-    let blanks = " ".repeat(4 * FRAME_MOST);
+    let blanks = " ".repeat(4 * MAX_ENVELOPE_LEN);
     let padded = of(&good).replace(",\"endpoints\":[", &format!(",{blanks}\"endpoints\"{blanks}:[{blanks}"));
     assert_eq!(taken(padded.as_bytes(), AMPLE, 1000), (vec![parsed(padded.as_bytes()).unwrap()], None));
 }
@@ -164,7 +164,7 @@
 #[test]
 fn a_watch_that_goes_on_by_entries_is_alive_and_one_that_says_blanks_in_the_midst_of_an_object_is_not() {
     let (mut watch, mut told, mut out) = (Watch::new(0, AMPLE), Vec::new(), Vec::new());
-    watch.ask(&mut out, SEC);
+    watch.write_request(&mut out, SEC);
     watch.feed(SEC, WATCH.as_bytes(), &mut told).unwrap();
     let begin = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
     let piece = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -172,14 +172,14 @@
     for second in 2..30 {
         let one = entry(&format!("s{second}"), address(1), "ready") + if second == 29 { "]}" } else { "," };
         watch.feed(second * SEC, piece(&one).as_bytes(), &mut told).unwrap();
-        assert!(!watch.is_silent(second * SEC + SEC / 2));
+        assert!(!watch.is_unresponsive(second * SEC + SEC / 2));
     }
     assert_eq!(told[0].entries.len(), 28);
     watch.feed(30 * SEC, piece(begin).as_bytes(), &mut told).unwrap();
     for second in 31..34 {
         watch.feed(second * SEC, piece("\n").as_bytes(), &mut told).unwrap();
     }
-    assert!(watch.is_silent(33 * SEC + SEC / 2 + MS));
+    assert!(watch.is_unresponsive(33 * SEC + SEC / 2 + MS));
 }
 
 /// Asks `count` times at once for a watch whose first object can't be taken, each time `apart`: the least rests.
@@ -188,9 +188,9 @@
     let bad = format!("{WATCH}{}", chunk("[]"));
     (0..count as u64)
         .map(|call| {
-            watch.ask(&mut Vec::new(), call * 100 * SEC);
+            watch.write_request(&mut Vec::new(), call * 100 * SEC);
             watch.feed(call * 100 * SEC + apart, bad.as_bytes(), &mut Vec::new()).unwrap_err();
-            watch.rest_untaken(&mut chance)
+            watch.invalid_list_delay(&mut chance)
         })
         .collect()
 }
@@ -275,7 +275,7 @@
 #[derive(Default)]
 struct Held {
     servers: Servers,
-    directory: Directory,
+    directory: NameIds,
 }
 
 /// What bringing a list into force took.
@@ -293,37 +293,37 @@
 
 impl Held {
     fn ready(&self) -> usize {
-        self.servers.by_number.values().filter(|server| server.listed && server.ready).count()
+        self.servers.by_number.values().filter(|server| server.is_listed && server.ready).count()
     }
 
     /// Brings a list into force with so much work a turn.
-    fn take(&mut self, told: Told, work_a_turn: usize) -> Effort {
-        let mut changes = Changes::new(told);
+    fn take(&mut self, told: ListUpdate, work_a_turn: usize) -> Effort {
+        let mut changes = ListDiff::new(told);
         let mut effort = Effort { fewest_ready: usize::MAX, turns: 1, ..Effort::default() };
         let mut work = work_a_turn;
         while !changes.is_done() {
-            let Some(batch) = changes.next(&self.servers, &mut self.directory, &mut work) else {
+            let Some(batch) = changes.next_batch(&self.servers, &mut self.directory, &mut work) else {
                 (work, effort.turns) = (work_a_turn, effort.turns + 1);
                 continue;
             };
-            let size = batch.leaving.len() + batch.coming.len();
+            let size = batch.unavailable.len() + batch.available.len();
             (effort.changed, effort.most) = (effort.changed + size, effort.most.max(size));
-            effort.left.extend(batch.leaving.iter().map(|change| change.listed.key));
-            effort.came.extend(batch.coming.iter().map(|change| change.listed.key));
-            for Change { listed, address } in batch.leaving.into_iter().chain(batch.coming) {
+            effort.left.extend(batch.unavailable.iter().map(|change| change.listed.key));
+            effort.came.extend(batch.available.iter().map(|change| change.listed.key));
+            for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
                 match address {
-                    Some(address) => drop(self.servers.list(&listed, address)),
-                    None => drop(self.servers.take_off(listed.key)),
+                    Some(address) => drop(self.servers.upsert(&listed, address)),
+                    None => drop(self.servers.delist(listed.key)),
                 }
             }
-            self.servers.forget();
+            self.servers.remove_unused();
             effort.fewest_ready = effort.fewest_ready.min(self.ready());
         }
         effort
     }
 }
 
-fn told(whole: bool, names: impl Iterator<Item = String>, status: &str) -> Told {
+fn told(whole: bool, names: impl Iterator<Item = String>, status: &str) -> ListUpdate {
     let entries: Vec<String> = names.map(|name| entry(&name, address(1), status)).collect();
     parsed(list(1, whole, &entries).as_bytes()).unwrap()
 }
@@ -341,9 +341,9 @@
     for size in [100, 20_000] {
         let mut held = Held::default();
         assert_eq!(held.take(told(true, names(0, size), "ready"), usize::MAX).changed, size);
-        let (mut work, mut changes) = (1000, Changes::new(told(false, names(7, 8), "draining")));
-        let batch = changes.next(&held.servers, &mut held.directory, &mut work).unwrap();
-        assert!(changes.is_done() && batch.leaving.len() == 1 && batch.coming.is_empty());
+        let (mut work, mut changes) = (1000, ListDiff::new(told(false, names(7, 8), "draining")));
+        let batch = changes.next_batch(&held.servers, &mut held.directory, &mut work).unwrap();
+        assert!(changes.is_done() && batch.unavailable.len() == 1 && batch.available.is_empty());
         assert_eq!(1000 - work, 3, "one compared and one changed, among {size}");
         // Told once more it is nothing new, and so is the whole list with it.
         held.take(told(false, names(7, 8), "draining"), 1000);
@@ -361,9 +361,9 @@
     // Half are gone, some drain, and as many are new, behind those that stay.
     let mut next = told(true, names(5_000, 15_000), "ready");
     next.entries[4_999].ready = false;
-    let effort = held.take(next, WORK_A_TURN);
+    let effort = held.take(next, WORK_PER_TURN);
     assert_eq!((effort.changed, held.ready()), (10_001, 9_999));
-    assert!(effort.most <= WORK_A_TURN / 2, "{} in a batch", effort.most);
+    assert!(effort.most <= WORK_PER_TURN / 2, "{} in a batch", effort.most);
     assert!(effort.left.contains(&key(9_999)) && effort.left.len() == 5_001);
     assert!(effort.turns < 70, "{} turns", effort.turns);
     assert_eq!(effort.came[..3], [key(10_000), key(10_001), key(10_002)], "in the list's order");
@@ -374,7 +374,7 @@
 fn a_list_that_replaces_every_server_leaves_no_moment_without_any() {
     let mut held = Held::default();
     held.take(told(true, names(0, 2_000), "ready"), usize::MAX);
-    let effort = held.take(told(true, names(2_000, 4_000), "ready"), WORK_A_TURN);
+    let effort = held.take(told(true, names(2_000, 4_000), "ready"), WORK_PER_TURN);
     assert_eq!((effort.changed, held.ready()), (4_000, 2_000));
     assert!(effort.fewest_ready >= 400, "{} ready at the least", effort.fewest_ready);
 }
@@ -386,7 +386,7 @@
     for (first, second, ready) in [("gone", "ready", 10), ("ready", "gone", 9)] {
         let mut both = told(false, names(3, 4), first);
         both.entries.extend(told(false, names(3, 4), second).entries);
-        held.take(both, WORK_A_TURN);
+        held.take(both, WORK_PER_TURN);
         assert_eq!(held.ready(), ready, "{first}, then {second}");
     }
 }
@@ -395,13 +395,13 @@
 fn a_list_goes_back_empties_and_grows_from_two_to_two_thousand() {
     let mut held = Held::default();
     held.take(told(true, names(0, 2), "ready"), usize::MAX);
-    assert_eq!(held.take(told(true, names(0, 2_000), "ready"), WORK_A_TURN).changed, 1_998);
+    assert_eq!(held.take(told(true, names(0, 2_000), "ready"), WORK_PER_TURN).changed, 1_998);
     assert_eq!(
-        held.take(told(true, names(0, 2), "ready"), WORK_A_TURN).changed,
+        held.take(told(true, names(0, 2), "ready"), WORK_PER_TURN).changed,
         1_998,
         "back to what it was"
     );
-    held.take(told(false, names(0, 2), "gone"), WORK_A_TURN);
+    held.take(told(false, names(0, 2), "gone"), WORK_PER_TURN);
     assert!(held.servers.by_number.is_empty(), "nothing is held of servers that are gone");
 }
 
@@ -418,23 +418,23 @@
 fn a_server_tells_its_service_by_its_name_and_an_rpc_by_its_class() {
     let two = services(&format!("{{{CLASSES}}}")).unwrap();
     assert_eq!((two.of_class(0), two.of_class(1), two.of_class(2)), (1, 2, 2));
-    assert_eq!(two.of_server("catalog/s-1"), Service::Asked(1));
-    assert_eq!(two.of_server("orders/s-1/x"), Service::Asked(2));
-    assert_eq!(two.of_server("billing/s-1"), Service::NotAsked);
-    assert_eq!((two.of_server("s-1"), two.of_server("/s-1")), (Service::Untold, Service::Untold));
+    assert_eq!(two.of_server("catalog/s-1"), Service::Requested(1));
+    assert_eq!(two.of_server("orders/s-1/x"), Service::Requested(2));
+    assert_eq!(two.of_server("billing/s-1"), Service::NotRequested);
+    assert_eq!((two.of_server("s-1"), two.of_server("/s-1")), (Service::Unspecified, Service::Unspecified));
     let dotted = services(&format!("{{\"separator\":\".\",{CLASSES}}}")).unwrap();
-    assert_eq!(dotted.of_server("orders.s-1"), Service::Asked(2));
+    assert_eq!(dotted.of_server("orders.s-1"), Service::Requested(2));
     // Where none is told there is one, and every name is in it.
     let one = Services::default();
     assert_eq!(
         (one.of_class(2), one.of_server("s-1"), one.of_server("a/b")),
-        (0, Service::Asked(0), Service::Asked(0))
+        (0, Service::Requested(0), Service::Requested(0))
     );
     // Another version's classes keep the numbers of services that are held; others have no servers here.
     let other = CLASSES.replace("catalog", "billing");
     let later = two.with_classes_of(&services(&format!("{{{other}}}")).unwrap());
     assert_eq!((later.of_class(0), later.of_class(1)), (u32::MAX, 2));
-    assert_eq!(later.of_server("catalog/s-1"), Service::Asked(1));
+    assert_eq!(later.of_server("catalog/s-1"), Service::Requested(1));
 }
 
 #[test]
@@ -467,11 +467,11 @@
     let names = ["orders/1", "billing/1", "nameless", "catalog/1", "other"];
     let entries: Vec<String> = names.iter().map(|name| entry(name, address(1), "ready")).collect();
     let text = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
-    let (mut watch, mut told) = (Watch::of_services(0, AMPLE, two), Vec::new());
+    let (mut watch, mut told) = (Watch::for_services(0, AMPLE, two), Vec::new());
     watch.feed(SEC, text.as_bytes(), &mut told).unwrap();
     let taken: Vec<(&str, u32)> = told[0].entries.iter().map(|entry| (&*entry.name, entry.service)).collect();
     assert_eq!(taken, [("orders/1", 2), ("catalog/1", 1)]);
-    assert_eq!((told[0].untold, told[0].first_untold.as_deref()), (2, Some("nameless")));
+    assert_eq!((told[0].without_service, told[0].first_without_service.as_deref()), (2, Some("nameless")));
 }
 
 // ---- With the program itself.
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -56,7 +56,7 @@
 
 fn version(number: u64, plans: usize) -> Version {
     let settings = service(plans).settings();
-    Version { number, start: 0, fallback: Fallback::of(&settings), settings }
+    Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 /// The file is read, as at a start and at SIGHUP.
@@ -69,7 +69,7 @@
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(text.len());
-        let read = Config::read(&text, |_| None);
+        let read = Config::parse(&text, |_| None);
         let failed = |why| ScaleError::Measurement { what: "reading a configuration".to_string(), why };
         read.map(|_| traffic).map_err(failed)
     };
@@ -80,7 +80,7 @@
 pub fn digested(plans: usize) -> Result<Operation, ScaleError> {
     let version = version(1, plans);
     let step = move || {
-        std::hint::black_box(version.content());
+        std::hint::black_box(version.content_id());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
@@ -112,7 +112,7 @@
     let mut now = START;
     let step = move || {
         now += 1_000_000;
-        replica.brain.settle(now, next.clone());
+        replica.brain.update_settings(now, next.clone());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -4,8 +4,8 @@
 
 mod wire;
 
-use martenramp::brain::Brain;
-use martenramp::host::{Arrival, End, Ended, Listed, Settings};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, DiscoveredServer, Settings};
 use std::collections::HashMap;
 use std::io::{BufReader, Read, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -49,7 +49,7 @@
 
 /// Replies to frames until the input ends; a malformed frame ends it with an error and without a reply.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut instances: HashMap<u32, Brain> = HashMap::new();
+    let mut instances: HashMap<u32, AdmissionController> = HashMap::new();
     let mut reply = Reply::default();
     let mut frame = Vec::new();
     while wire::read_frame(&mut input, &mut frame)? {
@@ -76,7 +76,7 @@
 
 /// Decodes one whole record, then passes it to its instance. Records with an unknown code are skipped.
 fn handle_record(
-    instances: &mut HashMap<u32, Brain>,
+    instances: &mut HashMap<u32, AdmissionController>,
     reply: &mut Reply,
     now: u64,
     code: u8,
@@ -91,7 +91,7 @@
         code::START => {
             let seed = record.u64()?;
             let settings = read_settings(record)?;
-            match catch_unwind(AssertUnwindSafe(|| Brain::new(seed, settings))) {
+            match catch_unwind(AssertUnwindSafe(|| AdmissionController::new(seed, settings))) {
                 Ok(brain) => drop(instances.insert(instance, brain)),
                 Err(panic) => reply.report_failure(&panic_message(&*panic)),
             }
@@ -100,24 +100,24 @@
             let kind = record.u8()?;
             let list = read_list(record)?;
             if kind <= 2 {
-                call_instance(instances, reply, instance, |brain, _| brain.listed(now, kind != 0, &list));
+                call_instance(instances, reply, instance, |brain, _| brain.on_server_list(now, kind != 0, &list));
             }
         }
         code::ARRIVAL => {
             let rpc = read_arrival(record)?;
-            call_instance(instances, reply, instance, |brain, host| brain.rpc(host, now, &rpc));
+            call_instance(instances, reply, instance, |brain, host| brain.on_arrival(host, now, &rpc));
         }
         code::ATTEMPT_ENDED => {
             let ended = read_attempt_ended(record)?;
-            call_instance(instances, reply, instance, |brain, host| brain.ended(host, now, &ended));
+            call_instance(instances, reply, instance, |brain, host| brain.on_attempt_end(host, now, &ended));
         }
         code::CLIENT_LEFT => {
             let rpc = record.u32()?;
-            call_instance(instances, reply, instance, |brain, _| brain.client_left(rpc));
+            call_instance(instances, reply, instance, |brain, _| brain.on_client_left(rpc));
         }
         code::TIMER => {
             let token = record.u32()?;
-            call_instance(instances, reply, instance, |brain, host| brain.woke(host, now, token));
+            call_instance(instances, reply, instance, |brain, host| brain.on_timer(host, now, token));
         }
         code::END => drop(instances.remove(&instance)),
         code::COUNTED => {
@@ -126,7 +126,7 @@
             record.f64()?;
             let name = record.u64()?;
             call_instance(instances, reply, instance, |brain, host| {
-                brain.counted(host, now, name, how, total)
+                brain.on_counter_reply(host, now, name, how, total)
             });
         }
         _ => {} // start of a stream, end of a probe: the module requests neither
@@ -143,13 +143,13 @@
 }
 
 /// Decodes the servers of a list.
-fn read_list(record: &mut Fields) -> Result<Vec<Listed>, OutOfBounds> {
+fn read_list(record: &mut Fields) -> Result<Vec<DiscoveredServer>, OutOfBounds> {
     record.u32()?;
     let count = record.u32()? as usize;
     let mut list = Vec::new();
     for _ in 0..count {
         let server = record.u32()?;
-        list.push(Listed {
+        list.push(DiscoveredServer {
             server,
             service: 0,
             key: u64::from(server), // the same at every instance
@@ -158,7 +158,7 @@
             cell: record.u16()?,
             ready: record.u8()? == 2,
             weight: f64::from(record.f32()?),
-            came_up: nanos(record.f64()?),
+            started_at: nanos(record.f64()?),
         });
     }
     Ok(list)
@@ -174,13 +174,13 @@
         service: 0,
         deadline: nanos(record.f64()?),
         units: f64::from(record.f32()?),
-        width: record.f32()? as u32,
-        first: record.f32()? as u32,
+        gateway_count: record.f32()? as u32,
+        first_gateway: record.f32()? as u32,
     })
 }
 
 /// Decodes the end of an attempt.
-fn read_attempt_ended(record: &mut Fields) -> Result<Ended, OutOfBounds> {
+fn read_attempt_ended(record: &mut Fields) -> Result<AttemptResult, OutOfBounds> {
     let rpc = record.u32()?;
     let took = nanos(record.f64()?);
     record.u16()?;
@@ -191,29 +191,38 @@
     let nth = record.u16()?;
     let count = record.u8()?;
     let load = (0..count).map(|_| record.f32().map(f64::from)).collect::<Result<_, _>>()?;
-    Ok(Ended { rpc, server, nth, how, took, closed, settled, load })
+    Ok(AttemptResult {
+        rpc,
+        server,
+        attempt: nth,
+        outcome: how,
+        duration: took,
+        rpc_answered: closed,
+        settled_units: settled,
+        load_report: load,
+    })
 }
 
-fn attempt_end(code: u8) -> End {
+fn attempt_end(code: u8) -> CallOutcome {
     match code {
-        0 => End::Ok,
-        254 => End::Full,
-        253 => End::TimedOut,
-        252 => End::NoConnection,
-        251 => End::Reset,
-        250 => End::Withdrawn,
-        249 => End::NotSent,
-        _ => End::Error,
+        0 => CallOutcome::Ok,
+        254 => CallOutcome::Full,
+        253 => CallOutcome::TimedOut,
+        252 => CallOutcome::NoConnection,
+        251 => CallOutcome::Reset,
+        250 => CallOutcome::Withdrawn,
+        249 => CallOutcome::NotSent,
+        _ => CallOutcome::Error,
     }
 }
 
 /// Calls an instance. If the call panics, the actions that it requested are discarded, a failure is reported and the
 /// instance is removed.
 fn call_instance(
-    instances: &mut HashMap<u32, Brain>,
+    instances: &mut HashMap<u32, AdmissionController>,
     reply: &mut Reply,
     instance: u32,
-    call: impl FnOnce(&mut Brain, &mut Reply),
+    call: impl FnOnce(&mut AdmissionController, &mut Reply),
 ) {
     let Some(brain) = instances.get_mut(&instance) else { return };
     let checkpoint = reply.checkpoint();
