--- a/benches/membership_figures.rs
+++ b/benches/membership_figures.rs
@@ -42,10 +42,10 @@
 
 impl Host for NullHost {
     fn send_attempt(&mut self, _rpc: u32, _server: u32, _limit: Nanos, _before: Nanos) {}
-    fn reject(&mut self, _rpc: u32, _come_back: Nanos) {}
+    fn reject(&mut self, _rpc: u32, _retry_after: Nanos) {}
     fn abort(&mut self, _rpc: u32) {}
     fn set_timer(&mut self, _after: Nanos, _token: u32) {}
-    fn add_to_counter(&mut self, _name: u64, _add: f64, _forget: Nanos) {}
+    fn add_to_counter(&mut self, _name: u64, _amount: f64, _expire_after: Nanos) {}
 }
 
 fn listed_server(server: u32) -> DiscoveredServer {
@@ -70,39 +70,39 @@
 }
 
 /// Removes a server from the list and adds it again: two changes.
-fn remove_and_add(brain: &mut AdmissionController, server: u32) {
-    brain.on_server_list(NOW, false, &[DiscoveredServer { ready: false, ..listed_server(server) }]);
-    brain.on_server_list(NOW, false, &[listed_server(server)]);
+fn remove_and_add(controller: &mut AdmissionController, server: u32) {
+    controller.on_server_list(NOW, false, &[DiscoveredServer { ready: false, ..listed_server(server) }]);
+    controller.on_server_list(NOW, false, &[listed_server(server)]);
 }
 
 fn main() {
     let settings = [("me", "17".to_string()), ("balancers", GATEWAYS.to_string())];
     let settings: Settings = settings.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
-    let mut brain = AdmissionController::new(1, settings);
+    let mut controller = AdmissionController::new(1, settings);
     let list: Vec<DiscoveredServer> = (0..SERVERS).map(listed_server).collect();
-    measure("whole list", 1, || brain.on_server_list(NOW, true, &list));
+    measure("whole list", 1, || controller.on_server_list(NOW, true, &list));
     measure("first request for a service", REQUESTED_SERVICES, || {
         for service in 1..=REQUESTED_SERVICES {
             let arrival =
                 Arrival { id: service, service, deadline: NOW, gateway_count: 1, ..Arrival::default() };
-            brain.on_arrival(&mut NullHost, NOW, &arrival);
+            controller.on_arrival(&mut NullHost, NOW, &arrival);
         }
     });
     measure("one change, service requested", 2 * CHANGES, || {
-        (0..CHANGES).for_each(|index| remove_and_add(&mut brain, 1 + index % REQUESTED_SERVICES));
+        (0..CHANGES).for_each(|index| remove_and_add(&mut controller, 1 + index % REQUESTED_SERVICES));
     });
     measure("one change, service not requested", 2 * CHANGES, || {
-        (0..CHANGES).for_each(|index| remove_and_add(&mut brain, 1 + REQUESTED_SERVICES + index));
+        (0..CHANGES).for_each(|index| remove_and_add(&mut controller, 1 + REQUESTED_SERVICES + index));
     });
     let zone: Vec<DiscoveredServer> = list.iter().filter(|server| server.zone == 2).cloned().collect();
     let removed: Vec<DiscoveredServer> =
         zone.iter().map(|server| DiscoveredServer { ready: false, ..server.clone() }).collect();
     println!("servers per zone: {}", zone.len());
-    measure("zone removed", 1, || brain.on_server_list(NOW, false, &removed));
+    measure("zone removed", 1, || controller.on_server_list(NOW, false, &removed));
     measure("zone added again, cold", 1, || {
         let cold: Vec<DiscoveredServer> =
             zone.iter().map(|server| DiscoveredServer { started_at: NOW, ..server.clone() }).collect();
-        brain.on_server_list(NOW, false, &cold);
+        controller.on_server_list(NOW, false, &cold);
     });
-    measure("whole list again", 1, || brain.on_server_list(NOW, true, &list));
+    measure("whole list again", 1, || controller.on_server_list(NOW, true, &list));
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -92,7 +92,7 @@
             let seed = record.u64()?;
             let settings = read_settings(record)?;
             match catch_unwind(AssertUnwindSafe(|| AdmissionController::new(seed, settings))) {
-                Ok(brain) => drop(instances.insert(instance, brain)),
+                Ok(controller) => drop(instances.insert(instance, controller)),
                 Err(panic) => reply.report_failure(&panic_message(&*panic)),
             }
         }
@@ -100,33 +100,41 @@
             let kind = record.u8()?;
             let list = read_list(record)?;
             if kind <= 2 {
-                call_instance(instances, reply, instance, |brain, _| brain.on_server_list(now, kind != 0, &list));
+                call_instance(instances, reply, instance, |controller, _| {
+                    controller.on_server_list(now, kind != 0, &list)
+                });
             }
         }
         code::ARRIVAL => {
             let rpc = read_arrival(record)?;
-            call_instance(instances, reply, instance, |brain, host| brain.on_arrival(host, now, &rpc));
+            call_instance(instances, reply, instance, |controller, host| {
+                controller.on_arrival(host, now, &rpc)
+            });
         }
         code::ATTEMPT_ENDED => {
-            let ended = read_attempt_ended(record)?;
-            call_instance(instances, reply, instance, |brain, host| brain.on_attempt_end(host, now, &ended));
+            let result = read_attempt_result(record)?;
+            call_instance(instances, reply, instance, |controller, host| {
+                controller.on_attempt_end(host, now, &result)
+            });
         }
         code::CLIENT_LEFT => {
             let rpc = record.u32()?;
-            call_instance(instances, reply, instance, |brain, _| brain.on_client_left(rpc));
+            call_instance(instances, reply, instance, |controller, _| controller.on_client_left(rpc));
         }
         code::TIMER => {
             let token = record.u32()?;
-            call_instance(instances, reply, instance, |brain, host| brain.on_timer(host, now, token));
+            call_instance(instances, reply, instance, |controller, host| {
+                controller.on_timer(host, now, token)
+            });
         }
         code::END => drop(instances.remove(&instance)),
         code::COUNTED => {
-            let how = attempt_end(record.u8()?);
+            let outcome = call_outcome(record.u8()?);
             let total = f64::from(record.f32()?);
             record.f64()?;
             let name = record.u64()?;
-            call_instance(instances, reply, instance, |brain, host| {
-                brain.on_counter_reply(host, now, name, how, total)
+            call_instance(instances, reply, instance, |controller, host| {
+                controller.on_counter_reply(host, now, name, outcome, total)
             });
         }
         _ => {} // start of a stream, end of a probe: the module requests neither
@@ -179,31 +187,23 @@
     })
 }
 
-/// Decodes the end of an attempt.
-fn read_attempt_ended(record: &mut Fields) -> Result<AttemptResult, OutOfBounds> {
+/// Decodes the result of an attempt.
+fn read_attempt_result(record: &mut Fields) -> Result<AttemptResult, OutOfBounds> {
     let rpc = record.u32()?;
-    let took = nanos(record.f64()?);
+    let duration = nanos(record.f64()?);
     record.u16()?;
-    let closed = record.u8()? != 0;
-    let settled = f64::from(record.u16()?);
+    let rpc_answered = record.u8()? != 0;
+    let settled_units = f64::from(record.u16()?);
     let server = record.u32()?;
-    let how = attempt_end(record.u8()?);
-    let nth = record.u16()?;
+    let outcome = call_outcome(record.u8()?);
+    let attempt = record.u16()?;
     let count = record.u8()?;
-    let load = (0..count).map(|_| record.f32().map(f64::from)).collect::<Result<_, _>>()?;
-    Ok(AttemptResult {
-        rpc,
-        server,
-        attempt: nth,
-        outcome: how,
-        duration: took,
-        rpc_answered: closed,
-        settled_units: settled,
-        load_report: load,
-    })
+    let load_report = (0..count).map(|_| record.f32().map(f64::from)).collect::<Result<_, _>>()?;
+    Ok(AttemptResult { rpc, server, attempt, outcome, duration, rpc_answered, settled_units, load_report })
 }
 
-fn attempt_end(code: u8) -> CallOutcome {
+/// Decodes the outcome of an attempt or of a call to the counter.
+fn call_outcome(code: u8) -> CallOutcome {
     match code {
         0 => CallOutcome::Ok,
         254 => CallOutcome::Full,
@@ -224,9 +224,9 @@
     instance: u32,
     call: impl FnOnce(&mut AdmissionController, &mut Reply),
 ) {
-    let Some(brain) = instances.get_mut(&instance) else { return };
+    let Some(controller) = instances.get_mut(&instance) else { return };
     let checkpoint = reply.checkpoint();
-    if let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(brain, reply))) {
+    if let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(controller, reply))) {
         reply.roll_back(checkpoint);
         reply.report_failure(&panic_message(&*panic));
         instances.remove(&instance);
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -187,8 +187,8 @@
         self.record(21, &[&rpc.to_be_bytes(), &server.to_be_bytes(), &limit]);
     }
 
-    fn reject(&mut self, rpc: u32, come_back: Nanos) {
-        self.record(20, &[&rpc.to_be_bytes(), &seconds(come_back).to_be_bytes()]);
+    fn reject(&mut self, rpc: u32, retry_after: Nanos) {
+        self.record(20, &[&rpc.to_be_bytes(), &seconds(retry_after).to_be_bytes()]);
     }
 
     fn abort(&mut self, rpc: u32) {
@@ -199,8 +199,8 @@
         self.record(28, &[&seconds(after).to_be_bytes(), &token.to_be_bytes()]);
     }
 
-    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
-        let add = (add as f32).to_be_bytes();
-        self.record(16, &[&name.to_be_bytes(), &add, &seconds(forget).to_be_bytes()]);
+    fn add_to_counter(&mut self, name: u64, amount: f64, expire_after: Nanos) {
+        let amount = (amount as f32).to_be_bytes();
+        self.record(16, &[&name.to_be_bytes(), &amount, &seconds(expire_after).to_be_bytes()]);
     }
 }
