--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -1,20 +1,20 @@
-//! What voters vote for, and for how long: a content of the settings, and a lease on it.
+//! The identifier of a settings version's content, and the lease that a voter grants on it.
 
 use crate::Nanos;
 
-/// A content of the settings: a version and the digest of what it holds.
+/// Identifies the content of a settings version: its number and the digest of everything shared between gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ContentId {
-    /// The version's number, which only rises.
+    /// The version number; it only increases.
     pub version: u64,
-    /// The digest of everything that gateways have to agree on.
+    /// The digest of all settings that gateways have to agree on.
     pub digest: u128,
 }
 
-/// A voter's grant: it is for this content from `from` until just before `until`, Unix time.
+/// A voter's lease on a content, valid from `from` (inclusive) to `until` (exclusive), Unix time in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lease {
-    /// What the voter is for.
+    /// The content that the lease is granted on.
     pub content: ContentId,
     /// The first instant of the lease.
     pub from: Nanos,
@@ -23,7 +23,7 @@
 }
 
 impl Lease {
-    /// Whether the lease holds at this instant.
+    /// Whether the lease is valid at this instant.
     pub fn covers(&self, at: Nanos) -> bool {
         self.from <= at && at < self.until
     }
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,12 +1,19 @@
-//! Settings with versions on which many gateways agree without a consensus service: no two act on settings that contradict
-//! each other for longer than a stated time, whatever is cut, lost, paused or restarted. `docs/agreement-design.md` has
-//! the contract, the options weighed and what breaks if clocks lie.
+//! Agreement between gateways on versioned settings, without a consensus service.
 //!
-//! [`state`] is the state machine of one gateway: fed contents, messages of others and the time, it says which content may
-//! be acted on. [`lease`] is what voters grant, [`message`] what goes between gateways, one datagram each, and [`config`] what all
-//! are configured with alike. [`version`] has a version's content and fallback, and [`rules`] which settings contradict and which
-//! successor is admissible. [`lists`] reviews lists of servers that contradict each other. Nothing here knows a socket, a
-//! file or a clock.
+//! No two gateways act on contradicting settings for longer than a stated bound, whatever connections break, messages are
+//! lost, or processes pause or restart. `docs/agreement-design.md` has the contract, the alternatives considered and what
+//! fails if clocks are off by more than configured.
+//!
+//! - [`state`]: the state machine of one gateway. Its inputs are contents, messages of other gateways and the time; its
+//!   output is the content that the gateway may act on.
+//! - [`lease`]: content identifiers and the leases that voters grant on them.
+//! - [`message`]: the messages between gateways, one datagram each.
+//! - [`config`]: the configuration that all gateways of a fleet share.
+//! - [`version`]: a version of the settings, its content digest and its fallback.
+//! - [`rules`]: which settings contradict each other, and which successor of a version is admissible.
+//! - [`lists`]: the review of server lists that contradict each other.
+//!
+//! This crate does no I/O and reads no clock.
 #![deny(missing_docs)]
 
 pub mod config;
