--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -1,142 +1,150 @@
-//! The messages between gateways, one datagram each. A message stands alone and stays true for ever, so that it may be lost,
-//! late, duplicated or reordered at will, and is never answered.
+//! The messages between gateways, one datagram each. A message is self-contained and what it states stays true, so that it
+//! may be lost, delayed, duplicated or reordered, and needs no reply.
 
 use crate::Nanos;
 use crate::lease::{ContentId, Lease};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version of the messages' format; a message of another one is ignored.
-const FORMAT: u32 = 1;
-/// The most that a datagram between gateways may hold, bytes (the platform's bound).
+/// The version of the message format; a message of any other version is ignored.
+const FORMAT_VERSION: u32 = 1;
+/// The largest datagram between gateways that the platform allows, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// What a message says of its content. The wire's names are those of format 1.
+/// What a message says about its content. The names on the wire are those of format 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// A voter grants a lease on it.
+    /// A voter grants a lease on the content.
     #[serde(rename = "for")]
     Grant,
-    /// A voter that has restarted asks what others have granted, before it grants anything.
+    /// A restarted voter asks what other voters have granted, before it grants a lease itself.
     #[serde(rename = "asks")]
     Query,
-    /// The sender holds it, and does not act on it, or not yet.
+    /// The sender has the content, but does not act on it, at least not yet.
     #[serde(rename = "holds")]
     Holding,
 }
 
-/// A message of a gateway about the settings.
+/// A gateway's message about a content of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseMessage {
     /// The sender's number.
     pub gateway: u32,
-    /// Drawn anew by each process, so that two that go by one number are told apart.
+    /// Drawn at random by each process, so that two processes with the same number can be distinguished.
     pub incarnation: u32,
-    /// When it was sent, by the sender's clock: Unix time.
+    /// When the message was sent, by the sender's clock: Unix time.
     pub sent: Nanos,
-    /// What it says of the content.
+    /// What the message says about the content.
     pub kind: MessageKind,
-    /// The content, and for how long it is granted; empty where the message grants nothing.
+    /// The content and the granted lease; the lease is empty if the message grants nothing.
     pub lease: Lease,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Body {
-    agreement: u32,
+struct LeaseMessageBody {
+    #[serde(rename = "agreement")]
+    format: u32,
     gateway: u32,
-    life: u32,
+    #[serde(rename = "life")]
+    incarnation: u32,
     sent: Nanos,
-    says: MessageKind,
+    #[serde(rename = "says")]
+    kind: MessageKind,
     version: u64,
     digest: String,
     from: Nanos,
     until: Nanos,
-    /// Checksum of all the rest. Guards against a message that was corrupted on the way and still parses, which could grant or
-    /// name another content. It is no signature.
-    sum: String,
+    /// Checksum of all other fields. Guards against a message that was corrupted in transit and still parses: it could name
+    /// or grant a lease on another content. It does not authenticate the sender.
+    #[serde(rename = "sum")]
+    checksum: String,
 }
 
 impl LeaseMessage {
-    /// The datagram of this message.
+    /// Encodes this message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
-        let mut body = Body {
-            agreement: FORMAT,
+        let mut body = LeaseMessageBody {
+            format: FORMAT_VERSION,
             gateway: self.gateway,
-            life: self.incarnation,
+            incarnation: self.incarnation,
             sent: self.sent,
-            says: self.kind,
+            kind: self.kind,
             version: self.lease.content.version,
             digest: format!("{:032x}", self.lease.content.digest),
             from: self.lease.from,
             until: self.lease.until,
-            sum: String::new(),
+            checksum: String::new(),
         };
-        body.sum = format!("{:016x}", xxh3_64(&serde_json::to_vec(&body).unwrap_or_default()));
+        body.checksum = format!("{:016x}", xxh3_64(&serde_json::to_vec(&body).unwrap_or_default()));
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// Parses a datagram; `None` where it is corrupted or of another format.
+    /// Parses a datagram; `None` if it is corrupted or has another format.
     pub fn decode(bytes: &[u8]) -> Option<LeaseMessage> {
-        let body: Body =
+        let body: LeaseMessageBody =
             serde_json::from_slice(bytes.get(..bytes.len().min(MAX_DATAGRAM_BYTES + 1))?).ok()?;
         let digest = u128::from_str_radix(&body.digest, 16).ok()?;
         let content = ContentId { version: body.version, digest };
         let lease = Lease { content, from: body.from, until: body.until };
         let message = LeaseMessage {
             gateway: body.gateway,
-            incarnation: body.life,
+            incarnation: body.incarnation,
             sent: body.sent,
-            kind: body.says,
+            kind: body.kind,
             lease,
         };
-        // Byte for byte as it is encoded here: format, checksum and all.
+        // Accepted only if encoding it again gives the same bytes, which also checks the format and the checksum.
         (message.encode() == bytes).then_some(message)
     }
 }
 
-/// A voter's notice about the list of servers that it holds.
+/// A voter's notice about its current server list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListNotice {
     /// The sender's number.
     pub gateway: u32,
-    /// The index of the list that it holds.
+    /// The index of the sender's list.
     pub index: u64,
-    /// Keys of the servers that were last taken out of work.
+    /// Keys of the servers that were removed last.
     pub removed: Vec<u64>,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ListNoticeBody {
-    list: u32,
+    #[serde(rename = "list")]
+    format: u32,
     gateway: u32,
     index: u64,
-    out: Vec<String>,
-    sum: String,
+    #[serde(rename = "out")]
+    removed: Vec<String>,
+    #[serde(rename = "sum")]
+    checksum: String,
 }
 
 impl ListNotice {
-    /// The datagram of this message.
+    /// Encodes this notice as a datagram.
     pub fn encode(&self) -> Vec<u8> {
-        let out = self.removed.iter().map(|key| format!("{key:016x}")).collect();
+        let removed = self.removed.iter().map(|key| format!("{key:016x}")).collect();
         let mut body = ListNoticeBody {
-            list: FORMAT,
+            format: FORMAT_VERSION,
             gateway: self.gateway,
             index: self.index,
-            out,
-            sum: String::new(),
+            removed,
+            checksum: String::new(),
         };
-        body.sum = format!("{:016x}", xxh3_64(&serde_json::to_vec(&body).unwrap_or_default()));
+        body.checksum = format!("{:016x}", xxh3_64(&serde_json::to_vec(&body).unwrap_or_default()));
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// Parses a datagram; `None` where it is corrupted or no notice.
+    /// Parses a datagram; `None` if it is corrupted or not a notice.
     pub fn decode(bytes: &[u8]) -> Option<ListNotice> {
         let body: ListNoticeBody =
             serde_json::from_slice(bytes.get(..bytes.len().min(MAX_DATAGRAM_BYTES + 1))?).ok()?;
-        let out: Option<Vec<u64>> = body.out.iter().map(|key| u64::from_str_radix(key, 16).ok()).collect();
-        let notice = ListNotice { gateway: body.gateway, index: body.index, removed: out? };
+        let removed: Option<Vec<u64>> =
+            body.removed.iter().map(|key| u64::from_str_radix(key, 16).ok()).collect();
+        let notice = ListNotice { gateway: body.gateway, index: body.index, removed: removed? };
         (notice.encode() == bytes).then_some(notice)
     }
 }
--- a/crates/agreement/src/message/tests.rs
+++ b/crates/agreement/src/message/tests.rs
@@ -3,29 +3,24 @@
 use super::*;
 
 #[test]
-fn messages_decode_as_encoded_and_corrupted_ones_are_nothing() {
-    let mut chance = fastrand::Rng::with_seed(7);
+fn messages_decode_as_encoded_and_corrupted_ones_are_rejected() {
+    let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
-        let content = ContentId { version: chance.u64(..), digest: chance.u128(..) };
-        let lease = Lease { content, from: chance.u64(..), until: chance.u64(..) };
-        let kind = [MessageKind::Grant, MessageKind::Query, MessageKind::Holding][chance.usize(..3)];
-        let message = LeaseMessage {
-            gateway: chance.u32(..),
-            incarnation: chance.u32(..),
-            sent: chance.u64(..),
-            kind,
-            lease,
-        };
+        let content = ContentId { version: rng.u64(..), digest: rng.u128(..) };
+        let lease = Lease { content, from: rng.u64(..), until: rng.u64(..) };
+        let kind = [MessageKind::Grant, MessageKind::Query, MessageKind::Holding][rng.usize(..3)];
+        let message =
+            LeaseMessage { gateway: rng.u32(..), incarnation: rng.u32(..), sent: rng.u64(..), kind, lease };
         let bytes = message.encode();
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
         assert_eq!(LeaseMessage::decode(&bytes), Some(message));
-        // Cut short, corrupted in a place or longer: read as nothing or as some message, never a panic.
-        assert_eq!(LeaseMessage::decode(&bytes[..chance.usize(..bytes.len())]), None);
+        // A truncated, corrupted or random datagram decodes to nothing, and never causes a panic.
+        assert_eq!(LeaseMessage::decode(&bytes[..rng.usize(..bytes.len())]), None);
         let mut corrupted = bytes.clone();
-        let at = chance.usize(..corrupted.len());
-        corrupted[at] = chance.u8(..);
+        let at = rng.usize(..corrupted.len());
+        corrupted[at] = rng.u8(..);
         assert!(corrupted == bytes || LeaseMessage::decode(&corrupted).is_none());
-        let noise: Vec<u8> = (0..chance.usize(..300)).map(|_| chance.u8(..)).collect();
+        let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
         assert_eq!(LeaseMessage::decode(&noise), None);
     }
     let content = ContentId { version: 1, digest: 1 };
@@ -37,17 +32,17 @@
     assert_eq!(
         LeaseMessage::decode(text.replace("\"agreement\":1", "\"agreement\":0").as_bytes()),
         None,
-        "an older format"
+        "an older format version"
     );
     assert_eq!(
         LeaseMessage::decode(text.replace('}', ",\"x\":1}").as_bytes()),
         None,
-        "more than the format has"
+        "a field that the format does not have"
     );
 }
 
 #[test]
-fn notices_fit_and_decode_as_encoded() {
+fn notices_fit_into_a_datagram_and_decode_as_encoded() {
     let removed = vec![u64::MAX; crate::lists::MAX_ANNOUNCED_REMOVALS];
     let notice = ListNotice { gateway: u32::MAX, index: u64::MAX, removed };
     let bytes = notice.encode();
@@ -58,7 +53,7 @@
     assert_eq!((ListNotice::decode(&corrupted), LeaseMessage::decode(&bytes)), (None, None));
 }
 
-/// Gateways of different releases have to read each other's datagrams.
+/// Guards against a rename that changes the wire format: gateways of different releases read each other's datagrams.
 #[test]
 fn the_bytes_of_a_datagram_are_those_of_format_1() {
     let lease = Lease { content: ContentId { version: 2, digest: 7 }, from: 100, until: 200 };
