--- a/crates/agreement/src/rules.rs
+++ b/crates/agreement/src/rules.rs
@@ -1,32 +1,34 @@
-//! Which settings contradict each other between two gateways, and whether one version may follow another.
+//! Rules for settings: which ones contradict each other between gateways, and whether one version may follow another.
+//!
+//! Error messages call the fallback `ground`, after its key in the configuration.
 
 use crate::version::{QUOTAS, Version, VersionFault, attempts_cap, count, fleet, quota};
 use martenramp::host::Settings;
 use std::collections::BTreeSet;
 
-/// Lists of the settings whose entries are known by their place.
+/// Lists of the settings whose entries are identified by their position.
 const ORDERED_LISTS: [&str; 2] = ["tariffs", "classes"];
 
 /// A setting that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingChange {
-    /// The setting's path.
+    /// The path of the setting.
     pub name: String,
-    /// Its value in the older version, if it has one there.
+    /// The value in the older version; `None` if the setting is missing there.
     pub old: Option<String>,
-    /// Its value in the newer version, if it has one there.
+    /// The value in the newer version; `None` if the setting is missing there.
     pub new: Option<String>,
-    /// Whether gateways that act on the one contradict those that act on the other.
+    /// Whether gateways that act on the old value contradict those that act on the new one.
     pub contradicts: bool,
 }
 
-/// Why a version may not follow another while gateways may still hold that one.
+/// Why a version may not follow an older one that gateways may still act on.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Objection {
-    /// The new version is wrong by itself.
+    /// The new version is invalid by itself.
     #[error(transparent)]
     Fault(#[from] VersionFault),
-    /// Its number does not rise.
+    /// The version number does not increase.
     #[error("version {new} is not above {old}")]
     NotNewer {
         /// The new version's number.
@@ -34,80 +36,80 @@
         /// The old version's number.
         old: u64,
     },
-    /// Entries of a list that are known by their place have another place.
-    #[error("{0} are taken away or reordered; they can only be added behind")]
+    /// Entries of a list that are identified by their position were removed or reordered.
+    #[error("{0} are removed or reordered; entries can only be appended")]
     Reordered(&'static str),
-    /// A quota is below what gateways let in that are on the old fallback.
+    /// A quota is below what gateways on the old fallback admit.
     #[error("{setting} of {quota} is below the old ground of {fallback}")]
     QuotaBelowFallback {
         /// The quota's path.
         setting: String,
         /// The new quota.
         quota: f64,
-        /// What the old fallback lets in.
+        /// The quota under the old fallback.
         fallback: f64,
     },
-    /// The fallback of a quota falls.
+    /// A quota under the fallback decreases.
     #[error("{setting}: the ground falls from {old} to {new}")]
     FallbackQuotaFalls {
         /// The quota's path.
         setting: String,
-        /// What the old fallback lets in.
+        /// The quota under the old fallback.
         old: f64,
-        /// What the new fallback lets in.
+        /// The quota under the new fallback.
         new: f64,
     },
-    /// A gateway on the new fallback lets in more than the old version does.
+    /// Gateways on the new fallback admit more than the old version allows.
     #[error("{setting}: the new ground of {fallback} is above the old {old}")]
     FallbackAboveQuota {
         /// The quota's path.
         setting: String,
-        /// What the new fallback lets in.
+        /// The quota under the new fallback.
         fallback: f64,
         /// The old quota.
         old: f64,
     },
     /// The fleet is larger than the old fallback allows.
-    #[error("a fleet of {fleet} is beyond the old ground's {fallback}")]
+    #[error("a fleet of {fleet} gateways is beyond the old ground's {fallback}")]
     FleetBeyondFallback {
-        /// The new fleet.
+        /// The new version's fleet size.
         fleet: f64,
-        /// The old fallback's fleet.
+        /// The old fallback's fleet size.
         fallback: f64,
     },
-    /// The fallback's fleet grows.
+    /// The fallback's fleet size increases.
     #[error("the ground's fleet grows from {old} to {new}")]
     FallbackFleetGrows {
-        /// The old fallback's fleet.
+        /// The old fallback's fleet size.
         old: f64,
-        /// The new fallback's fleet.
+        /// The new fallback's fleet size.
         new: f64,
     },
-    /// The fallback's fleet is smaller than the old one.
+    /// The fallback's fleet is smaller than the old version's.
     #[error("the new ground's fleet of {fallback} is below the old {fleet}")]
     FallbackFleetTooSmall {
-        /// The new fallback's fleet.
+        /// The new fallback's fleet size.
         fallback: f64,
-        /// The old version's fleet.
+        /// The old version's fleet size.
         fleet: f64,
     },
-    /// Fewer attempts are allowed than on the old fallback.
-    #[error("call-outs fall below the old ground's {0}")]
+    /// Fewer attempts are allowed than under the old fallback.
+    #[error("attempts fall below the old ground's {0}")]
     AttemptsBelowFallback(f64),
     /// The fallback allows more attempts than the old version.
-    #[error("the new ground allows {fallback} call-outs, the old version {old}")]
+    #[error("the new ground allows {fallback} attempts, the old version {old}")]
     FallbackAttemptsAboveCap {
-        /// What the new fallback allows.
+        /// The new fallback's limit on attempts.
         fallback: f64,
-        /// What the old version allows.
+        /// The old version's limit on attempts.
         old: f64,
     },
-    /// A rule of the service differs.
+    /// A setting that is fixed while gateways run (any under `rules.`) differs.
     #[error("{0} can't change while gateways run")]
     FixedSetting(String),
 }
 
-/// What differs between two versions, by name.
+/// The settings that differ between two versions, sorted by name.
 pub fn changes(old: &Settings, new: &Settings) -> Vec<SettingChange> {
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     let differing = names.into_iter().filter(|name| old.get(*name) != new.get(*name));
@@ -120,7 +122,7 @@
     differing.map(change).collect()
 }
 
-/// Whether two gateways contradict each other that have this setting differently.
+/// Whether gateways with different values of this setting contradict each other.
 pub fn contradicts(name: &str) -> bool {
     let last = name.rsplit('.').next().unwrap_or(name);
     match name.split('.').next() {
@@ -132,8 +134,9 @@
     }
 }
 
-/// Why `new` may not follow `old` while gateways may still hold `old`; empty if it may. Whatever a gateway acts on that
-/// missed any number of versions has to stay consistent with the newest one, so fallbacks never give way.
+/// Why `new` may not follow `old` while gateways may still act on `old`; empty if it may. A gateway that missed any number
+/// of versions acts on an old fallback, which has to stay consistent with the newest version; this is why the guarantees
+/// of a fallback can't be weakened by a later version.
 pub fn objections(old: &Version, new: &Version) -> Vec<Objection> {
     let mut objections: Vec<Objection> = new.faults().into_iter().map(Objection::Fault).collect();
     if new.number <= old.number {
@@ -149,20 +152,21 @@
     objections
 }
 
-/// The names of a list's entries, in their order.
+/// The names of a list's entries, in order.
 fn names(version: &Version, list: &str) -> Vec<Option<String>> {
-    let name = |at| version.settings.get(&format!("{list}.{at}.name")).cloned();
+    let name = |index| version.settings.get(&format!("{list}.{index}.name")).cloned();
     (0..count(&version.settings, list)).map(name).collect()
 }
 
 fn quota_objections(old: &Version, new: &Version) -> Vec<Objection> {
-    // Products of the same figures may differ in their last digits.
-    let below = |one: f64, two: f64| one < two - 1e-9 * two.abs().min(f64::MAX);
+    // Tolerates rounding: products of equal factors may differ in their last digits.
+    let below = |value: f64, limit: f64| value < limit - 1e-9 * limit.abs().min(f64::MAX);
     let mut objections = Vec::new();
     for plan in 0..count(&old.settings, "tariffs").min(count(&new.settings, "tariffs")) {
-        for (at, name) in QUOTAS.iter().enumerate() {
+        for (index, name) in QUOTAS.iter().enumerate() {
             let setting = format!("tariffs.{plan}.{name}");
-            let (old_quota, new_quota) = (quota(&old.settings, plan, at), quota(&new.settings, plan, at));
+            let (old_quota, new_quota) =
+                (quota(&old.settings, plan, index), quota(&new.settings, plan, index));
             let old_fallback = old_quota * old.fallback.quota_share;
             let new_fallback = new_quota * new.fallback.quota_share;
             if below(new_quota, old_fallback) {
--- a/crates/agreement/src/version.rs
+++ b/crates/agreement/src/version.rs
@@ -1,75 +1,75 @@
-//! A version of the settings, its fallback, and the content by which gateways know that they hold the same.
+//! A version of the settings, its fallback, and the content identifier that gateways compare.
 
 use crate::lease::ContentId;
 use martenramp::host::{Nanos, Settings};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Settings that each gateway has for itself.
+/// Settings that differ between gateways and are not part of the content.
 const PER_GATEWAY: [&str; 2] = ["me", "zone"];
-/// What a plan lets in; the first ones are 0 where they are missing, the others unbounded.
+/// A plan's quotas. A missing one is 0 if its index is below [`FIRST_UNBOUNDED_AT_0`], and unbounded otherwise.
 pub(crate) const QUOTAS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
-/// From this one on a quota of 0 is no bound.
-const UNBOUNDED_AT_0: usize = 2;
-/// The share of quotas of a fallback where a file tells none.
-const USUAL_QUOTA_SHARE: f64 = 0.5;
-/// The attempts of a fallback where a file tells none.
-const USUAL_ATTEMPTS: f64 = 2.0;
+/// From this index in [`QUOTAS`] on, a quota of 0 means unbounded.
+const FIRST_UNBOUNDED_AT_0: usize = 2;
+/// The fallback's share of quotas if the configuration has none.
+const DEFAULT_QUOTA_SHARE: f64 = 0.5;
+/// The fallback's limit on attempts if the configuration has none.
+const DEFAULT_MAX_ATTEMPTS: f64 = 2.0;
 
-/// What a gateway acts on that can't confirm its version: bounds within which every successor has to stay.
+/// What a gateway acts on while it can't confirm its version: bounds that every successor has to respect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fallback {
-    /// Of every quota, ceiling and cap, the share that is used.
+    /// The share of every quota, ceiling and cap that is used.
     pub quota_share: f64,
-    /// The largest fleet that a successor may tell.
+    /// The fleet size that is assumed: the largest that a successor may have.
     pub max_gateways: f64,
-    /// The fewest attempts of an RPC that a successor may allow.
+    /// The most attempts of an RPC: a successor may not allow fewer.
     pub max_attempts: f64,
 }
 
 impl Fallback {
-    /// The bounds where a file tells none: half of every quota, the fleet as it is, two attempts.
+    /// The bounds if the configuration has none: half of every quota, the current fleet size, at most two attempts.
     pub fn default_for(settings: &Settings) -> Fallback {
-        let max_attempts = attempts_cap(settings).min(USUAL_ATTEMPTS);
-        Fallback { quota_share: USUAL_QUOTA_SHARE, max_gateways: fleet(settings), max_attempts }
+        let max_attempts = attempts_cap(settings).min(DEFAULT_MAX_ATTEMPTS);
+        Fallback { quota_share: DEFAULT_QUOTA_SHARE, max_gateways: fleet(settings), max_attempts }
     }
 }
 
 /// A version of the settings.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Only rises from one version to the next.
+    /// The version number; it only increases.
     pub number: u64,
-    /// When it starts to hold, Unix time; 0 is at once.
+    /// When the version takes effect, Unix time; 0 means at once.
     pub start: Nanos,
-    /// What a gateway acts on that can't confirm it.
+    /// What a gateway acts on while it can't confirm the version.
     pub fallback: Fallback,
-    /// The settings, flat (`path=value`).
+    /// The settings, as flat `path=value` pairs.
     pub settings: Settings,
 }
 
-/// What is wrong with a version by itself.
+/// Why a version is invalid by itself.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum VersionFault {
-    /// The share of quotas is no share.
-    #[error("the ground's share of quotas is {0}, not above 0 and at most 1")]
+    /// The fallback's share of quotas is out of range.
+    #[error("the ground's share of quotas is {0}, but has to be above 0 and at most 1")]
     QuotaShare(f64),
-    /// The fallback is of a smaller fleet than the version.
-    #[error("the ground's fleet is {fallback}, below the {fleet} that the version tells")]
+    /// The fallback assumes a smaller fleet than the version has.
+    #[error("the ground's fleet of {fallback} gateways is below the version's {fleet}")]
     FleetTooSmall {
-        /// The fallback's fleet.
+        /// The fallback's fleet size.
         fallback: f64,
-        /// The version's fleet.
+        /// The version's fleet size.
         fleet: f64,
     },
     /// The fallback allows no attempt.
-    #[error("the ground allows {0} call-outs, below 1")]
+    #[error("the ground allows {0} attempts, below 1")]
     NoAttempt(f64),
 }
 
 impl Version {
-    /// The content by which gateways know that they hold the same: everything but what each has for itself. The text that
-    /// the digest is of is shared by all releases, so it never follows a rename.
+    /// The identifier of this version's content: its digest covers everything except the settings that differ between gateways. Gateways of
+    /// all releases have to compute the same digest, so the digested text must not change with a rename.
     pub fn content_id(&self) -> ContentId {
         let shared: BTreeMap<&String, &String> =
             self.settings.iter().filter(|(name, _)| !PER_GATEWAY.contains(&name.as_str())).collect();
@@ -79,7 +79,7 @@
             self.number, self.start
         );
         for (name, value) in shared {
-            // Lengths first, so that no two contents run together to the same text.
+            // The lengths keep different contents from producing the same text.
             text += &format!("{}:{name}={}:{value}\n", name.len(), value.len());
         }
         ContentId { version: self.number, digest: xxh3_128(text.as_bytes()) }
@@ -100,7 +100,7 @@
             settings.remove(&format!("tariffs.{plan}.overWorth")); // no borrowing
         }
         for class in 0..count(&self.settings, "classes") {
-            // Repeated only after proof that nothing ran.
+            // Retried only if the earlier attempt certainly did not run.
             settings.insert(format!("classes.{class}.idempotency"), "single_shot".to_string());
         }
         settings.insert("balancers".to_string(), max_gateways.to_string());
@@ -109,7 +109,7 @@
         settings
     }
 
-    /// What is wrong with this version by itself.
+    /// Why this version is invalid by itself; empty if it is valid.
     pub fn faults(&self) -> Vec<VersionFault> {
         let Fallback { quota_share, max_gateways, max_attempts } = self.fallback;
         let fleet = fleet(&self.settings);
@@ -131,23 +131,23 @@
     settings.get(name).and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// How many entries a list of the settings has.
+/// The number of entries in a list of the settings.
 pub(crate) fn count(settings: &Settings, list: &str) -> usize {
     number(settings, &format!("{list}.count"), 0.0) as usize
 }
 
-/// How many gateways the fleet has.
+/// The fleet's number of gateways.
 pub(crate) fn fleet(settings: &Settings) -> f64 {
     number(settings, "balancers", 1.0)
 }
 
-/// How many attempts an RPC may have.
+/// The most attempts that an RPC may have.
 pub(crate) fn attempts_cap(settings: &Settings) -> f64 {
     number(settings, "ceilings.attemptsCap", 1.0)
 }
 
-/// A plan's quota, by its place in [`QUOTAS`]; what is not bounded is infinite.
-pub(crate) fn quota(settings: &Settings, plan: usize, at: usize) -> f64 {
-    let quota = number(settings, &format!("tariffs.{plan}.{}", QUOTAS[at]), 0.0);
-    if at >= UNBOUNDED_AT_0 && quota == 0.0 { f64::INFINITY } else { quota }
+/// A plan's quota, by its index in [`QUOTAS`]; infinite if unbounded.
+pub(crate) fn quota(settings: &Settings, plan: usize, index: usize) -> f64 {
+    let quota = number(settings, &format!("tariffs.{plan}.{}", QUOTAS[index]), 0.0);
+    if index >= FIRST_UNBOUNDED_AT_0 && quota == 0.0 { f64::INFINITY } else { quota }
 }
