--- a/crates/agreement/src/state.rs
+++ b/crates/agreement/src/state.rs
@@ -1,6 +1,8 @@
-//! The state machine of one gateway. A few gateways are voters. A voter grants leases on one content at a time: leases of one
-//! voter on different contents never overlap. A gateway acts on a content only at instants of its own clock at which a
-//! majority of the voters have it leased, and acts on its fallback otherwise.
+//! The agreement's state machine for one gateway.
+//!
+//! A few gateways are voters. A voter grants leases on one content at a time: its leases on different contents never
+//! overlap. A gateway acts on a content only while, by its own clock, a majority of the voters has leased that content, and
+//! on the content's fallback otherwise.
 
 mod grants;
 #[cfg(test)]
@@ -13,62 +15,62 @@
 use grants::Grants;
 use std::collections::BTreeMap;
 
-/// A start that never comes.
+/// A start time that is never reached.
 const NEVER: Nanos = Nanos::MAX;
-/// A version starts so many leases after it came, at the earliest.
-const NOTICE_LEASES: Nanos = 2;
-/// A lease that says to be longer than so many of the terms' is ignored.
-const LONGEST_LEASES: Nanos = 4;
+/// The minimum time between the receipt of a version and its start, in lease durations.
+const MIN_NOTICE_LEASES: Nanos = 2;
+/// The longest lease that is accepted, as a multiple of the configured duration.
+const MAX_LEASE_DURATIONS: Nanos = 4;
 
-/// What a gateway acts on: all of its content, or only that content's fallback.
+/// Whether a gateway acts on its content or only on the content's fallback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mode {
     /// The fallback of the content.
     Fallback,
-    /// The content itself: a majority of the voters has it leased now.
+    /// The content itself: a majority of the voters has currently leased it.
     Confirmed,
 }
 
 /// What a gateway may act on at an instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// The content that is held.
+    /// The current content.
     pub content: ContentId,
-    /// Whether it or only its fallback may be acted on.
+    /// Whether the content or only its fallback may be acted on.
     pub mode: Mode,
 }
 
-/// A content that a gateway has, and when it starts to hold.
+/// A content and the time at which it takes effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ScheduledContent {
     /// The content.
     pub content: ContentId,
-    /// When it starts to hold, Unix time.
+    /// When the content takes effect, Unix time.
     pub start: Nanos,
 }
 
-/// What became of a content that was offered.
+/// The result of an offered content that is not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is new, and waits for its start.
+    /// The content is new and scheduled for its start.
     Scheduled,
-    /// It is held or waits already.
+    /// The content is already current or scheduled.
     Known,
 }
 
-/// Why a content that was offered is not taken.
+/// Why an offered content is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// A version below the one held, or below one that already waits.
-    #[error("a newer version is held or waits")]
+    /// The version is older than the current or the scheduled one.
+    #[error("a newer version is current or scheduled")]
     OlderVersion,
-    /// The same version with another content was held or heard of: nobody is to act on either.
-    #[error("another content goes by the same version")]
+    /// Another content with the same version number is known; no gateway may act on either of them.
+    #[error("another content has the same version")]
     TwoContents,
 }
 
 impl Rejection {
-    /// The reason by which logs name it.
+    /// The reason code in logs.
     pub fn log_reason(self) -> &'static str {
         match self {
             Rejection::OlderVersion => "older-version",
@@ -77,60 +79,62 @@
     }
 }
 
-/// What became of a message.
+/// The result of receiving a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// Its lease counts.
+    /// The message's lease was recorded.
     Accepted,
-    /// From no voter, of a lease that is over or impossible, or of none: it confirms nothing.
+    /// The message confirms nothing: the sender is not a voter, or the lease is expired, invalid or empty.
     Ignored,
-    /// Sent later than this gateway's clock can be: its clock is behind, or the sender's ahead.
+    /// The send time is further ahead of this gateway's clock than the clocks may differ: one of the two clocks is wrong.
     SentAhead,
-    /// It names another content for the version that waits here, which is dropped.
+    /// The message names another content for a version that has not started here; the one here was dropped.
     TwoContents,
 }
 
-/// Where a voter stands after its start.
+/// The phase of a voter after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum VoterPhase {
-    /// Leases of its last incarnation may still hold: it sends nothing.
+    /// Leases of its previous incarnation may still be valid: the voter grants and asks nothing.
     Silent,
-    /// It asks what the others have granted.
+    /// The voter asks what other voters have granted.
     Recovering,
-    /// It grants leases.
+    /// The voter grants leases.
     Granting,
 }
 
-/// What another voter told a recovering one.
+/// What another voter reported to a recovering one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RecoveryReport {
-    /// Whether it remembers what it granted.
+    /// Whether the reporting voter remembers what it granted.
     remembers: bool,
-    /// The version that it grants leases on, or recovers with.
+    /// The version that the reporting voter grants leases on, or that it recovers with.
     version: u64,
 }
 
-/// One gateway's part in the agreement.
+/// The state of the agreement at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Agreement {
     config: AgreementConfig,
-    /// So many voters have to be for a content.
+    /// The number of voters that have to lease a content.
     quorum: usize,
     gateway: Option<u32>,
     incarnation: u32,
-    /// Until then leases of this voter's last incarnation may hold.
+    /// Until when leases of this voter's previous incarnation may be valid.
     silent_until: Nanos,
-    /// What is acted on, or whose fallback is; and what waits for its start.
+    /// The content that is acted on, or whose fallback is.
     current: ScheduledContent,
+    /// The content that waits for its start.
     next: Option<ScheduledContent>,
     mode: Mode,
-    /// Where two contents of a version met: the one dropped here, told on until a higher version is taken.
+    /// A content dropped because another one has the same version; announced until a higher version is accepted.
     dropped: Option<ContentId>,
     phase: VoterPhase,
-    /// While it recovers: what each voter told.
+    /// The reports of other voters while this one recovers.
     reports: BTreeMap<u32, RecoveryReport>,
-    /// What this voter grants leases on, and when the last of them ends.
+    /// The content that this voter grants leases on.
     preferred: ScheduledContent,
+    /// When the last lease that this voter granted expires.
     granted_until: Nanos,
     next_message_at: Nanos,
     grants: Grants,
@@ -139,8 +143,9 @@
 }
 
 impl Agreement {
-    /// A gateway that starts with this content, which holds from `start` on (long past for one that has held). `gateway`
-    /// is none for one that was not told its own number; `incarnation` is drawn anew by each process.
+    /// Creates the state of a gateway that starts with this content. The content takes effect at `start`, which lies in the
+    /// past for one already in effect. `gateway` is `None` if no number is configured; `incarnation` is drawn at random by
+    /// each process.
     pub fn new(
         config: AgreementConfig,
         gateway: Option<u32>,
@@ -172,14 +177,15 @@
         }
     }
 
-    /// The operators say that nothing has to be remembered (a fleet's first start, or too many voters lost for good): this
-    /// voter asks nobody. Harm: told to some while others remember, a version can hold again that another has followed.
+    /// Skips the recovery from other voters' reports. For operators, if there are no earlier grants to respect: at a fleet's
+    /// first start, or after too many voters are lost for good. Risk: if only some voters skip it while others remember
+    /// grants, a version that was already replaced can be confirmed again.
     pub fn skip_recovery(&mut self) {
         let report = RecoveryReport { remembers: true, version: 0 };
         self.reports = self.config.voters.iter().map(|voter| (*voter, report)).collect();
     }
 
-    /// What the gateways are configured with.
+    /// The configuration that all gateways share.
     pub fn config(&self) -> &AgreementConfig {
         &self.config
     }
@@ -189,28 +195,28 @@
         self.gateway.is_some_and(|gateway| self.config.voters.contains(&gateway))
     }
 
-    /// The content that is held.
+    /// The current content.
     pub fn content(&self) -> ContentId {
         self.current.content
     }
 
-    /// What waits for its start.
+    /// The content that waits for its start, if any.
     pub fn scheduled(&self) -> Option<ScheduledContent> {
         self.next
     }
 
-    /// What was found to be acted on last.
+    /// The mode at the last evaluation.
     pub fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// When the content was last confirmed; 0 is never.
+    /// When the current content was last confirmed; 0 means never.
     pub fn last_confirmed(&self) -> Nanos {
         self.last_confirmed
     }
 
-    /// A content came. A start that is less than two leases ahead is put off to that, so that gateways with two contents
-    /// of one version can hear of it first.
+    /// Offers a new content. A start less than two leases ahead is delayed to that, so that gateways with different contents
+    /// of the same version learn of each other before either starts.
     pub fn offer(&mut self, now: Nanos, content: ContentId, start: Nanos) -> Result<Offer, Rejection> {
         let newest = self.newest().content;
         if content == newest || content == self.current.content {
@@ -226,7 +232,7 @@
         if content.version < newest.version {
             return Err(Rejection::OlderVersion);
         }
-        let start = start.max(now + NOTICE_LEASES * self.config.lease_duration);
+        let start = start.max(now + MIN_NOTICE_LEASES * self.config.lease_duration);
         self.next = Some(ScheduledContent { content, start });
         self.dropped = None;
         Ok(Offer::Scheduled)
@@ -236,15 +242,14 @@
         self.next.unwrap_or(self.current)
     }
 
-    /// Two contents of one version have met: the one here is dropped if it has not begun to hold.
+    /// Drops the content here if it has the same version as `other`, differs from it and has not started.
     fn drop_unstarted(&mut self, now: Nanos, other: ContentId) -> bool {
-        let conflicts =
-            |held: &ScheduledContent| held.content.version == other.version && held.content != other;
+        let conflicts = |own: &ScheduledContent| own.content.version == other.version && own.content != other;
         if let Some(next) = self.next.filter(|next| conflicts(next) && self.preferred != *next) {
             (self.dropped, self.next) = (Some(next.content), None);
             return true;
         }
-        // Started on a file whose time has not come: there is nothing older to go on with but its fallback.
+        // The process started with a content that has not taken effect yet: there is no older content, only its fallback.
         let current = self.current;
         if conflicts(&current) && current.start > now && self.granted_until == 0 && current.start < NEVER {
             self.dropped = Some(current.content);
@@ -254,10 +259,10 @@
         false
     }
 
-    /// A message came.
+    /// Processes a message of another gateway.
     pub fn receive(&mut self, now: Nanos, message: &LeaseMessage) -> Receipt {
-        // Two clocks within the bound are apart by twice of it. Guards against acting on an old content for too long by a
-        // clock that is behind. Harm: a sender whose clock is ahead counts for nothing.
+        // Two clocks within the configured error differ by at most twice that. Guards against acting on an old content for
+        // too long because the own clock is behind. Cost: messages of a sender whose clock is ahead are ignored.
         if message.sent > now.saturating_add(self.config.max_clock_difference()) {
             return Receipt::SentAhead;
         }
@@ -267,11 +272,11 @@
         }
         let from_voter = self.config.voters.contains(&message.gateway);
         if from_voter {
-            self.note_report(message);
+            self.record_report(message);
         }
         let plausible = message.kind == MessageKind::Grant
             && lease.from < lease.until
-            && lease.until - lease.from <= LONGEST_LEASES * self.config.lease_duration;
+            && lease.until - lease.from <= MAX_LEASE_DURATIONS * self.config.lease_duration;
         if !from_voter || !plausible || lease.until <= now {
             return Receipt::Ignored;
         }
@@ -279,9 +284,9 @@
         Receipt::Accepted
     }
 
-    /// Keeps what a voter tells a recovering one.
-    fn note_report(&mut self, message: &LeaseMessage) {
-        // What was sent before the last leases of this voter's earlier incarnation were over may be older than they are.
+    /// Keeps a voter's report while this voter recovers.
+    fn record_report(&mut self, message: &LeaseMessage) {
+        // A message sent while leases of this voter's previous incarnation were still valid may be older than those leases.
         if self.phase == VoterPhase::Granting
             || message.sent < self.silent_until
             || message.kind == MessageKind::Holding
@@ -299,8 +304,8 @@
         self.grants.votes_for(content, at) >= self.quorum
     }
 
-    /// What may be acted on at this instant of this gateway's clock. Has to be asked before anything is decided, also
-    /// after a pause. Every change of the mode goes through here.
+    /// Determines what this gateway may act on at this instant of its clock. Has to be called before every decision, in
+    /// particular after a pause of the process. The only place that changes the mode.
     pub fn evaluate(&mut self, now: Nanos) -> Decision {
         if let Some(next) = self.next.filter(|next| self.has_majority(next.content, now)) {
             (self.current, self.next) = (next, None);
@@ -315,28 +320,30 @@
         Decision { content, mode: self.mode }
     }
 
-    /// When to evaluate again at the latest if nothing is received until then: what is confirmed may end, what waits may
-    /// begin, and a voter sends.
+    /// The latest time for the next evaluation if no message arrives before: when a lease starts or expires, the scheduled
+    /// content starts, or messages are due.
     pub fn next_evaluation(&self, now: Nanos) -> Nanos {
         let start = self.next.map(|next| next.start);
-        let changes = self.grants.boundaries().chain(start);
-        let next_change = changes.filter(|at| *at > now).min().unwrap_or(NEVER);
-        next_change.min(self.next_message_at.max(now + 1))
+        let boundaries = self.grants.boundaries().chain(start);
+        let next_boundary = boundaries.filter(|at| *at > now).min().unwrap_or(NEVER);
+        next_boundary.min(self.next_message_at.max(now + 1))
     }
 
-    /// What this gateway has to send to all others now.
+    /// The messages that this gateway has to send to all others now.
     pub fn poll_messages(&mut self, now: Nanos) -> Vec<LeaseMessage> {
         if now < self.next_message_at {
             return Vec::new();
         }
         let is_voter = self.is_voter();
-        // Who does not vote sends only where two contents met, and seldom.
+        // A gateway that is not a voter sends only about a dropped content, and less often.
         let interval = if is_voter { self.config.renewal_interval() } else { self.config.lease_duration };
         self.next_message_at = now + interval;
         let Some(gateway) = self.gateway else { return Vec::new() };
         let mut messages = if is_voter { self.voter_messages(now, gateway) } else { Vec::new() };
-        messages
-            .extend(self.dropped.map(|content| self.ungranted(now, gateway, MessageKind::Holding, content)));
+        messages.extend(
+            self.dropped
+                .map(|content| self.message_without_lease(now, gateway, MessageKind::Holding, content)),
+        );
         messages
     }
 
@@ -344,31 +351,39 @@
         let mut messages = Vec::new();
         self.advance_phase(now);
         if self.phase == VoterPhase::Recovering {
-            messages.push(self.ungranted(now, gateway, MessageKind::Query, self.current.content));
+            messages.push(self.message_without_lease(now, gateway, MessageKind::Query, self.current.content));
         }
-        let waiting = self.next.filter(|next| *next != self.preferred);
+        let scheduled = self.next.filter(|next| *next != self.preferred);
         if let Some(lease) = self.grant(now) {
             let (incarnation, kind) = (self.incarnation, MessageKind::Grant);
             messages.push(LeaseMessage { gateway, incarnation, sent: now, kind, lease });
             self.grants.record(now, gateway, incarnation, lease);
         }
-        let holding =
-            |next: ScheduledContent| self.ungranted(now, gateway, MessageKind::Holding, next.content);
-        messages.extend(waiting.map(holding));
+        let holding = |next: ScheduledContent| {
+            self.message_without_lease(now, gateway, MessageKind::Holding, next.content)
+        };
+        messages.extend(scheduled.map(holding));
         messages
     }
 
     /// A message that grants nothing: its lease is empty.
-    fn ungranted(&self, now: Nanos, gateway: u32, kind: MessageKind, content: ContentId) -> LeaseMessage {
+    fn message_without_lease(
+        &self,
+        now: Nanos,
+        gateway: u32,
+        kind: MessageKind,
+        content: ContentId,
+    ) -> LeaseMessage {
         let lease = Lease { content, from: now, until: now };
         LeaseMessage { gateway, incarnation: self.incarnation, sent: now, kind, lease }
     }
 
-    /// Every change of the phase goes through here. Guards against a restart, after which a voter remembers nothing: leases
-    /// of its last incarnation may still hold, and may have been on a version above the one it started on. So it
-    /// is silent for a lease, and grants nothing until so many voters that remember have reported that one of them
-    /// was in every majority with it; or until all have, where too few remember. Harm: where too few remember
-    /// and one is away, everybody is on the fallback until that one is back.
+    /// Advances the voter's phase; the only place that changes it. Guards against a restart, after which a voter remembers no
+    /// grants: leases of its previous incarnation may still be valid, and may have been on a newer version than the one it
+    /// started with. The voter therefore stays silent until those leases have expired. Then it grants nothing until a
+    /// recovery quorum of voters that remember has reported, which intersects every majority that it was part of; or, if
+    /// fewer remember, until all other voters have reported. Cost: if fewer remember and one voter is unreachable, all
+    /// gateways stay on the fallback until it returns.
     fn advance_phase(&mut self, now: Nanos) {
         if self.phase == VoterPhase::Silent && now >= self.silent_until {
             self.phase = VoterPhase::Recovering;
@@ -378,15 +393,15 @@
         }
         let others = self.reports.iter().filter(|(voter, _)| Some(**voter) != self.gateway);
         let others: Vec<&RecoveryReport> = others.map(|(_, report)| report).collect();
-        let highest = others.iter().map(|report| report.version).max().unwrap_or(0);
+        let highest_version = others.iter().map(|report| report.version).max().unwrap_or(0);
         let remembering = others.iter().filter(|report| report.remembers).count();
-        let enough =
+        let enough_reports =
             remembering >= self.config.recovery_quorum() || others.len() + 1 >= self.config.voters.len();
         let newest = self.newest();
-        if enough && highest <= newest.content.version {
+        if enough_reports && highest_version <= newest.content.version {
             self.phase = VoterPhase::Granting;
             self.reports.clear();
-            if highest > self.current.content.version {
+            if highest_version > self.current.content.version {
                 self.preferred = newest;
             }
         }
@@ -397,19 +412,19 @@
         if self.phase != VoterPhase::Granting {
             return None;
         }
-        let leases_over = now >= self.granted_until;
-        if let Some(next) = self.next.filter(|next| now >= next.start && leases_over) {
+        let leases_expired = now >= self.granted_until;
+        if let Some(next) = self.next.filter(|next| now >= next.start && leases_expired) {
             self.preferred = next;
         }
-        // Others have moved on before this voter's own time for it.
+        // A majority confirmed the newer content before this voter began to grant leases on it.
         if self.current.content.version > self.preferred.content.version {
-            if !leases_over {
+            if !leases_expired {
                 return None;
             }
             self.preferred = self.current;
         }
-        let waiting = self.next.filter(|next| *next != self.preferred);
-        let until = waiting.map_or(NEVER, |next| next.start).min(now + self.config.lease_duration);
+        let scheduled = self.next.filter(|next| *next != self.preferred);
+        let until = scheduled.map_or(NEVER, |next| next.start).min(now + self.config.lease_duration);
         if now < self.preferred.start || until <= now {
             return None;
         }
