--- a/crates/agreement/src/state/tests.rs
+++ b/crates/agreement/src/state/tests.rs
@@ -1,6 +1,8 @@
-//! Model check of every run of three gateways, all of them voters: any message is lost, late, duplicated or reordered, files
-//! reach who they reach, gateways stand still and restart with the older or the newer file. Time goes in steps, up to a horizon
-//! that covers the whole change of a version. Mistakes seeded by changing a gateway's state from here have to be found.
+//! Model check of every execution of three gateways, all of them voters.
+//!
+//! Any message may be lost, delayed, duplicated or reordered, the new version may reach any of the gateways or none, and
+//! gateways may pause or restart with the older or the newer version. Time advances in steps up to a horizon that covers the
+//! whole change of version. To test the check itself, bugs are injected by modifying a gateway's state; each has to be found.
 
 use super::{Agreement, Mode, VoterPhase};
 use crate::config::AgreementConfig;
@@ -16,35 +18,36 @@
     ContentId { version, digest }
 }
 
-const OLD: u64 = 1;
-const NEW: u64 = 2;
+const OLD_VERSION: u64 = 1;
+const NEW_VERSION: u64 = 2;
 
-struct World {
+struct FleetModel {
     lease: u64,
-    /// Steps of time that are played.
-    steps: u64,
+    /// The steps of time after the new version's start.
+    horizon: u64,
     restarts: usize,
-    /// Where the new version has not come to a gateway in good time, it comes so many steps later at the latest, or never.
-    comes_within: u64,
-    /// What each gateway is given as the new version, and how far its clock is ahead of (or behind) true time.
-    files: [u128; GATEWAYS],
-    clocks: [i64; GATEWAYS],
-    clock: u64,
-    mistake: Option<Mistake>,
+    /// A gateway that does not have the new version initially may get it within this many steps, or never.
+    late_steps: u64,
+    /// The digest of the new version's content, as each gateway gets it.
+    new_digests: [u128; GATEWAYS],
+    /// How far each gateway's clock is ahead of true time (behind it if negative).
+    clock_offsets: [i64; GATEWAYS],
+    max_clock_error: u64,
+    bug: Option<InjectedBug>,
 }
 
-/// A seeded mistake: what a wrong implementation would do, played by changing the state of a right one.
+/// A bug of a wrong implementation, injected by changing the state of the correct one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mistake {
-    /// Half of the voters count as a majority.
+enum InjectedBug {
+    /// One voter fewer than a majority counts as a majority.
     SmallQuorum,
-    /// What was confirmed once is acted on for good.
+    /// A content that was confirmed once is acted on forever.
     NeverFallsBack,
     /// A voter's leases on two contents overlap.
     OverlappingLeases,
-    /// A restarted voter does not wait until the leases of its last incarnation are over.
+    /// A restarted voter does not wait until the leases of its previous incarnation have expired.
     NoSilence,
-    /// A restarted voter grants leases without a report of the others.
+    /// A restarted voter grants leases without reports of the other voters.
     NoRecovery,
 }
 
@@ -54,38 +57,46 @@
     gateways: Vec<Agreement>,
     messages: BTreeSet<LeaseMessage>,
     restarts: usize,
-    lives: u32,
+    incarnations: u32,
     /// When a gateway first acted on the new version.
     new_since: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Pass,
-    Give(usize),
-    Speak(usize),
-    Hear(usize, LeaseMessage),
+    Tick,
+    DeliverVersion(usize),
+    Send(usize),
+    Receive(usize, LeaseMessage),
     Restart(usize, bool),
 }
 
-impl World {
+impl FleetModel {
     fn config(&self) -> AgreementConfig {
         AgreementConfig {
             voters: (0..GATEWAYS as u32).collect(),
             lease_duration: self.lease,
-            max_clock_error: self.clock,
+            max_clock_error: self.max_clock_error,
         }
     }
 
-    fn clock(&self, now: u64, gateway: usize) -> u64 {
-        now.saturating_add_signed(self.clocks[gateway])
+    fn local_time(&self, now: u64, gateway: usize) -> u64 {
+        now.saturating_add_signed(self.clock_offsets[gateway])
     }
 
-    fn gateway(&self, number: usize, life: u32, born: u64, content: ContentId, start: u64) -> Agreement {
-        let mut gateway = Agreement::new(self.config(), Some(number as u32), life, born, content, start);
-        match self.mistake {
-            Some(Mistake::SmallQuorum) => gateway.quorum -= 1,
-            Some(Mistake::NoSilence) => gateway.silent_until = born,
+    fn gateway(
+        &self,
+        number: usize,
+        incarnation: u32,
+        started_at: u64,
+        content: ContentId,
+        start: u64,
+    ) -> Agreement {
+        let mut gateway =
+            Agreement::new(self.config(), Some(number as u32), incarnation, started_at, content, start);
+        match self.bug {
+            Some(InjectedBug::SmallQuorum) => gateway.quorum -= 1,
+            Some(InjectedBug::NoSilence) => gateway.silent_until = started_at,
             _ => {}
         }
         gateway
@@ -93,92 +104,95 @@
 
     fn evaluate(&self, gateway: &mut Agreement, now: u64) {
         gateway.evaluate(now);
-        if self.mistake == Some(Mistake::NeverFallsBack) && gateway.last_confirmed > 0 {
+        if self.bug == Some(InjectedBug::NeverFallsBack) && gateway.last_confirmed > 0 {
             (gateway.mode, gateway.last_confirmed) = (Mode::Confirmed, now);
         }
     }
 
     fn poll_messages(&self, gateway: &mut Agreement, now: u64) -> Vec<LeaseMessage> {
-        match self.mistake {
-            Some(Mistake::NoRecovery) if now >= gateway.silent_until => {
+        match self.bug {
+            Some(InjectedBug::NoRecovery) if now >= gateway.silent_until => {
                 gateway.phase = VoterPhase::Granting;
                 gateway.reports.clear();
                 gateway.poll_messages(now)
             }
-            Some(Mistake::OverlappingLeases) => {
-                // The voter forgets its last lease, and does not see what waits before its start.
+            Some(InjectedBug::OverlappingLeases) => {
+                // The voter forgets its last lease and ignores the scheduled content until it starts.
                 gateway.granted_until = 0;
-                let waiting = gateway.next.take_if(|next| now < next.start);
+                let hidden = gateway.next.take_if(|next| now < next.start);
                 let messages = gateway.poll_messages(now);
-                gateway.next = gateway.next.or(waiting);
+                gateway.next = gateway.next.or(hidden);
                 messages
             }
             _ => gateway.poll_messages(now),
         }
     }
 
-    fn settle(&self, state: &mut State) {
+    fn evaluate_all(&self, state: &mut State) {
         let now = state.now;
         for (at, gateway) in state.gateways.iter_mut().enumerate() {
-            let own = self.clock(now, at);
-            self.evaluate(gateway, own);
-            discard_past(gateway, own);
+            let local = self.local_time(now, at);
+            self.evaluate(gateway, local);
+            discard_past(gateway, local);
         }
-        let slowest = self.clocks.iter().min().copied().unwrap_or(0);
-        let over = now.saturating_add_signed(slowest);
+        let slowest_offset = self.clock_offsets.iter().min().copied().unwrap_or(0);
+        let slowest_time = now.saturating_add_signed(slowest_offset);
         state.messages.retain(|message| {
-            message.lease.until > over || message.lease.from == message.lease.until && message.sent >= over
+            message.lease.until > slowest_time
+                || message.lease.from == message.lease.until && message.sent >= slowest_time
         });
-        let acts =
-            |gateway: &Agreement| gateway.mode() == Mode::Confirmed && gateway.content().version == NEW;
+        let acts = |gateway: &Agreement| {
+            gateway.mode() == Mode::Confirmed && gateway.content().version == NEW_VERSION
+        };
         if state.new_since.is_none() && state.gateways.iter().any(acts) {
             state.new_since = Some(now);
         }
     }
 }
 
-impl Model for World {
+impl Model for FleetModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        // The file has come to some of them two leases ahead. What was said before one lease ahead is over by the start.
-        let subset = |told: usize| {
+        // One state for each subset of gateways that got the new version two lease durations ahead of its start. Leases
+        // granted more than one duration ahead expire by the start, so the model begins there.
+        let informed_state = |informed: usize| {
             let gateway = |at: usize| {
-                let mut gateway = self.gateway(at, at as u32, 0, content(OLD, 1), 0);
+                let mut gateway = self.gateway(at, at as u32, 0, content(OLD_VERSION, 1), 0);
                 gateway.phase = VoterPhase::Granting; // as after a long time in service
-                if told & 1 << at != 0 {
-                    let now = self.clock(START - 2 * self.lease, at);
-                    let _ = gateway.offer(now, content(NEW, self.files[at]), START);
+                if informed & 1 << at != 0 {
+                    let now = self.local_time(START - 2 * self.lease, at);
+                    let _ = gateway.offer(now, content(NEW_VERSION, self.new_digests[at]), START);
                 }
                 gateway
             };
-            let (messages, lives) = (BTreeSet::new(), GATEWAYS as u32);
+            let (messages, incarnations) = (BTreeSet::new(), GATEWAYS as u32);
             let gateways = (0..GATEWAYS).map(gateway).collect();
-            State { now: START - self.lease, gateways, messages, restarts: 0, lives, new_since: None }
+            State { now: START - self.lease, gateways, messages, restarts: 0, incarnations, new_since: None }
         };
-        (0..1 << GATEWAYS).map(subset).collect()
+        (0..1 << GATEWAYS).map(informed_state).collect()
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < START + self.steps {
-            actions.push(Action::Pass);
+        if state.now < START + self.horizon {
+            actions.push(Action::Tick);
         }
         for (at, gateway) in state.gateways.iter().enumerate() {
-            let comes = state.now < START - self.lease + self.comes_within;
-            if comes
-                && gateway.content().version == OLD
+            let may_arrive = state.now < START - self.lease + self.late_steps;
+            if may_arrive
+                && gateway.content().version == OLD_VERSION
                 && gateway.scheduled().is_none()
                 && gateway.dropped.is_none()
             {
-                actions.push(Action::Give(at));
+                actions.push(Action::DeliverVersion(at));
             }
-            if gateway.next_message_at <= self.clock(state.now, at) {
-                actions.push(Action::Speak(at));
+            if gateway.next_message_at <= self.local_time(state.now, at) {
+                actions.push(Action::Send(at));
             }
             let others = state.messages.iter().filter(|message| message.gateway != at as u32);
-            actions.extend(others.map(|message| Action::Hear(at, *message)));
-            // All are alike, so it may as well be the first that restarts.
+            actions.extend(others.map(|message| Action::Receive(at, *message)));
+            // All gateways are alike, so only the first one restarts.
             if state.restarts < self.restarts && at == 0 {
                 actions.extend([Action::Restart(at, false), Action::Restart(at, true)]);
             }
@@ -188,74 +202,76 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Pass => state.now += 1,
-            Action::Give(at) => {
-                let now = self.clock(state.now, at);
-                let _ = state.gateways[at].offer(now, content(NEW, self.files[at]), START);
+            Action::Tick => state.now += 1,
+            Action::DeliverVersion(at) => {
+                let now = self.local_time(state.now, at);
+                let _ = state.gateways[at].offer(now, content(NEW_VERSION, self.new_digests[at]), START);
             }
-            Action::Speak(at) => {
-                let now = self.clock(state.now, at);
+            Action::Send(at) => {
+                let now = self.local_time(state.now, at);
                 let messages = self.poll_messages(&mut state.gateways[at], now);
-                // Who only says what it holds matters where contents differ.
-                let differ = self.files.iter().any(|file| *file != self.files[0]);
+                // Messages about a content that is only held have an effect only if the contents differ.
+                let differ = self.new_digests.iter().any(|digest| *digest != self.new_digests[0]);
                 state.messages.extend(
                     messages.into_iter().filter(|message| differ || message.kind != MessageKind::Holding),
                 );
             }
-            Action::Hear(at, message) => {
-                let now = self.clock(state.now, at);
+            Action::Receive(at, message) => {
+                let now = self.local_time(state.now, at);
                 state.gateways[at].receive(now, &message);
             }
             Action::Restart(at, newer) => {
-                let now = self.clock(state.now, at);
-                let (version, digest, start) = if newer { (NEW, self.files[at], START) } else { (OLD, 1, 0) };
-                state.gateways[at] = self.gateway(at, state.lives, now, content(version, digest), start);
+                let now = self.local_time(state.now, at);
+                let (version, digest, start) =
+                    if newer { (NEW_VERSION, self.new_digests[at], START) } else { (OLD_VERSION, 1, 0) };
+                state.gateways[at] =
+                    self.gateway(at, state.incarnations, now, content(version, digest), start);
                 state.restarts += 1;
-                state.lives += 1;
+                state.incarnations += 1;
             }
         }
-        self.settle(&mut state);
+        self.evaluate_all(&mut state);
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("contradict no longer than the bound", |world: &World, state: &State| {
-                let acted: BTreeSet<ContentId> = state
+            Property::always("contradictions end within the bound", |model: &FleetModel, state: &State| {
+                let confirmed: BTreeSet<ContentId> = state
                     .gateways
                     .iter()
                     .filter(|gateway| gateway.mode() == Mode::Confirmed)
                     .map(Agreement::content)
                     .collect();
                 let new: BTreeSet<&ContentId> =
-                    acted.iter().filter(|content| content.version == NEW).collect();
-                let old = acted.iter().any(|content| content.version == OLD);
+                    confirmed.iter().filter(|content| content.version == NEW_VERSION).collect();
+                let old = confirmed.iter().any(|content| content.version == OLD_VERSION);
                 let late = state
                     .new_since
-                    .is_some_and(|since| state.now > since + world.config().contradiction_bound());
-                let together = old && !new.is_empty() && world.config().contradiction_bound() == 0;
-                new.len() <= 1 && !together && !(old && late)
+                    .is_some_and(|since| state.now > since + model.config().contradiction_bound());
+                let both_confirmed = old && !new.is_empty() && model.config().contradiction_bound() == 0;
+                new.len() <= 1 && !both_confirmed && !(old && late)
             }),
             Property::sometimes("all act on the new version", |_, state: &State| {
                 let new = |gateway: &Agreement| {
-                    gateway.mode() == Mode::Confirmed && gateway.content().version == NEW
+                    gateway.mode() == Mode::Confirmed && gateway.content().version == NEW_VERSION
                 };
                 state.gateways.iter().all(new)
             }),
             Property::sometimes(
-                "one is on its fallback while another acts on the new version",
+                "one gateway is on its fallback while another acts on the new version",
                 |_, state: &State| {
-                    let is = |mode| move |gateway: &Agreement| gateway.mode() == mode;
+                    let is_in = |mode| move |gateway: &Agreement| gateway.mode() == mode;
                     state.new_since.is_some()
-                        && state.gateways.iter().any(is(Mode::Fallback))
-                        && state.gateways.iter().any(is(Mode::Confirmed))
+                        && state.gateways.iter().any(is_in(Mode::Fallback))
+                        && state.gateways.iter().any(is_in(Mode::Confirmed))
                 },
             ),
         ]
     }
 }
 
-/// Drops what can have no effect any more, so that runs that differ in it only are one state.
+/// Drops state that has no effect any more, so that executions that differ only there share one state.
 fn discard_past(gateway: &mut Agreement, now: u64) {
     for grants in gateway.grants.by_voter.values_mut() {
         grants.retain(|grant| grant.lease.until > now);
@@ -270,71 +286,78 @@
     }
 }
 
-fn world() -> World {
-    World {
+fn model() -> FleetModel {
+    FleetModel {
         lease: 2,
-        steps: 2,
+        horizon: 2,
         restarts: 0,
-        comes_within: 0,
-        files: [1; 3],
-        clocks: [0; 3],
-        clock: 0,
-        mistake: None,
+        late_steps: 0,
+        new_digests: [1; 3],
+        clock_offsets: [0; 3],
+        max_clock_error: 0,
+        bug: None,
     }
 }
 
-/// Plays all of a world: whether the bound held, and whether all came to act on the new version in some run.
-fn check(name: &str, world: World) -> (bool, bool) {
-    let began = std::time::Instant::now();
-    let checker = world.checker().threads(4).spawn_bfs().join();
-    let broken = checker.discovery("contradict no longer than the bound");
-    if let Some(path) = &broken {
+/// Checks all executions of a model: whether the bound held, and whether all gateways came to act on the new version in any.
+fn check(name: &str, model: FleetModel) -> (bool, bool) {
+    let started = std::time::Instant::now();
+    let checker = model.checker().threads(4).spawn_bfs().join();
+    let violation = checker.discovery("contradictions end within the bound");
+    if let Some(path) = &violation {
         println!("{:#?}", path.clone().into_actions());
     }
-    let held = broken.is_none();
-    let all = checker.discovery("all act on the new version").is_some();
-    println!("{name}: {} states, {:.1} s", checker.unique_state_count(), began.elapsed().as_secs_f64());
-    (held, all)
+    let bound_held = violation.is_none();
+    let all_updated = checker.discovery("all act on the new version").is_some();
+    println!("{name}: {} states, {:.1} s", checker.unique_state_count(), started.elapsed().as_secs_f64());
+    (bound_held, all_updated)
 }
 
 #[test]
-fn no_two_contradict_whatever_is_lost_or_late() {
-    assert_eq!(check("lost and late", world()), (true, true));
+fn contradictions_stay_within_the_bound_if_messages_are_lost_or_late() {
+    assert_eq!(check("messages lost or late", model()), (true, true));
 }
 
 #[test]
-fn nor_where_files_come_late() {
-    assert_eq!(check("files late", World { lease: 1, steps: 3, comes_within: 3, ..world() }), (true, true));
+fn contradictions_stay_within_the_bound_if_the_new_version_arrives_late() {
+    assert_eq!(
+        check("new version late", FleetModel { lease: 1, horizon: 3, late_steps: 3, ..model() }),
+        (true, true)
+    );
 }
 
 #[test]
-fn nor_where_one_restarts_with_the_older_or_the_newer_file() {
-    assert!(check("restarted", World { lease: 1, steps: 3, restarts: 1, ..world() }).0);
+fn contradictions_stay_within_the_bound_if_a_gateway_restarts_with_either_version() {
+    assert!(check("restart", FleetModel { lease: 1, horizon: 3, restarts: 1, ..model() }).0);
 }
 
 #[test]
-fn nor_where_two_contents_go_by_one_version() {
-    assert!(check("two contents", World { lease: 1, files: [1, 1, 2], ..world() }).0);
+fn contradictions_stay_within_the_bound_if_two_contents_have_one_version() {
+    assert!(check("two contents", FleetModel { lease: 1, new_digests: [1, 1, 2], ..model() }).0);
 }
 
 #[test]
-fn nor_for_longer_than_the_bound_where_clocks_are_off() {
-    for clocks in [[0, 0, -1], [0, 1, 0], [1, 0, -1]] {
+fn contradictions_stay_within_the_bound_if_clocks_are_off() {
+    for clock_offsets in [[0, 0, -1], [0, 1, 0], [1, 0, -1]] {
         assert!(
-            check("clocks off", World { lease: 1, clocks, clock: 1, steps: 3, ..world() }).0,
-            "{clocks:?}"
+            check(
+                "clocks off",
+                FleetModel { lease: 1, clock_offsets, max_clock_error: 1, horizon: 3, ..model() }
+            )
+            .0,
+            "{clock_offsets:?}"
         );
     }
 }
 
 #[test]
-fn each_mistake_built_in_is_found() {
-    for mistake in [Mistake::SmallQuorum, Mistake::NeverFallsBack, Mistake::OverlappingLeases] {
-        let world = World { mistake: Some(mistake), ..world() };
-        assert!(!check(&format!("{mistake:?}"), world).0, "{mistake:?} is not found");
+fn each_injected_bug_is_found() {
+    for bug in [InjectedBug::SmallQuorum, InjectedBug::NeverFallsBack, InjectedBug::OverlappingLeases] {
+        let model = FleetModel { bug: Some(bug), ..model() };
+        assert!(!check(&format!("{bug:?}"), model).0, "{bug:?} is not found");
     }
-    for mistake in [Mistake::NoSilence, Mistake::NoRecovery] {
-        let restarts = World { mistake: Some(mistake), lease: 1, steps: 3, restarts: 1, ..world() };
-        assert!(!check(&format!("{mistake:?}"), restarts).0, "{mistake:?} is not found");
+    for bug in [InjectedBug::NoSilence, InjectedBug::NoRecovery] {
+        let restarts = FleetModel { bug: Some(bug), lease: 1, horizon: 3, restarts: 1, ..model() };
+        assert!(!check(&format!("{bug:?}"), restarts).0, "{bug:?} is not found");
     }
 }
