--- a/crates/gateway/src/gateway/client_side.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -11,73 +11,78 @@
         let length = self.host.net.input(id).len();
         // Guards against messages that waited here unread for longer than the last turn lasted: for a place, or while the
         // process had no processor. Harm: a call of the system for each message.
-        let begins = client.reads.is_empty() && length > 0;
-        let unread_for = if begins { self.host.net.unread_for(id).unwrap_or(0) } else { 0 };
-        let came = self.host.net.now.saturating_sub(self.host.net.late.max(unread_for));
-        client.filled(length, came);
-        if client.phase.closes() {
+        let begins = client.read_times.is_empty() && length > 0;
+        let unread_for = if begins { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
+        let came = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
+        client.record_read(length, came);
+        if client.phase.is_closing() {
             let length = self.host.net.input(id).len();
-            self.host.net.used(id, length);
-        } else if let Some((_, length)) = client.phase.rpc().filter(|_| self.host.net.is_full(id)) {
+            self.host.net.consume(id, length);
+        } else if let Some((_, length)) =
+            client.phase.pending_rpc().filter(|_| self.host.net.is_input_full(id))
+        {
             // Guards against a client whose leaving lies behind what it sent in the meantime, so that its RPC would wait
             // on for nobody. Covers floods. Harm: one that sends on before its answer has to open another connection.
-            client.floods = true;
-            self.host.net.keep(id, length);
+            client.sent_excess = true;
+            self.host.net.truncate_input(id, length);
         } else if client.phase.is_reading()
             && !self.host.net.input(id).is_empty()
-            && self.host.net.is_sent(id)
+            && self.host.net.is_flushed(id)
         {
             // The answer before this message is out: one that reads none can't fill the buffer with them.
-            let found = client.look(&self.host.config, came, self.host.net.input(id));
-            if matches!(found, Ok(Got::Rpc(_) | Got::Ready(_) | Got::Healthy(_))) {
+            let found = client.parse_message(&self.host.config, came, self.host.net.input(id));
+            if matches!(found, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
                 self.host.claim_place(id);
             }
             match found {
                 // Guards the memory against many long messages at once; servers' buffers have a part of their own.
                 // Harm: a long message is turned away that might have found room a little later.
-                Ok(Got::Part) if self.host.net.held > self.host.held_most => {
+                Ok(Parsed::Incomplete) if self.host.net.client_buffer_bytes > self.host.held_most => {
                     self.host.refuse(id, 503, "no-memory")
                 }
-                Ok(Got::Part | Got::Continue) if self.host.is_past_last_call() => {
+                Ok(Parsed::Incomplete | Parsed::Continue) if self.host.is_past_last_call() => {
                     self.host.refuse(id, 503, "stopping")
                 }
-                Ok(Got::Part) => {}
-                Ok(Got::Continue) => {
-                    if let Some(out) = self.host.net.out(id) {
+                Ok(Parsed::Incomplete) => {}
+                Ok(Parsed::Continue) => {
+                    if let Some(out) = self.host.net.output(id) {
                         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                 }
-                Ok(Got::Rpc(message)) => self.arrive(id, message),
-                Ok(Got::Ready(length)) => {
+                Ok(Parsed::Rpc(message)) => self.arrive(id, message),
+                Ok(Parsed::Ready(length)) => {
                     let ready = self.host.has_list && !self.host.is_stopping();
                     let shows = self.shows();
                     self.host.answer_own(id, if ready { 200 } else { 503 }, length, &shows);
                 }
-                Ok(Got::Healthy(length)) => {
+                Ok(Parsed::Healthy(length)) => {
                     let shows = self.shows() + &self.host.counts_line();
                     self.host.answer_own(id, 200, length, &shows);
                 }
-                Err(Bad(status, why)) => self.host.refuse(id, status, why),
+                Err(MessageError(status, why)) => self.host.refuse(id, status, why),
             }
         }
-        if let Some(ending) = self.host.net.ended(id) {
+        if let Some(ending) = self.host.net.connection_end(id) {
             self.client_left(id, ending.reason());
         }
     }
 
-    pub(super) fn arrive(&mut self, client: usize, message: clients::Rpc) {
+    pub(super) fn arrive(&mut self, client: usize, message: clients::RpcRequest) {
         let (now, end) = (self.host.net.now, message.body.end);
         let own: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
-        let spare = self.host.clients.get(&client).is_some_and(|client| client.spare);
-        if self.host.open_rpcs >= self.host.rpcs_most || spare || self.host.net.held > self.host.held_most {
+        let spare = self.host.clients.get(&client).is_some_and(|client| client.over_limit);
+        if self.host.open_rpcs >= self.host.rpcs_most
+            || spare
+            || self.host.net.client_buffer_bytes > self.host.held_most
+        {
             // No room for more: what is refused here never reached the module.
             self.host.log_turned_away(&own, 503, "no-room");
             self.host.answer_own(client, 503, end, "");
             return;
         }
-        let came = self.host.clients.get(&client).map_or(now, |client| client.came);
+        let came = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
         let asked = (came + message.remaining_ms * MS).saturating_sub(MARGIN);
-        if !self.host.may_begin(&own, asked) {
+        if !self.host.may_admit(&own, asked) {
             return self.host.answer_own(client, 503, end, "");
         }
         if !self.host.ids.insert(own.clone()) {
@@ -86,7 +91,7 @@
         }
         let (id, method) = (self.host.fresh_rpc(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.shift(Phase::Waiting { rpc: id, length: end }, now);
+        at.set_phase(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
         let deadline = self.host.within_life(asked).max(now);
         let arrival = Arrival {
             id,
@@ -96,8 +101,8 @@
             service: self.host.config.services.of_class(message.method),
             deadline,
             units: message.units,
-            width: message.width,
-            first: message.first,
+            gateway_count: message.width,
+            first_gateway: message.first,
         };
         let rpc = Rpc {
             state: RpcState::Held,
@@ -115,7 +120,7 @@
         self.host.rpcs.insert(id, rpc);
         self.host.open_rpcs += 1;
         self.host.timers.set(deadline + OVERDUE, TimerEvent::Overdue(id));
-        self.brain.rpc(&mut self.host, now, &arrival);
+        self.brain.on_arrival(&mut self.host, now, &arrival);
     }
 
     /// Guards against an RPC that neither the module nor a time-out has ended; nothing else should come here.
@@ -124,7 +129,7 @@
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
             self.host.answer(id, if harmless { 503 } else { 504 }, 0, "overdue");
-            self.brain.client_left(id);
+            self.brain.on_client_left(id);
         }
     }
 
@@ -133,14 +138,17 @@
     /// what others sent, or behind bytes of its own. Covers busy turns, small parts of a core and floods. Harm: a read for
     /// each attempt; one whose client sends on without end is put off until its time is over.
     pub(super) fn client_stays(&mut self, link: usize) -> bool {
-        let attempt = self.host.links.get(&link).and_then(Link::attempt);
+        let attempt = self.host.links.get(&link).and_then(ServerConnection::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
         let client = rpc.client;
         for _ in 0..LOOKS {
             let before = self.host.net.input(client).len();
             self.host.net.read(client, false);
             let net = &self.host.net;
-            if net.input(client).len() == before && !net.is_full(client) && net.ended(client).is_none() {
+            if net.input(client).len() == before
+                && !net.is_input_full(client)
+                && net.connection_end(client).is_none()
+            {
                 return true;
             }
             self.client_came(client);
@@ -149,12 +157,12 @@
     }
 
     pub(super) fn client_left(&mut self, id: usize, why: &'static str) {
-        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.rpc()).map(|rpc| rpc.0);
-        self.host.end_client(id, ClientEnd::Gone(if rpc.is_some() { LEFT } else { why }));
+        let rpc = self.host.clients.get(&id).and_then(|client| client.phase.pending_rpc()).map(|rpc| rpc.0);
+        self.host.end_client(id, CloseCause::ClientClosed(if rpc.is_some() { LEFT } else { why }));
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.shift(rpc, RpcState::Answered);
-            self.brain.client_left(rpc);
+            self.brain.on_client_left(rpc);
         }
     }
 }
@@ -164,8 +172,8 @@
     pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes(rpc));
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, come_back, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, come_back, close);
         }
         self.log_answer(id, status, why);
         self.answered(id, client, close);
@@ -173,7 +181,7 @@
 
     /// Whether the answer to an RPC is the last on its connection.
     pub(super) fn closes(&self, rpc: &Rpc) -> bool {
-        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.floods);
+        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.sent_excess);
         rpc.message.close
             || floods
             || self.ends_with(rpc.client, rpc.message.body.end)
@@ -187,36 +195,45 @@
         self.shift(id, RpcState::Answered);
         let (now, stopping) = (self.net.now, self.is_stopping());
         let Some(at) = self.clients.get_mut(&client) else { return };
-        let length = at.phase.rpc().map_or(0, |rpc| rpc.1);
-        let last = close.then_some(match at.floods {
+        let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
+        let last = close.then_some(match at.sent_excess {
             _ if stopping => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.shift(Phase::Answering { owed: Owed { txn: txn.unwrap_or_default(), deadline }, last }, now);
+        at.set_phase(
+            Phase::WritingAnswer {
+                answer: UnsentAnswer { txn: txn.unwrap_or_default(), deadline },
+                close_reason: last,
+            },
+            now,
+        );
         self.clients_served += usize::from(at.served == 0);
         at.served += 1;
-        at.used(length);
-        self.net.used(client, length);
+        at.consume(length);
+        self.net.consume(client, length);
     }
 
     /// Some of what waited for a client was written; once that is all, its answer is no longer owed.
     pub(super) fn client_wrote(&mut self, id: usize) {
-        let (now, sent) = (self.net.now, self.net.is_sent(id));
+        let (now, sent) = (self.net.now, self.net.is_flushed(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
-            None => client.since = if client.phase.owed().is_some() { now } else { client.since },
+            None => {
+                client.state_since =
+                    if client.phase.unsent_answer().is_some() { now } else { client.state_since }
+            }
             Some(next) => {
-                let owed = client.phase.owed().cloned().unwrap_or_default();
-                let ends = next.closes();
-                client.shift(next, now);
+                let owed = client.phase.unsent_answer().cloned().unwrap_or_default();
+                let ends = next.is_closing();
+                client.set_phase(next, now);
                 self.check_answer(&owed);
                 if ends {
-                    self.net.finish(id);
+                    self.net.shutdown_write(id);
                 }
             }
         }
-        let reads = self.clients.get(&id).is_some_and(|client| client.phase.rpc().is_none());
+        let reads = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
         if reads && !self.net.input(id).is_empty() {
             self.again.push_back(id);
         }
@@ -224,18 +241,18 @@
 
     /// An answer of the gateway's own to a message that is no RPC of the module's; `lines` are further header lines.
     pub(super) fn answer_own(&mut self, client: usize, status: u16, length: usize, lines: &str) {
-        let spare = self.clients.get(&client).is_some_and(|client| client.spare);
+        let spare = self.clients.get(&client).is_some_and(|client| client.over_limit);
         let (now, stopping) = (self.net.now, self.is_stopping());
         let close = spare || self.ends_with(client, length);
-        if let Some(out) = self.net.out(client) {
-            clients::write_told(out, status, lines, 0, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response_with_headers(out, status, lines, 0, close);
         }
-        self.net.used(client, length);
+        self.net.consume(client, length);
         if let Some(at) = self.clients.get_mut(&client) {
             let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.shift(Phase::Answering { owed: Owed::default(), last }, now);
+            at.set_phase(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
             at.partial = false;
-            at.used(length);
+            at.consume(length);
             self.clients_served += usize::from(at.served == 0);
             at.served += 1;
         }
@@ -243,30 +260,33 @@
 
     /// Answers what can't be taken and closes.
     pub(super) fn refuse(&mut self, client: usize, status: u16, why: &'static str) {
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, 0, true);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, 0, true);
         }
-        self.net.discard(client);
+        self.net.discard_input(client);
         let now = self.net.now;
         if let Some(at) = self.clients.get_mut(&client) {
-            at.shift(Phase::Answering { owed: Owed::default(), last: Some(why) }, now);
+            at.set_phase(
+                Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) },
+                now,
+            );
         }
     }
 
     /// Ends a client's connection; the one place where that is done. What owes an answer is ended by its client alone, or
     /// if that reads none of it: then it stays, and false is told.
-    pub(super) fn end_client(&mut self, id: usize, end: ClientEnd) -> bool {
+    pub(super) fn end_client(&mut self, id: usize, end: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
-        if !client.phase.may_end(end) {
+        if !client.phase.permits_close(end) {
             self.withhold_end(id, end);
             return false;
         }
         self.check_end_of_client(id, end);
         let Some(client) = self.clients.remove(&id) else { return false };
         self.clients_served -= usize::from(client.served > 0);
-        let why = client.phase.closing().unwrap_or(end.reason());
+        let why = client.phase.close_reason().unwrap_or(end.reason());
         info!(self.log, "client"; "why" => why, "from" => shown(self.net.address(id)), "answers" => client.served,
-            "ms" => (self.net.now - self.net.since(id)) / MS);
+            "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
         true
     }
@@ -275,9 +295,9 @@
     /// served. What had arrived by now is; what comes later crosses the end, was not read before it and is never sent on.
     pub(super) fn rests(&mut self, id: usize) -> bool {
         let inside = self.clients.get(&id).filter(|client| client.partial);
-        let before = inside.map_or(0, |client| client.looked_at);
+        let before = inside.map_or(0, |client| client.parsed_bytes);
         self.net.read(id, false);
-        let rests = self.net.input(id).len() == before && self.net.ended(id).is_none();
+        let rests = self.net.input(id).len() == before && self.net.connection_end(id).is_none();
         if !rests {
             self.again.push_back(id);
         }
@@ -292,8 +312,8 @@
         }
         let now = self.net.now;
         if let Some(client) = self.clients.get_mut(&id).filter(|client| client.phase.is_reading()) {
-            client.shift(Phase::Ending { why }, now);
-            self.net.finish(id);
+            client.set_phase(Phase::HalfClosed { reason: why }, now);
+            self.net.shutdown_write(id);
         }
     }
 
