--- a/crates/membership/src/etcd/tests.rs
+++ b/crates/membership/src/etcd/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn bodies_and_replies_in_the_json_mapping() {
+fn requests_are_encoded_and_replies_decoded_in_the_json_mapping() {
     assert_eq!(prefix_end(b"/nodes/"), b"/nodes0");
     assert_eq!(prefix_end(&[0x61, 0xff]), [0x62]);
     assert!(watch_request_body(b"/n/", 8).contains("\"start_revision\":\"8\""));
@@ -20,7 +20,11 @@
     let deleted = Reply::Events { revision: 13, changes: vec![Change::Delete(b"/n/a".to_vec())] };
     assert_eq!(parse_watch_message(&messages[0]).unwrap(), deleted);
     assert_eq!(parse_watch_message(&messages[1]).unwrap(), Reply::Cancelled { compacted: Some(13) });
-    assert_eq!(stream.feed(br#"lt":{"header":{"revision":"15"}}}"#).unwrap().len(), 1, "the rest came later");
+    assert_eq!(
+        stream.feed(br#"lt":{"header":{"revision":"15"}}}"#).unwrap().len(),
+        1,
+        "the rest of the message arrives later"
+    );
     assert!(stream.feed(b"}garbage").is_err());
     let mut chunks = ChunkedDecoder::default();
     let mut data = chunks.feed(b"5\r\nhel").unwrap();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,11 @@
-//! Membership: which servers the decision module may send to, merged from several sources, and etcd's v3 JSON
-//! gateway as a client state machine that knows no socket. `docs/membership-design.md` weighs the options.
+//! Membership: the servers that the admission module may send to, merged from several sources.
 //!
-//! - [`nodes`]: the merge of sources into one set, with the drain and removal rules.
-//! - [`etcd`]: request bodies and the parsing of range replies and watch streams, keys and values in base64.
-//! - [`watcher`]: range, then watch from the next revision; compaction, outages and restored members.
+//! One source is etcd, over a client state machine for its v3 JSON gateway that does no I/O.
+//! `docs/membership-design.md` compares the alternatives.
+//!
+//! - [`nodes`]: merges the sources' node lists into one, with the rules for drains and removals.
+//! - [`etcd`]: encodes requests and parses range replies and watch streams, with keys and values in base64.
+//! - [`watcher`]: reads a range, then watches from the next revision; handles compaction, outages and restored members.
 #![deny(missing_docs)]
 
 pub mod etcd;
--- a/crates/membership/src/nodes.rs
+++ b/crates/membership/src/nodes.rs
@@ -1,13 +1,14 @@
-//! The one set of servers the module sees, merged from every source that lists nodes. A node is ready only while
-//! every source that lists it says ready: a drain or a removal in any source stops new work to it. A source that
-//! falls silent keeps its last list; the module never loses servers because a source is quiet.
+//! Merges the node lists of all sources into the one list of servers that the admission module gets.
+//!
+//! A node is ready only while every source that lists it has it ready: a drain in any source stops new RPCs to it. The last
+//! list of a source that falls silent stays in use, so that no server is lost because a source is silent.
 
 use crate::Nanos;
 use martenramp::host::DiscoveredServer;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Where a node list comes from.
+/// A source of node lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's discovery.
@@ -16,130 +17,130 @@
     Etcd,
 }
 
-/// How a source lists a node.
+/// A node as listed by a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Whether it may get new work.
+    /// Whether the node may get new RPCs.
     pub ready: bool,
-    /// Its weight.
+    /// The node's weight.
     pub weight: f64,
-    /// Clock time of its last start; 0 for long ago.
+    /// When the node last started, Unix time; 0 means long ago.
     pub started_at: Nanos,
 }
 
-/// A node's value in etcd: `{"address": ..., "zone": ..., "state": "ready" | "draining", "weight": ..., "since_ms": ...}`.
+/// The JSON value of a node in etcd; `state` is `ready` or `draining`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Value {
+struct NodeJson {
     address: String,
     #[serde(default)]
     zone: String,
-    #[serde(default = "ready")]
+    #[serde(default = "default_state")]
     state: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
-    #[serde(default)]
-    since_ms: u64,
+    #[serde(default, rename = "since_ms")]
+    started_at_ms: u64,
 }
 
-fn ready() -> String {
+fn default_state() -> String {
     "ready".to_string()
 }
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Reads a node's value; the error says what is wrong with it.
+/// Parses a node's JSON value into its address and the node.
 pub fn parse_node(value: &[u8]) -> Result<(String, Node), String> {
-    let value: Value = serde_json::from_slice(value).map_err(|e| format!("node value: {e}"))?;
+    let value: NodeJson = serde_json::from_slice(value).map_err(|e| format!("node value: {e}"))?;
     let ready = match value.state.as_str() {
         "ready" => true,
         "draining" => false,
         other => return Err(format!("node value: state {other:?} is neither ready nor draining")),
     };
     if value.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(format!("node value: {:?} is no address", value.address));
+        return Err(format!("node value: {:?} is not an address with a port", value.address));
     }
     let node = Node {
         zone: value.zone,
         ready,
         weight: value.weight,
-        started_at: value.since_ms.saturating_mul(1_000_000),
+        started_at: value.started_at_ms.saturating_mul(1_000_000),
     };
     Ok((value.address, node))
 }
 
 #[derive(Default)]
-struct Held {
+struct SourceList {
     nodes: BTreeMap<String, Node>,
-    /// When the source last said anything; none if it never did.
-    heard: Option<Nanos>,
+    /// When the source last sent anything; `None` if it never did.
+    last_contact: Option<Nanos>,
 }
 
-/// The merged set. Addresses keep their numbers for as long as the set lives.
+/// The node lists of all sources, and the numbers assigned to addresses. An address keeps its number.
 #[derive(Default)]
 pub struct Members {
-    sources: BTreeMap<Source, Held>,
+    sources: BTreeMap<Source, SourceList>,
     numbers: BTreeMap<String, u32>,
     zones: BTreeMap<String, u16>,
 }
 
 impl Members {
-    /// A source's whole list, replacing what it said before.
+    /// Replaces a source's list.
     pub fn replace_list(&mut self, now: Nanos, source: Source, nodes: BTreeMap<String, Node>) {
-        let held = self.sources.entry(source).or_default();
-        (held.nodes, held.heard) = (nodes, Some(now));
+        let list = self.sources.entry(source).or_default();
+        (list.nodes, list.last_contact) = (nodes, Some(now));
     }
 
-    /// One node as a source now lists it; `None` removes it from that source.
+    /// Updates a node in a source's list; `None` removes it there.
     pub fn update(&mut self, now: Nanos, source: Source, address: &str, node: Option<Node>) {
-        let held = self.sources.entry(source).or_default();
-        held.heard = Some(now);
+        let list = self.sources.entry(source).or_default();
+        list.last_contact = Some(now);
         match node {
-            Some(node) => drop(held.nodes.insert(address.to_string(), node)),
-            None => drop(held.nodes.remove(address)),
+            Some(node) => drop(list.nodes.insert(address.to_string(), node)),
+            None => drop(list.nodes.remove(address)),
         }
     }
 
-    /// The source said something, if only that it lives (a progress notification).
+    /// Records that a source sent something, such as a progress notification without changes.
     pub fn record_contact(&mut self, now: Nanos, source: Source) {
-        self.sources.entry(source).or_default().heard = Some(now);
+        self.sources.entry(source).or_default().last_contact = Some(now);
     }
 
-    /// How long since a source last spoke; none if it never did.
+    /// The time since a source last sent anything; `None` if it never did.
     pub fn time_since_contact(&self, now: Nanos, source: Source) -> Option<Nanos> {
-        Some(now.saturating_sub(self.sources.get(&source)?.heard?))
+        Some(now.saturating_sub(self.sources.get(&source)?.last_contact?))
     }
 
-    /// The number a server has for the module.
+    /// The number by which the admission module knows the server; assigned at the first call.
     pub fn server_number(&mut self, address: &str) -> u32 {
-        let next = self.numbers.len() as u32;
-        *self.numbers.entry(address.to_string()).or_insert(next)
+        let next_number = self.numbers.len() as u32;
+        *self.numbers.entry(address.to_string()).or_insert(next_number)
     }
 
-    /// The address that goes by this number.
+    /// The address with this number.
     pub fn address(&self, number: u32) -> Option<&str> {
-        self.numbers.iter().find(|(_, at)| **at == number).map(|(address, _)| address.as_str())
+        self.numbers.iter().find(|(_, assigned)| **assigned == number).map(|(address, _)| address.as_str())
     }
 
-    /// The set as the module gets it, in order of address: ready only where every source that lists a node says so;
-    /// a node that no source lists any more is gone.
+    /// The merged list for the admission module, sorted by address. A node is ready only if every source that lists it has it
+    /// ready; a node that no source lists is not included.
     pub fn merged(&mut self) -> Vec<DiscoveredServer> {
         let mut merged: BTreeMap<String, Node> = BTreeMap::new();
-        for held in self.sources.values() {
-            for (address, node) in &held.nodes {
-                let kept = merged.entry(address.clone()).or_insert_with(|| node.clone());
-                kept.ready &= node.ready;
-                kept.started_at = kept.started_at.max(node.started_at);
+        for list in self.sources.values() {
+            for (address, node) in &list.nodes {
+                let combined = merged.entry(address.clone()).or_insert_with(|| node.clone());
+                combined.ready &= node.ready;
+                combined.started_at = combined.started_at.max(node.started_at);
             }
         }
         let mut list = Vec::with_capacity(merged.len());
         for (address, node) in merged {
             let server = self.server_number(&address);
-            let zones = self.zones.len() as u16;
-            let zone = *self.zones.entry(node.zone.clone()).or_insert(zones);
+            let next_zone = self.zones.len() as u16;
+            let zone = *self.zones.entry(node.zone.clone()).or_insert(next_zone);
             list.push(DiscoveredServer {
                 server,
                 key: martenramp::subsetting::key(&address),
--- a/crates/membership/src/nodes/tests.rs
+++ b/crates/membership/src/nodes/tests.rs
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn a_drain_in_any_source_stops_new_work_and_silence_keeps_the_list() {
+fn a_drain_in_any_source_makes_a_node_unready_and_silence_keeps_the_list() {
     let mut members = Members::default();
     let both =
         BTreeMap::from([("127.0.0.1:1".to_string(), node(true)), ("127.0.0.1:2".to_string(), node(true))]);
     members.replace_list(0, Source::Discovery, both.clone());
     members.replace_list(0, Source::Etcd, both);
     members.update(5, Source::Etcd, "127.0.0.1:2", Some(node(false)));
-    let view = members.merged();
-    assert_eq!(view.iter().map(|listed| listed.ready).collect::<Vec<_>>(), [true, false]);
+    let merged = members.merged();
+    assert_eq!(merged.iter().map(|listed| listed.ready).collect::<Vec<_>>(), [true, false]);
     members.update(6, Source::Etcd, "127.0.0.1:1", None);
     assert!(members.merged()[0].ready, "still listed ready by discovery");
     assert_eq!(members.time_since_contact(100, Source::Etcd), Some(94));
-    assert_eq!(members.merged().len(), 2, "a silent source keeps what it said");
-    assert_eq!(members.server_number("127.0.0.1:2"), 1, "numbers hold");
+    assert_eq!(members.merged().len(), 2, "the list of a silent source stays in use");
+    assert_eq!(members.server_number("127.0.0.1:2"), 1, "an address keeps its number");
     assert!(parse_node(br#"{"address":"127.0.0.1:9","state":"gone"}"#).unwrap_err().contains("neither"));
     assert!(parse_node(br#"{"address":"nowhere"}"#).is_err());
     let (address, parsed) =
--- a/crates/membership/src/watcher.rs
+++ b/crates/membership/src/watcher.rs
@@ -1,130 +1,132 @@
-//! Following etcd: a range of the prefix, then a watch from the next revision. A compaction or a revision that went
-//! back (a restored member) leads to a fresh range that replaces the list whole; a broken or silent connection to a
-//! rest that grows, on the next endpoint, while the last known list stays. Each change of phase is one function.
+//! The state machine that follows an etcd prefix: it reads the range, then watches from the next revision.
+//!
+//! After a compaction, or if the revision goes back (a restored member), it reads the range again and replaces the list. After
+//! a failed or silent connection it tries the next endpoint with exponential backoff, and the last known list stays in use.
+//! Each phase is entered in one function only.
 
 use crate::Nanos;
 use crate::etcd::{self, Change, Reply};
 use crate::nodes::{self, Members, Node, Source};
 use std::collections::BTreeMap;
 
-/// Where the watcher stands.
+/// The phase of a watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing is asked for.
+    /// No request has been sent yet.
     Idle,
-    /// A range request is out.
+    /// A range request is pending.
     Reading,
-    /// A watch stream is open from this revision on.
+    /// A watch was requested.
     Watching {
-        /// The first revision that is watched.
+        /// The first revision of the watch.
         from: i64,
     },
     /// Waiting before the next endpoint is tried.
     BackingOff {
-        /// When the rest is over.
+        /// When the wait ends.
         until: Nanos,
     },
 }
 
-/// What the driver is to do now.
+/// What the driver has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// POST this body to `/v3/kv/range` at the endpoint.
     Range {
-        /// By its place in the configuration.
+        /// The endpoint's index in the configuration.
         endpoint: usize,
         /// The request's body.
         body: String,
     },
-    /// POST this body to `/v3/watch` at the endpoint and read its stream.
+    /// POST this body to `/v3/watch` at the endpoint and read the stream.
     Watch {
-        /// By its place in the configuration.
+        /// The endpoint's index in the configuration.
         endpoint: usize,
         /// The request's body.
         body: String,
     },
-    /// Come back to `woke` then.
+    /// Call [`Watcher::handle_timer`] at this time.
     Wait {
-        /// When to come back.
+        /// When to call it.
         until: Nanos,
     },
-    /// Nothing to do until something comes.
+    /// Nothing to do until the next event.
     Nothing,
 }
 
-/// The first rest after a failure, and the longest.
+/// The wait after the first failure; each further failure doubles it.
 pub const INITIAL_BACKOFF: Nanos = 100_000_000;
-/// The longest rest after a failure.
+/// The longest wait after a failure.
 pub const MAX_BACKOFF: Nanos = 5_000_000_000;
-/// With no message at all for so long, a watch is taken as broken (etcd sends progress notifications meanwhile).
+/// A watch without any message for longer than this is considered broken, as etcd sends progress notifications.
 pub const WATCH_SILENCE_TIMEOUT: Nanos = 15_000_000_000;
 
-/// The state of following one prefix.
+/// Follows one prefix.
 pub struct Watcher {
     prefix: Vec<u8>,
-    endpoints: usize,
-    at: usize,
-    /// Where it stands.
+    endpoint_count: usize,
+    endpoint: usize,
+    /// The current phase.
     pub phase: Phase,
-    /// The revision the list is as of.
+    /// The revision that the list reflects.
     pub revision: i64,
-    rest: Nanos,
-    /// Each key's address, for deletes, which carry only the key.
-    keys: BTreeMap<Vec<u8>, String>,
-    /// Values that could not be read, and fresh ranges taken: for the logs.
+    backoff: Nanos,
+    /// The address of each key: a delete event carries only the key.
+    address_by_key: BTreeMap<Vec<u8>, String>,
+    /// The number of values that could not be parsed, for logs.
     pub unreadable_values: u64,
-    /// Fresh ranges that were taken.
+    /// How often the range was read again after a compaction or a restored member, for logs.
     pub rereads: u64,
 }
 
 impl Watcher {
-    /// A watcher of this prefix that has so many endpoints to ask.
-    pub fn new(prefix: &[u8], endpoints: usize) -> Watcher {
+    /// Creates a watcher of this prefix with this number of endpoints.
+    pub fn new(prefix: &[u8], endpoint_count: usize) -> Watcher {
         Watcher {
             prefix: prefix.to_vec(),
-            endpoints: endpoints.max(1),
-            at: 0,
+            endpoint_count: endpoint_count.max(1),
+            endpoint: 0,
             phase: Phase::Idle,
             revision: 0,
-            rest: INITIAL_BACKOFF,
-            keys: BTreeMap::new(),
+            backoff: INITIAL_BACKOFF,
+            address_by_key: BTreeMap::new(),
             unreadable_values: 0,
             rereads: 0,
         }
     }
 
-    /// The endpoint that is asked now.
+    /// The index of the current endpoint.
     pub fn endpoint(&self) -> usize {
-        self.at
+        self.endpoint
     }
 
-    /// Idle or rested: a range is asked.
+    /// Starts to read the range; the only place that enters [`Phase::Reading`].
     pub fn start_range(&mut self) -> Action {
         self.phase = Phase::Reading;
-        Action::Range { endpoint: self.at, body: etcd::range_request_body(&self.prefix) }
+        Action::Range { endpoint: self.endpoint, body: etcd::range_request_body(&self.prefix) }
     }
 
-    /// The range's answer: the list replaced whole, then a watch from the next revision.
+    /// Handles the range's reply: replaces the list, then watches from the next revision.
     pub fn handle_range_reply(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Action {
         let Reply::Range { revision, entries } = reply else { return self.handle_failure(now) };
         let mut nodes = BTreeMap::new();
-        self.keys.clear();
+        self.address_by_key.clear();
         for entry in entries {
             match nodes::parse_node(&entry.value) {
                 Ok((address, node)) => {
-                    self.keys.insert(entry.key, address.clone());
+                    self.address_by_key.insert(entry.key, address.clone());
                     nodes.insert(address, node);
                 }
                 Err(_) => self.unreadable_values += 1,
             }
         }
         members.replace_list(now, Source::Etcd, nodes);
-        (self.revision, self.rest) = (revision, INITIAL_BACKOFF);
+        (self.revision, self.backoff) = (revision, INITIAL_BACKOFF);
         self.phase = Phase::Watching { from: revision + 1 };
-        Action::Watch { endpoint: self.at, body: etcd::watch_request_body(&self.prefix, revision + 1) }
+        Action::Watch { endpoint: self.endpoint, body: etcd::watch_request_body(&self.prefix, revision + 1) }
     }
 
-    /// One message of the watch stream.
+    /// Handles a message of the watch stream.
     pub fn handle_watch_message(&mut self, now: Nanos, reply: Reply, members: &mut Members) -> Action {
         match reply {
             Reply::Created { .. } => members.record_contact(now, Source::Etcd),
@@ -132,7 +134,7 @@
             Reply::Events { revision, .. } if revision < self.revision => return self.restart_from_range(),
             Reply::Events { revision, changes } => {
                 members.record_contact(now, Source::Etcd);
-                changes.into_iter().for_each(|change| self.apply(now, change, members));
+                changes.into_iter().for_each(|change| self.apply_change(now, change, members));
                 self.revision = self.revision.max(revision);
             }
             Reply::Range { .. } => return self.handle_failure(now),
@@ -140,12 +142,12 @@
         Action::Nothing
     }
 
-    fn apply(&mut self, now: Nanos, change: Change, members: &mut Members) {
+    fn apply_change(&mut self, now: Nanos, change: Change, members: &mut Members) {
         match change {
             Change::Put(entry) => match nodes::parse_node(&entry.value) {
                 Ok((address, node)) => {
                     if let Some(old) =
-                        self.keys.insert(entry.key, address.clone()).filter(|old| *old != address)
+                        self.address_by_key.insert(entry.key, address.clone()).filter(|old| *old != address)
                     {
                         members.update(now, Source::Etcd, &old, None::<Node>);
                     }
@@ -154,30 +156,30 @@
                 Err(_) => self.unreadable_values += 1,
             },
             Change::Delete(key) => {
-                if let Some(address) = self.keys.remove(&key) {
+                if let Some(address) = self.address_by_key.remove(&key) {
                     members.update(now, Source::Etcd, &address, None);
                 }
             }
         }
     }
 
-    /// Compacted past what the watch asked for, or a member restored from an older state: read afresh.
+    /// Reads the range again: the watched revision was compacted, or a member was restored from an older state.
     fn restart_from_range(&mut self) -> Action {
         self.rereads += 1;
         self.start_range()
     }
 
-    /// The connection broke, an answer could not be read, or the watch was silent too long: rest, then the next
-    /// endpoint. The list stays as it was.
+    /// Handles a failure: the connection broke, a reply could not be parsed, or the watch was silent for too long. Backs off,
+    /// then tries the next endpoint. The list stays in use.
     pub fn handle_failure(&mut self, now: Nanos) -> Action {
-        self.at = (self.at + 1) % self.endpoints;
-        let until = now + self.rest;
-        self.rest = (self.rest * 2).min(MAX_BACKOFF);
+        self.endpoint = (self.endpoint + 1) % self.endpoint_count;
+        let until = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.phase = Phase::BackingOff { until };
         Action::Wait { until }
     }
 
-    /// Time passed: a rest that is over leads to a range; a watch silent too long is broken.
+    /// Handles the passing of time: reads the range once the wait is over, and fails a watch that was silent for too long.
     pub fn handle_timer(&mut self, now: Nanos, members: &Members) -> Action {
         match self.phase {
             Phase::BackingOff { until } if now >= until => self.start_range(),
@@ -185,7 +187,7 @@
             Phase::Watching { .. }
                 if members
                     .time_since_contact(now, Source::Etcd)
-                    .is_some_and(|quiet| quiet > WATCH_SILENCE_TIMEOUT) =>
+                    .is_some_and(|silence| silence > WATCH_SILENCE_TIMEOUT) =>
             {
                 self.handle_failure(now)
             }
