--- a/crates/agreement/src/lists.rs
+++ b/crates/agreement/src/lists.rs
@@ -12,7 +12,7 @@
 /// The most removals that one notice announces: as many as fit into a datagram.
 pub const MAX_ANNOUNCED_REMOVALS: usize = 7;
 
-/// A server as listed by discovery.
+/// A server as listed by a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedServer {
     /// The key of the server's name, the same at all gateways.
--- a/crates/agreement/src/state.rs
+++ b/crates/agreement/src/state.rs
@@ -49,7 +49,7 @@
     pub start: Nanos,
 }
 
-/// The result of an offered content that is not rejected.
+/// What became of an offered content that is not rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// The content is new and scheduled for its start.
@@ -88,7 +88,7 @@
     Ignored,
     /// The send time is further ahead of this gateway's clock than the clocks may differ: one of the two clocks is wrong.
     SentAhead,
-    /// The message names another content for a version that has not started here; the one here was dropped.
+    /// The message names another content for a version that has not started here, so the content here was dropped.
     TwoContents,
 }
 
--- a/crates/agreement/src/version.rs
+++ b/crates/agreement/src/version.rs
@@ -68,8 +68,9 @@
 }
 
 impl Version {
-    /// The identifier of this version's content: its digest covers everything except the settings that differ between gateways. Gateways of
-    /// all releases have to compute the same digest, so the digested text must not change with a rename.
+    /// The identifier of this version's content: its digest covers everything except the settings that differ between
+    /// gateways. Gateways of all releases have to compute the same digest, so the digested text must not change with a
+    /// rename.
     pub fn content_id(&self) -> ContentId {
         let shared: BTreeMap<&String, &String> =
             self.settings.iter().filter(|(name, _)| !PER_GATEWAY.contains(&name.as_str())).collect();
--- a/crates/membership/src/watcher.rs
+++ b/crates/membership/src/watcher.rs
@@ -1,8 +1,8 @@
 //! The state machine that follows an etcd prefix: it reads the range, then watches from the next revision.
 //!
-//! After a compaction, or if the revision goes back (a restored member), it reads the range again and replaces the list. After
-//! a failed or silent connection it tries the next endpoint with exponential backoff, and the last known list stays in use.
-//! Each phase is entered in one function only.
+//! After a compaction, or if the revision goes back (a restored member), it reads the range again and replaces the list.
+//! After a failed or silent connection it tries the next endpoint with exponential backoff, and the last known list stays
+//! in use. Each phase is entered in one function only.
 
 use crate::Nanos;
 use crate::etcd::{self, Change, Reply};
