--- a/crates/gateway/src/eviction.rs
+++ b/crates/gateway/src/eviction.rs
@@ -1,75 +1,79 @@
-//! Who gives way when a descriptor is wanted for another client: first those that have shown nothing. `docs/room-design.md`
-//! weighs the other ways.
+//! Decides which idle client connections are closed when descriptors run out: first those that have
+//! sent nothing. `docs/room-design.md` compares the alternatives.
 
 use martenramp::host::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// For how long a new connection may stay silent before it gives way: a client sends as soon as it is connected.
-const SILENT: Nanos = 10 * MS;
-/// For how long one may take to close after this side's sending has ended.
-const ENDING: Nanos = 10 * MS;
-/// For how long a connection that was served may rest.
-const RESTING: Nanos = 1_000 * MS;
-/// For how long one may pause within a message.
-const PAUSED: Nanos = 2_000 * MS;
-/// Of the places, in quarters, how many connections that were served keep while others wait for one.
+/// How long a new connection may stay silent before it can be evicted: a client sends as soon as it
+/// is connected.
+const SILENT_LIMIT: Nanos = 10 * MS;
+/// How long a client may take to close after this side has shut down sending.
+const HALF_CLOSED_LIMIT: Nanos = 10 * MS;
+/// How long a keep-alive connection may be idle between messages.
+const KEEP_ALIVE_LIMIT: Nanos = 1_000 * MS;
+/// How long a client may pause within a message.
+const MID_MESSAGE_LIMIT: Nanos = 2_000 * MS;
+/// The share of all places, in quarters, that connections which were served before keep while
+/// others wait for one.
 const SERVED_QUARTERS: usize = 3;
 
-/// What a connection that owes no answer is doing, and since when.
+/// What a connection without an unsent answer is doing, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// Connected, and has sent nothing.
+    /// Connected, and nothing was received.
     Silent(Nanos),
-    /// This side's sending has ended.
+    /// This side has shut down sending.
     HalfClosed(Nanos),
-    /// Served, and between messages.
+    /// Served before, and between messages.
     KeepAlive(Nanos),
-    /// Inside a message.
+    /// Part of a message was received.
     MidMessage(Nanos),
 }
 
-/// Who wants the room.
+/// What a descriptor is needed for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictFor {
-    /// A new connection that has shown nothing yet.
+    /// A new connection that has sent nothing yet.
     NewConnection,
-    /// A client that has spoken, or the gateway itself: a connection may be closed between any two messages for it.
+    /// A client that has sent a message, or the gateway itself: any connection between two messages
+    /// may be closed for it.
     Required,
 }
 
 impl IdleState {
-    /// From when on it gives way, and before whom.
-    fn evictable_at(self, to: EvictFor) -> (usize, Nanos) {
-        match (self, to) {
-            (IdleState::Silent(since), _) => (0, since + SILENT),
-            (IdleState::HalfClosed(since), _) => (1, since + ENDING),
-            (IdleState::KeepAlive(since), EvictFor::NewConnection) => (2, since + RESTING),
+    /// Rank and time of eviction: lower ranks are evicted first, none before its time.
+    fn evictable_at(self, purpose: EvictFor) -> (usize, Nanos) {
+        match (self, purpose) {
+            (IdleState::Silent(since), _) => (0, since + SILENT_LIMIT),
+            (IdleState::HalfClosed(since), _) => (1, since + HALF_CLOSED_LIMIT),
+            (IdleState::KeepAlive(since), EvictFor::NewConnection) => (2, since + KEEP_ALIVE_LIMIT),
             (IdleState::KeepAlive(since), EvictFor::Required) => (2, since),
-            (IdleState::MidMessage(since), _) => (3, since + PAUSED),
+            (IdleState::MidMessage(since), _) => (3, since + MID_MESSAGE_LIMIT),
         }
     }
 }
 
-/// The connections that give way now, the first one first. Guards against clients that hold descriptors and send nothing, or
-/// their messages byte by byte. Harm: a client that is slow to speak, or that paused, has to connect again.
+/// The connections that may be evicted now, in order. Frees descriptors held by clients that send
+/// nothing, or send their messages byte by byte. The cost: a client that is slow to send, or that
+/// paused, has to reconnect.
 pub fn eviction_order(
     idle: impl Iterator<Item = (usize, IdleState)>,
     now: Nanos,
-    to: EvictFor,
+    purpose: EvictFor,
 ) -> Vec<usize> {
-    let due = idle.map(|(id, idle)| (idle.evictable_at(to), id)).filter(|((_, at), _)| now >= *at);
+    let due = idle.map(|(id, idle)| (idle.evictable_at(purpose), id)).filter(|((_, at), _)| now >= *at);
     let mut due: Vec<_> = due.collect();
     due.sort_unstable();
-    due.into_iter().map(|one| one.1).collect()
+    due.into_iter().map(|candidate| candidate.1).collect()
 }
 
-/// When the next new connection gives way if it stays silent.
+/// When the next silent connection can be evicted.
 pub fn next_silent_eviction(idle: impl Iterator<Item = IdleState>) -> Option<Nanos> {
     let silent = idle.filter(|idle| matches!(idle, IdleState::Silent(_)));
     silent.map(|idle| idle.evictable_at(EvictFor::NewConnection).1).min()
 }
 
-/// Whether connections that were served hold more than their part of the places.
+/// Whether connections that were served before hold more than their share of the places.
 pub fn exceeds_served_share(served: usize, places: usize) -> bool {
     4 * served > SERVED_QUARTERS * places
 }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -1,12 +1,14 @@
-//! The one guard in front of everything that can't be taken back: an attempt's bytes going out, a repeat, a refusal, and
-//! an RPC handed to the module. It decides nothing about load; it compares what is true at this moment with what must hold
-//! ([`Invariant`]), whatever was true when the module asked.
+//! Final checks before each action that can't be undone: writing an attempt, retrying one,
+//! rejecting an RPC, and handing an RPC to the decision module. The guard makes no load decisions;
+//! it compares the state at this moment with what must hold ([`Invariant`]), whatever was true when
+//! the module asked.
 
 use crate::invariants::Invariant;
 use crate::shutdown::Shutdown;
 use martenramp::host::Nanos;
 
-/// An attempt's bytes may arrive so much later than they are written: windows for repeats are left that much early.
+/// Allowance for the time that the bytes of an attempt take to arrive: no attempt is written this
+/// close to the end of a window for retries.
 pub const TRANSIT_MARGIN: Nanos = 5_000_000;
 
 /// How often an RPC of a method may run.
@@ -14,16 +16,17 @@
 pub enum RetrySafety {
     /// Any number of times.
     Idempotent,
-    /// Servers know a repeat by its key, for so long after the first attempt that may have run; `all_servers` tells that all
-    /// servers do, and not only those of a group.
+    /// Servers recognize a retry by its key, for `window` after the start of the first attempt that
+    /// may have run; with `all_servers` every server does, otherwise only those of a group.
     Deduplicated { window: Nanos, all_servers: bool },
-    /// Once at most.
+    /// At most once.
     #[default]
     AtMostOnce,
 }
 
 impl RetrySafety {
-    /// Before when an RPC may be sent again that may have run first at this time.
+    /// The time before which an RPC may be sent again, given when the first attempt that may have
+    /// run began.
     fn retry_until(self, first_run: Option<Nanos>) -> Nanos {
         match (self, first_run) {
             (_, None) | (RetrySafety::Idempotent, _) => Nanos::MAX,
@@ -33,7 +36,7 @@
     }
 }
 
-/// Why something is withheld.
+/// Why an action is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     ClientLeft,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// What would have been broken.
+    /// The invariant that the action would have violated.
     pub fn invariant(self) -> Invariant {
         match self {
             Denial::ClientLeft => Invariant::ClientPresent,
@@ -74,7 +77,7 @@
     }
 }
 
-/// What the list says now of the server that a connection leads to.
+/// The current state, as listed, of the server that a connection leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
     Ready,
@@ -82,54 +85,55 @@
     Moved,
 }
 
-/// What is true of an attempt as its bytes are about to go out.
+/// The state of an attempt at the moment when it is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendCheck {
     pub now: Nanos,
     pub client_present: bool,
-    /// By when it has to be answered, and before when it has to be written, as it was asked for.
+    /// By when it has to be answered, and before when it has to be written, as the module asked.
     pub answer_by: Nanos,
     pub write_by: Nanos,
     pub retry_safety: RetrySafety,
-    /// When the first attempt began that may have run.
+    /// When the first attempt that may have run began.
     pub first_run: Option<Nanos>,
     pub server: ServerStatus,
 }
 
-/// Whether an attempt may be written. Guards against everything that may have changed while its connection came up, or
-/// within the turn. Harm: none, nothing has run.
+/// Whether an attempt may be written. Catches everything that may have changed while its connection
+/// was being established, or within the turn. It costs nothing: no server has run the attempt yet.
 pub fn may_send(send: &SendCheck) -> Result<(), Denial> {
-    let arrives = send.now.saturating_add(TRANSIT_MARGIN);
+    let arrival = send.now.saturating_add(TRANSIT_MARGIN);
     match send {
         SendCheck { client_present: false, .. } => Err(Denial::ClientLeft),
         SendCheck { retry_safety: RetrySafety::AtMostOnce, first_run: Some(_), .. } => {
             Err(Denial::MayHaveRun)
         }
         _ if send.now >= send.answer_by => Err(Denial::DeadlinePassed),
-        _ if arrives >= send.write_by => Err(Denial::RetryWindowClosed),
-        _ if arrives >= send.retry_safety.retry_until(send.first_run) => Err(Denial::RetryWindowClosed),
+        _ if arrival >= send.write_by => Err(Denial::RetryWindowClosed),
+        _ if arrival >= send.retry_safety.retry_until(send.first_run) => Err(Denial::RetryWindowClosed),
         SendCheck { server: ServerStatus::Unavailable, .. } => Err(Denial::ServerUnavailable),
         SendCheck { server: ServerStatus::Moved, .. } => Err(Denial::ServerMoved),
         _ => Ok(()),
     }
 }
 
-/// Whether a client may be told that trying again is harmless.
+/// Whether a client may be told that retrying is harmless.
 pub fn may_reject(now: Nanos, retry_safety: RetrySafety, first_run: Option<Nanos>) -> bool {
-    let anywhere = !matches!(retry_safety, RetrySafety::Deduplicated { all_servers: false, .. });
-    first_run.is_none() || anywhere && now < retry_safety.retry_until(first_run)
+    let all_servers = !matches!(retry_safety, RetrySafety::Deduplicated { all_servers: false, .. });
+    first_run.is_none() || all_servers && now < retry_safety.retry_until(first_run)
 }
 
-/// A turn of a process that falls behind takes RPCs for so many times as long as a turn of one that keeps up may last.
-const TAKEN_TURNS: Nanos = 3;
+/// A turn of a process that falls behind admits RPCs for at most this many times the longest turn
+/// of a process that keeps up.
+const MAX_ADMISSION_TURNS: Nanos = 3;
 
-/// What is true of an RPC as it was read.
+/// The state of an RPC at the moment when it was read.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionCheck {
     pub now: Nanos,
-    /// By when its client has to have the answer.
+    /// By when the client has to have the answer.
     pub deadline: Nanos,
-    /// For how long the turn before this one lasted, and this one has by now.
+    /// Duration of the previous turn, and of this one so far.
     pub last_turn: Nanos,
     pub this_turn: Nanos,
     /// The longest that a turn may take while the process keeps up.
@@ -137,17 +141,18 @@
     pub shutdown: Option<Shutdown>,
 }
 
-/// Whether an RPC that was read now may begin. A stopping process has to answer it before it can be killed; and one that falls
-/// behind, turn after turn, takes only what it can serve. Guards against serving what is too late by then, and nothing in
-/// time. Harm: after two long turns some RPCs are refused that might have been served.
-pub fn may_admit(begin: &AdmissionCheck) -> Result<(), Denial> {
-    // Half of a turn goes to what is taken, the other to refusals and answers.
-    let taken_for = (begin.last_turn / 2).clamp(begin.max_turn, TAKEN_TURNS * begin.max_turn);
-    let falls_behind = begin.last_turn > begin.max_turn && begin.this_turn > taken_for;
-    match begin.shutdown {
-        Some(shutdown) if begin.now >= shutdown.answer_by => Err(Denial::ShuttingDown),
-        _ if begin.now >= begin.deadline => Err(Denial::DeadlinePassed),
-        _ if falls_behind => Err(Denial::Overloaded),
+/// Whether an RPC that was just read may be admitted. A process that shuts down has to answer it
+/// before it can be killed, and one that falls behind for several turns takes only as many as it
+/// can serve. Otherwise it would spend its time on RPCs that are late by then, and serve none in
+/// time. The cost: after two long turns some RPCs are rejected that might have been served.
+pub fn may_admit(check: &AdmissionCheck) -> Result<(), Denial> {
+    // Half of a turn is for admitted RPCs, the other half for rejections and answers.
+    let admission_time = (check.last_turn / 2).clamp(check.max_turn, MAX_ADMISSION_TURNS * check.max_turn);
+    let overloaded = check.last_turn > check.max_turn && check.this_turn > admission_time;
+    match check.shutdown {
+        Some(shutdown) if check.now >= shutdown.answer_by => Err(Denial::ShuttingDown),
+        _ if check.now >= check.deadline => Err(Denial::DeadlinePassed),
+        _ if overloaded => Err(Denial::Overloaded),
         _ => Ok(()),
     }
 }
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -1,29 +1,34 @@
-//! What must hold of every RPC whatever fails, and how often it was looked at, kept by a guard, or broken. Operators and
-//! the soak test read the counts.
+//! The invariants that hold for every RPC whatever fails, and counts of how often each was checked,
+//! upheld by the guard, or violated. Operators and the soak test read the counts.
 
-/// A rule that no fault may break.
+/// An invariant that no fault may violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// What was read gets one final answer, before its connection or the process ends.
+    /// Every RPC that was read gets exactly one final answer, before its connection or the process
+    /// ends.
     OneAnswer,
-    /// The answer comes no later than half a second after the client's time, and before the process may be killed.
+    /// The answer comes at most half a second after the client's deadline, and before the process
+    /// may be killed.
     AnswerInTime,
-    /// Nothing is sent for a client that has left.
+    /// Nothing is sent to a server for a client that has left.
     ClientPresent,
-    /// Nothing is sent once the RPC's time is over, and a server is told no more time than is left.
+    /// Nothing is sent after the RPC's deadline, and a server is never given more time than is
+    /// left.
     TimeLeft,
-    /// What may have run is sent again only where its method allows it, and in the time for that.
+    /// An RPC that may have run is sent again only if its method allows it, and only within the
+    /// window for retries.
     RepeatAllowed,
-    /// New work goes only to servers that are listed as ready, where they are now.
+    /// New work goes only to servers that are listed as ready, at their current address and
+    /// incarnation.
     ServerListed,
-    /// A refusal promises that trying again is harmless; it is given only where that is so.
+    /// A rejection promises that retrying is harmless, so it is given only where that is true.
     RefusalHarmless,
-    /// No RPC begins that could not be answered before the process may be killed.
+    /// No RPC is admitted that could not be answered before the process may be killed.
     AdmittedInTime,
 }
 
 impl Invariant {
-    /// All of them, in the order in which they are counted.
+    /// All invariants, in the order in which they are counted.
     pub const ALL: [Invariant; 8] = [
         Invariant::OneAnswer,
         Invariant::AnswerInTime,
@@ -35,7 +40,7 @@
         Invariant::AdmittedInTime,
     ];
 
-    /// Its name in the log.
+    /// The name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneAnswer => "one-answer",
@@ -50,35 +55,35 @@
     }
 }
 
-/// How often an invariant was looked at.
+/// The counts of one invariant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// In all.
+    /// All checks.
     pub checked: u64,
-    /// The guard withheld something that would have broken it.
+    /// Checks where the guard withheld an action that would have violated the invariant.
     pub withheld: u64,
-    /// It was found broken.
+    /// Checks that found the invariant violated.
     pub violated: u64,
 }
 
-/// The counts of one process.
+/// The counts of all invariants in one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts([Count; Invariant::ALL.len()]);
 
 impl Counts {
-    /// Notes that an invariant was looked at and holds.
+    /// Records that an invariant was checked and holds.
     pub fn record_held(&mut self, invariant: Invariant) {
         self.0[invariant as usize].checked += 1;
     }
 
-    /// Notes that a guard kept it.
+    /// Records that the guard withheld an action that would have violated the invariant.
     pub fn record_withheld(&mut self, invariant: Invariant) {
         let count = &mut self.0[invariant as usize];
         count.checked += 1;
         count.withheld += 1;
     }
 
-    /// Notes that it is broken.
+    /// Records a violation.
     pub fn record_violated(&mut self, invariant: Invariant) {
         let count = &mut self.0[invariant as usize];
         count.checked += 1;
@@ -90,7 +95,7 @@
         self.0[invariant as usize]
     }
 
-    /// The sum over all.
+    /// The sum over all invariants.
     pub fn total(&self) -> Count {
         self.0.iter().fold(Count::default(), |sum, count| Count {
             checked: sum.checked + count.checked,
@@ -105,10 +110,11 @@
         format!("checked={checked}, withheld={withheld}, violated={violated}")
     }
 
-    /// The broken ones by name with their counts; empty if none is.
+    /// The violated invariants by name with their counts; empty if there is none.
     pub fn violations(&self) -> String {
-        let broken = Invariant::ALL.iter().filter(|invariant| self.of(**invariant).violated > 0);
-        let shown = broken.map(|invariant| format!("{}={}", invariant.name(), self.of(*invariant).violated));
-        shown.collect::<Vec<_>>().join(", ")
+        let violated = Invariant::ALL.iter().filter(|invariant| self.of(**invariant).violated > 0);
+        let entries =
+            violated.map(|invariant| format!("{}={}", invariant.name(), self.of(*invariant).violated));
+        entries.collect::<Vec<_>>().join(", ")
     }
 }
--- a/crates/gateway/src/list_update.rs
+++ b/crates/gateway/src/list_update.rs
@@ -1,5 +1,5 @@
-//! A list between its last byte and the moment when all of it is in force: what it changes is found and handed on in
-//! batches, each of bounded work, so that a list of any length never takes a whole turn of the poll.
+//! Applies a list from discovery incrementally: finds what changed and hands it on in batches of
+//! bounded work, so that a list of any length never blocks the event loop for a whole turn.
 
 use crate::directory::Directory;
 use crate::entry::Entry;
@@ -10,44 +10,51 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The work of one turn, in entries compared with what is held.
+/// Work per turn of the event loop, in entries compared with the servers held.
 pub const WORK_PER_TURN: usize = 1024;
-/// A change costs as much as comparing so many entries; and so many servers are walked past for one.
-const WORK_OF_CHANGE: usize = 2;
-const WALKED_FOR_ONE: usize = 8;
-/// However many servers leave, of each batch so much is for what comes: no list empties what it only replaces.
-const COMING_SHARE: usize = 4;
+/// Work of handing on one changed server, in units of one compared entry.
+const WORK_PER_CHANGE: usize = 2;
+/// Held servers that are scanned for one unit of work.
+const SCANNED_PER_WORK: usize = 8;
+/// Divisor of the share of each batch that is reserved for available servers, so that a list which
+/// replaces servers never withdraws all of the old ones before it adds new ones.
+const RESERVED_DIVISOR: usize = 4;
 
-/// The memory of so many compared entries is given back at once: all of it would be a whole turn's work.
-const FREED_AT_ONCE: usize = 4096;
+/// Memory of compared entries is released in steps of this many entries: releasing all of it at
+/// once would take a whole turn.
+const SHRINK_STEP: usize = 4096;
 
-/// One server that is other than it was.
+/// A server whose listed state has changed.
 #[derive(Debug)]
 pub struct ServerChange {
     pub listed: Listed,
-    /// Nothing for a server that is gone.
+    /// `None` for a server that was removed.
     pub address: Option<SocketAddr>,
 }
 
-/// What is taken to the module at once. New work stops at once for those that leave.
+/// Changes that are applied together. New work stops immediately for the unavailable servers.
 #[derive(Debug, Default)]
 pub struct Batch {
+    /// Servers that drain or were removed.
     pub unavailable: Vec<ServerChange>,
+    /// Servers that are ready and are new or have changed.
     pub available: Vec<ServerChange>,
 }
 
-/// The list at hand.
+/// A list that is being applied.
 #[derive(Debug)]
 pub struct ListUpdate {
     index: u64,
-    whole: bool,
-    /// Not compared yet, the last one first: of two entries for one server the later one counts.
+    /// The list is a full snapshot, and servers that it does not name are still to be found.
+    scan_pending: bool,
+    /// Entries that are not compared yet, in reverse order: of two entries for one server the later
+    /// one counts.
     entries: Vec<Entry>,
-    /// Keys of all that were compared.
-    named: HashSet<u64>,
-    /// Servers that a whole list does not name are looked for from this number on.
-    walked_to: u32,
-    /// Both the last one first.
+    /// Keys of all compared entries.
+    seen_keys: HashSet<u64>,
+    /// The next server number in the scan for servers that a full snapshot does not name.
+    scanned_to: u32,
+    /// Changes not yet handed on, both in reverse order.
     unavailable: Vec<ServerChange>,
     available: Vec<ServerChange>,
     compared: bool,
@@ -60,10 +67,10 @@
     pub fn new(told: Told) -> Self {
         ListUpdate {
             index: told.index,
-            whole: told.whole,
-            named: HashSet::with_capacity(told.entries.len()),
+            scan_pending: told.whole,
+            seen_keys: HashSet::with_capacity(told.entries.len()),
             entries: told.entries,
-            walked_to: 0,
+            scanned_to: 0,
             unavailable: Vec::new(),
             available: Vec::new(),
             compared: false,
@@ -78,22 +85,24 @@
         self.index
     }
 
-    /// How many servers have changed by now, and in how many turns.
+    /// How many servers have changed so far.
     pub fn changed_count(&self) -> usize {
         self.changed
     }
 
+    /// In how many turns the list was applied so far.
     pub fn turn_count(&self) -> usize {
         self.turns
     }
 
-    /// It goes on in the next turn.
+    /// Counts one more turn: the work continues in the next one.
     pub fn defer_to_next_turn(&mut self) {
         self.turns += 1;
     }
 
-    /// Does what `work` allows, and takes off what it used up; the next batch, once one is ready. Nothing is handed on
-    /// before the whole list was compared: what leaves goes first, wherever in the list it stands.
+    /// Does as much as `work` allows, deducts what it used, and returns the next batch once one is
+    /// ready. Nothing is handed on before the whole list is compared, so that unavailable servers
+    /// come first wherever they stand in the list.
     pub fn next_batch(
         &mut self,
         servers: &Servers,
@@ -102,45 +111,45 @@
     ) -> Option<Batch> {
         if !self.compared {
             self.compare(servers, directory, work);
-            self.walk(servers, work);
+            self.find_unnamed(servers, work);
         }
-        if !self.compared || *work < WORK_OF_CHANGE {
+        if !self.compared || *work < WORK_PER_CHANGE {
             return None;
         }
-        let most = *work / WORK_OF_CHANGE;
-        let kept_for_coming = self.available.len().min(most.div_ceil(COMING_SHARE));
-        let unavailable = self.unavailable.len().min(most - kept_for_coming);
-        let available = self.available.len().min(most - unavailable);
-        *work -= (unavailable + available) * WORK_OF_CHANGE;
+        let max_changes = *work / WORK_PER_CHANGE;
+        let reserved = self.available.len().min(max_changes.div_ceil(RESERVED_DIVISOR));
+        let unavailable = self.unavailable.len().min(max_changes - reserved);
+        let available = self.available.len().min(max_changes - unavailable);
+        *work -= (unavailable + available) * WORK_PER_CHANGE;
         self.batches += 1;
         self.changed += unavailable + available;
-        let last = |list: &mut Vec<ServerChange>, count: usize| {
+        let take_last = |list: &mut Vec<ServerChange>, count: usize| {
             let mut taken = list.split_off(list.len() - count);
             taken.reverse();
             taken
         };
         Some(Batch {
-            unavailable: last(&mut self.unavailable, unavailable),
-            available: last(&mut self.available, available),
+            unavailable: take_last(&mut self.unavailable, unavailable),
+            available: take_last(&mut self.available, available),
         })
     }
 
-    /// Whether all of it was handed on: in one batch at least, also where nothing changed.
+    /// Whether the whole list was handed on. There is at least one batch, even if nothing changed.
     pub fn is_done(&self) -> bool {
         self.batches > 0 && self.unavailable.is_empty() && self.available.is_empty()
     }
 
-    /// Compares entries with what is held; what is as it was goes no further.
+    /// Compares entries with the servers held; unchanged ones are skipped.
     fn compare(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) {
         while *work > 0
             && let Some(entry) = self.entries.pop()
         {
             *work -= 1;
-            if self.entries.capacity() - self.entries.len() >= FREED_AT_ONCE {
+            if self.entries.capacity() - self.entries.len() >= SHRINK_STEP {
                 self.entries.shrink_to_fit();
             }
             let key = subsetting::key(&entry.name);
-            if !self.named.insert(key) {
+            if !self.seen_keys.insert(key) {
                 continue;
             }
             let listed = directory.listed(key, &entry);
@@ -158,27 +167,27 @@
         }
     }
 
-    /// Finds the servers that a whole list does not name.
-    fn walk(&mut self, servers: &Servers, work: &mut usize) {
+    /// Finds the servers that a full snapshot does not name.
+    fn find_unnamed(&mut self, servers: &Servers, work: &mut usize) {
         if !self.entries.is_empty() {
             return;
         }
-        while self.whole && *work > 0 {
+        while self.scan_pending && *work > 0 {
             *work -= 1;
-            let mut walked = 0;
-            for (number, server) in servers.by_number.range(self.walked_to..).take(WALKED_FOR_ONE) {
-                (self.walked_to, walked) = (number + 1, walked + 1);
-                if server.listed && !self.named.contains(&server.told.key) {
+            let mut scanned = 0;
+            for (number, server) in servers.by_number.range(self.scanned_to..).take(SCANNED_PER_WORK) {
+                (self.scanned_to, scanned) = (number + 1, scanned + 1);
+                if server.listed && !self.seen_keys.contains(&server.told.key) {
                     self.unavailable.push(ServerChange { listed: server.told.clone(), address: None });
                 }
             }
-            if walked < WALKED_FOR_ONE {
-                self.whole = false;
+            if scanned < SCANNED_PER_WORK {
+                self.scan_pending = false;
             }
         }
-        self.compared = !self.whole;
+        self.compared = !self.scan_pending;
         if self.compared {
-            self.named = HashSet::new();
+            self.seen_keys = HashSet::new();
         }
     }
 }
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -1,42 +1,46 @@
-//! Where a client's connection stands, and what may end it. An answer is owed from when its RPC was read until its last
-//! byte was handed to the system; while it is, only the client can end the connection.
+//! The state machine of a client's connection, and what may close it in each phase. An answer is
+//! owed from when its RPC was read until its last byte was handed to the operating system; until
+//! then the connection is closed only by the client, or by the write timeout if the client reads
+//! nothing.
 
 use martenramp::host::Nanos;
 
-/// An answer that was put into a connection's buffer.
+/// An answer in a connection's output buffer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnsentAnswer {
-    /// The id of its RPC; empty where it answers something else.
+    /// The transaction id of its RPC; empty if it answers something else.
     pub txn: Box<[u8]>,
-    /// By when it was to be given; nothing where it answers something else.
+    /// When the answer is due; `None` if it does not answer an RPC.
     pub deadline: Option<Nanos>,
 }
 
-/// Where a client's connection stands.
+/// The phase of a client's connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing is owed: it rests between messages, or one is coming in.
+    /// No answer is owed: the connection is idle, or a message is coming in.
     #[default]
     Reading,
-    /// An RPC was read and has no answer yet; its message takes so many bytes of the buffer.
+    /// An RPC was read and has no answer yet. Its message takes `message_length` bytes of the
+    /// buffer.
     AwaitingAnswer { rpc: u32, message_length: usize },
-    /// An answer is in the buffer and not all of it is out; the connection ends behind it if there is a reason to.
+    /// An answer is in the buffer and not fully written. The connection closes after it if there is
+    /// a reason.
     WritingAnswer { answer: UnsentAnswer, close_reason: Option<&'static str> },
-    /// All answers are out and this side's sending has ended, for this reason. What still comes is discarded until the
-    /// client closes, too.
+    /// All answers are written and this side has shut down sending. Further input is discarded
+    /// until the client closes as well.
     HalfClosed { reason: &'static str },
 }
 
-/// What ends a client's connection.
+/// What closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// The client closed or broke it, with this reason code.
+    /// The client closed or reset it, with this reason code.
     ClientClosed(&'static str),
-    /// Its descriptor is wanted for others.
+    /// Its descriptor is needed for another connection.
     Evicted,
-    /// This side's sending had ended, and the client has not closed in time.
+    /// This side had shut down sending, and the client did not close in time.
     LingerTimeout,
-    /// The client takes nothing of its answer.
+    /// The client does not read its answer.
     WriteTimeout,
 }
 
@@ -44,7 +48,7 @@
     /// The reason code for the log.
     pub fn reason(self) -> &'static str {
         match self {
-            CloseCause::ClientClosed(why) => why,
+            CloseCause::ClientClosed(reason) => reason,
             CloseCause::Evicted => "made-room",
             CloseCause::LingerTimeout => "lingered",
             CloseCause::WriteTimeout => "reads-nothing",
@@ -53,11 +57,12 @@
 }
 
 impl Phase {
-    /// Whether a connection that stands here may be ended so. Guards against answers that were given and never written.
-    /// Harm: a connection that takes its answer slowly keeps its descriptor until it is found to read nothing.
-    pub fn permits_close(&self, end: CloseCause) -> bool {
+    /// Whether a connection in this phase may be closed for this cause. Prevents the loss of
+    /// answers that were given but not written. The cost: a connection that reads its answer slowly
+    /// keeps its descriptor until the write timeout.
+    pub fn permits_close(&self, cause: CloseCause) -> bool {
         matches!(
-            (end, self),
+            (cause, self),
             (CloseCause::ClientClosed(_), _)
                 | (CloseCause::Evicted, Phase::Reading | Phase::HalfClosed { .. })
                 | (CloseCause::LingerTimeout, Phase::HalfClosed { .. })
@@ -65,7 +70,7 @@
         )
     }
 
-    /// The RPC that waits for its answer, and the length of its message.
+    /// The RPC that has no answer yet, and the length of its message.
     pub fn pending_rpc(&self) -> Option<(u32, usize)> {
         match self {
             Phase::AwaitingAnswer { rpc, message_length } => Some((*rpc, *message_length)),
@@ -81,17 +86,17 @@
         }
     }
 
-    /// Whether nothing is owed and the connection stays open.
+    /// Whether no answer is owed and the connection stays open.
     pub fn is_reading(&self) -> bool {
         *self == Phase::Reading
     }
 
-    /// Whether what still comes is of no use: the connection ends.
+    /// Whether the connection is being closed, so that further input is discarded.
     pub fn is_closing(&self) -> bool {
         matches!(self, Phase::WritingAnswer { close_reason: Some(_), .. } | Phase::HalfClosed { .. })
     }
 
-    /// Why it ends, if it is known by now.
+    /// Why the connection is being closed, if it is.
     pub fn close_reason(&self) -> Option<&'static str> {
         match self {
             Phase::WritingAnswer { close_reason, .. } => *close_reason,
@@ -100,7 +105,7 @@
         }
     }
 
-    /// What follows once all of an answer is out.
+    /// The next phase once the answer is fully written.
     pub fn after_answer(&self) -> Option<Phase> {
         match self {
             Phase::WritingAnswer { close_reason: Some(reason), .. } => Some(Phase::HalfClosed { reason }),
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Whether one may follow on the other; every other change is a mistake in this program.
+    /// Whether the phase may change to `next`; any other transition is a bug.
     pub fn can_become(&self, next: &Phase) -> bool {
         matches!(
             (self, next),
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,57 +1,60 @@
-//! The timeline of a shutdown. The platform kills the process some time after SIGTERM, so every wait of a stopping process
-//! ends before that: connections are taken for a while, then whatever has begun may still come in, then every RPC has its
-//! final answer, then the process ends by itself.
+//! The timeline of a shutdown. The platform kills the process some time after SIGTERM, so every
+//! wait ends before that: new connections are accepted for a while, then messages that have begun
+//! may still be completed, then every RPC gets its final answer, then the process exits by itself.
 
 use martenramp::host::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which so much counts, and this grace (the
-/// operators' protocol page, "Figures").
-const DEADLINE_MOST: Nanos = 3_000 * MS;
+/// SIGKILL follows SIGTERM after at least the longest deadline, of which at most this much counts,
+/// plus a grace period (the operators' protocol page, "Figures").
+const MAX_DEADLINE: Nanos = 3_000 * MS;
 const KILL_GRACE: Nanos = 700 * MS;
-/// New connections are taken for so long. They keep coming for 0.2 to 0.4 s after SIGTERM.
-const LISTEN: Nanos = 500 * MS;
-/// For so long a message may come in that had begun, or that is the first on its connection.
+/// How long new connections are accepted. They keep coming for 0.2 to 0.4 s after SIGTERM.
+const LISTEN_PERIOD: Nanos = 500 * MS;
+/// How long messages are read that had begun, or that are the first on their connection.
 const READ_PERIOD: Nanos = 1_000 * MS;
-/// Before SIGKILL: by when every RPC has its answer. Covers a process that is held up for 0.15 s and a long turn of the
-/// loop. Harm: an answer that would have come in this last moment is not waited for.
+/// How long before SIGKILL every RPC has its answer. Covers a process that is held up for 0.15 s
+/// and a long turn of the event loop. The cost: an answer that would arrive in this interval is not
+/// waited for.
 const ANSWER_MARGIN: Nanos = 250 * MS;
-/// How long before `answer_by` nothing new is waited for, so that what came last can still be tried.
+/// How long before `answer_by` reading stops, so that the last messages can still be attempted.
 const READ_MARGIN: Nanos = 50 * MS;
-/// Before SIGKILL: when the process ends, whatever is still open.
+/// How long before SIGKILL the process exits, whatever is still open.
 const EXIT_MARGIN: Nanos = 100 * MS;
 
-/// When a stopping process does what; all times are the gateway's clock.
+/// The steps of a shutdown, in gateway clock time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shutdown {
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     pub signalled_at: Nanos,
-    /// Connections are taken until then.
+    /// End of accepting connections.
     pub listen_until: Nanos,
-    /// Then what is not whole is refused, and connections that have said nothing are closed.
+    /// From then on incomplete messages are rejected, and connections that have sent nothing are
+    /// closed.
     pub read_until: Nanos,
-    /// Every RPC has its final answer by then.
+    /// When every RPC has its final answer.
     pub answer_by: Nanos,
-    /// Whatever is open is closed then, and the process ends.
+    /// When everything still open is closed and the process exits.
     pub exit_at: Nanos,
 }
 
 impl Shutdown {
-    /// The timeline of a process that was told to stop at this time, under settings with this longest deadline.
+    /// The timeline of a process that received SIGTERM at this time, under settings with this
+    /// longest deadline.
     pub fn new(signalled_at: Nanos, longest_deadline: Nanos) -> Shutdown {
-        let until_kill = longest_deadline.min(DEADLINE_MOST) + KILL_GRACE;
+        let until_kill = longest_deadline.min(MAX_DEADLINE) + KILL_GRACE;
         let answer_after = until_kill - ANSWER_MARGIN;
         let read_for = READ_PERIOD.min(answer_after - READ_MARGIN);
         Shutdown {
             signalled_at,
-            listen_until: signalled_at + LISTEN.min(read_for),
+            listen_until: signalled_at + LISTEN_PERIOD.min(read_for),
             read_until: signalled_at + read_for,
             answer_by: signalled_at + answer_after,
             exit_at: signalled_at + until_kill - EXIT_MARGIN,
         }
     }
 
-    /// The earlier of two timelines, step by step.
+    /// The earlier time of the two timelines for each step.
     pub fn earlier(self, other: Shutdown) -> Shutdown {
         Shutdown {
             signalled_at: self.signalled_at,
@@ -63,7 +66,8 @@
     }
 }
 
-/// The longest deadline of the methods in the settings; what counts at most where none is told.
+/// The longest deadline of the methods in the settings; a method without a deadline counts as
+/// `MAX_DEADLINE`.
 pub fn longest_deadline(deadlines: impl Iterator<Item = Option<Nanos>>) -> Nanos {
-    deadlines.map(|told| told.unwrap_or(DEADLINE_MOST)).max().unwrap_or(DEADLINE_MOST)
+    deadlines.map(|deadline| deadline.unwrap_or(MAX_DEADLINE)).max().unwrap_or(MAX_DEADLINE)
 }
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,41 +1,43 @@
-//! What is to happen when: a heap of times. Nothing is looked for in the middle of it: a timer that no longer
-//! means anything is dropped when it comes first, and whoever gets one all the same passes it over.
+//! A timer queue: a binary heap ordered by time. Timers can't be removed from its middle. A stale
+//! timer is discarded when it reaches the front, and the receiver ignores one that is handed out
+//! nevertheless.
 
 use martenramp::host::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timers of type `T`, handed back in order of time, then of setting.
+/// Timers of type `T`, returned in order of their time, then in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Nanos, u64, T)>>,
-    set: u64,
+    last_sequence: u64,
 }
 
 impl<T: Ord> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), last_sequence: 0 }
     }
 }
 
 impl<T: Ord> Timers<T> {
-    pub fn set(&mut self, at: Nanos, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, what)));
+    pub fn set(&mut self, at: Nanos, event: T) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse((at, self.last_sequence, event)));
     }
 
+    /// The time of the first timer.
     pub fn next_due(&self) -> Option<Nanos> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes out the first timers for as long as they are stale.
+    /// Removes timers from the front for as long as they are stale.
     pub fn discard_stale(&mut self, stale: impl Fn(&T) -> bool) {
-        while self.heap.peek().is_some_and(|Reverse((.., what))| stale(what)) {
+        while self.heap.peek().is_some_and(|Reverse((.., event))| stale(event)) {
             self.heap.pop();
         }
     }
 
-    /// The first timer that is due.
+    /// Removes and returns the first timer that is due.
     ///
     /// ```
     /// let mut timers = gateway::timers::Timers::default();
@@ -47,6 +49,6 @@
     /// ```
     pub fn pop_due(&mut self, now: Nanos) -> Option<T> {
         self.next_due().filter(|at| *at <= now)?;
-        self.heap.pop().map(|Reverse((.., what))| what)
+        self.heap.pop().map(|Reverse((.., event))| event)
     }
 }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -440,8 +440,8 @@
 #[test]
 fn services_that_make_no_sense_are_refused_by_their_key() {
     for (told, why) in [
-        ("7", "'services' is no object"),
-        ("{\"class\":{}}", "'services' knows no 'class'"),
+        ("7", "'services' is not an object"),
+        ("{\"class\":{}}", "'services' has an unknown key 'class'"),
         ("{\"separator\":\"::\"}", "'services.separator' is not one character: \"::\""),
         ("{}", "'services.classes' is missing"),
         (
@@ -450,11 +450,11 @@
         ),
         (
             "{\"classes\":{\"write\":\"a\"}}",
-            "'services.classes' names a class that the settings lack: \"write\"",
+            "'services.classes' names a class that is not in the settings: \"write\"",
         ),
         (
             "{\"classes\":{\"read\":\"a/b\",\"submit\":\"b\",\"verify\":\"b\"}}",
-            "'services.classes.read' is no name of a service: \"a/b\"",
+            "'services.classes.read' is not a service name: \"a/b\"",
         ),
     ] {
         assert_eq!(services(told).unwrap_err(), why);
