--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! Ties the module to its peers: takes what the state machines find to the module, and carries out what the
-//! module asks for. It decides nothing.
+//! Connects the decision module to clients, servers, discovery and the counter: passes their events
+//! to the module and carries out what it asks for. It makes no decisions of its own.
 
 use crate::clients::{self, Client, Got};
 use crate::config::Config;
@@ -37,33 +37,39 @@
 mod sweep;
 
 const MS: Nanos = 1_000_000;
-/// An RPC's deadline is taken as so much sooner than its client tells, for the way here and a turn of the loop.
+/// An RPC's deadline is set this much earlier than its client states, for the time in transit and a
+/// turn of the event loop.
 const MARGIN: Nanos = 5 * MS;
-/// An RPC that has no answer so long after its deadline is answered without the module.
+/// An RPC without an answer this long after its deadline is answered without the module.
 const OVERDUE: Nanos = 2 * MS;
-/// What is idle, silent or slow is looked for so often.
+/// Interval of the sweep for idle, silent and slow connections.
 const SWEEP: Nanos = 250 * MS;
-/// For how long a connection that this side ended is read on, until its client closes it too.
+/// How long input is still read after this side has shut down sending, until the client closes as
+/// well.
 const LINGER: Nanos = 500 * MS;
-/// Descriptors that are neither clients' nor servers' (poll, signals, logs, list, counter), and some spare.
+/// Descriptors for everything but clients and servers (poll, signals, logs, list, counter), and
+/// some spare.
 const OTHERS: usize = 24;
-/// Of all descriptors, the part kept for connections that are taken only to push back what they bring.
+/// Divisor of the share of all descriptors that is reserved for connections accepted only to reject
+/// what they send.
 const SPARES: usize = 32;
-/// The clients' part of the descriptors, in tenths.
+/// The clients' share of the remaining descriptors, in tenths.
 const CLIENTS_TENTHS: usize = 6;
-/// What of the counter may wait in a buffer.
+/// Limit of the input buffer of a connection to the counter.
 const OTHER_INPUT: usize = 64 << 10;
-/// What of the watch may wait: more than a head, and no more than can be read in a small part of a turn.
+/// Limit of the input buffer of the watch: more than a head, and no more than can be processed in a
+/// small part of a turn.
 const LIST_INPUT: usize = HEAD_MOST + (8 << 10);
-/// Of the memory, the parts that may be taken: by all clients' buffers, all servers', and the entries of a list that is
-/// coming in.
+/// Divisors of the shares of the memory that may be taken by the buffers of all clients, the
+/// buffers of all servers, and the entries of an incoming list.
 const CLIENTS_MEMORY: usize = 3;
 const LINKS_MEMORY: usize = 3;
 const LIST_MEMORY: usize = 4;
-/// A turn may last this part of the shortest deadline while the process keeps up.
+/// A turn may last this fraction of the shortest deadline, but at least `MIN_TURN_LIMIT`, while the
+/// process keeps up.
 const TURN_SHARE: Nanos = 10;
 const TURN_LEAST: Nanos = 10 * MS;
-/// So many times a client that sends on is read before an attempt is written for it.
+/// How often a client that keeps sending is read before an attempt is written for it.
 const LOOKS: usize = 16;
 const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + 1024;
 
@@ -73,7 +79,7 @@
     Wake(u32),
     CallOut(usize, u32, u16),
     Dial(usize),
-    /// An attempt that was put off is to be written on this connection.
+    /// A deferred attempt is to be written on this connection.
     Write(usize),
     Count(usize, u64),
     Overdue(u32),
@@ -85,13 +91,14 @@
     LastCall,
     Exit,
     Agree,
-    /// More of a list is to be brought into force.
+    /// The next batch of a list update is to be applied.
     Changes,
-    /// There is work on the module's subsets.
+    /// There is work on the subsets of the module.
     Subsets,
 }
 
-/// Where an RPC stands here: with the module, out at a server, or answered while a call-out is still out.
+/// The state of an RPC: with the module, at a server, or answered. An answered RPC may still have
+/// an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RpcState {
     Held,
@@ -99,44 +106,44 @@
     Answered,
 }
 
-/// An object of the list that waits for its turn.
+/// An object of the list that is waiting to be applied.
 enum Pending {
-    /// As discovery told it.
+    /// As received from discovery.
     Told(Told),
-    /// What is to be taken of one.
+    /// Reduced to what may be applied.
     Judged(Told),
 }
 
 struct Rpc {
     state: RpcState,
-    /// Whose buffer holds the message, as long as that client is there.
+    /// The client whose input buffer holds the message, for as long as it is connected.
     client: usize,
     message: clients::Rpc,
-    /// When its message was read.
+    /// When the message was read.
     since: Nanos,
     deadline: Nanos,
     call_outs: u16,
     open: bool,
-    /// How often it may run, and when the first attempt began that may have run.
+    /// How often it may run, and when the first attempt that may have run began.
     effect: RetrySafety,
     first_run: Option<Nanos>,
-    /// Some of it was written to a server.
+    /// Part of it was written to a server.
     written: bool,
     id: Box<[u8]>,
 }
 
-/// Reads the configuration once more.
+/// Reads the configuration again.
 pub type ConfigReader = Box<dyn Fn() -> Result<Config, String>>;
 
 pub struct Gateway {
     brain: Brain,
     read_again: ConfigReader,
     host: PolicyHost,
-    /// Where the settings have a version.
+    /// Present if the settings have a version.
     agreement: Option<settings_agreement::AgreementLink>,
 }
 
-/// All but the module: its `Host`.
+/// The [`Host`] of the module: everything but the module itself.
 struct PolicyHost {
     config: Config,
     net: Net,
@@ -145,64 +152,68 @@
     clients: BTreeMap<usize, Client>,
     rpcs: HashMap<u32, Rpc>,
     last_rpc: u32,
-    /// Ids of the RPCs held here, as their clients gave them.
+    /// Transaction ids, as given by clients, of the RPCs in `rpcs`.
     ids: HashSet<Box<[u8]>>,
     open_rpcs: usize,
     servers: Servers,
     links: BTreeMap<usize, Link>,
-    /// Connections that stand and have been asked to carry an attempt; it is written when the turn's bytes go out.
+    /// Established connections that were given an attempt; it is written at the end of the turn.
     to_write: VecDeque<usize>,
     watch: Watch,
     watch_on: Option<usize>,
-    /// The watch that is on has been answered.
+    /// The current watch was answered.
     watching: bool,
-    /// The watch at the address that an earlier configuration told, heeded until the one at the new speaks.
+    /// The watch at the address in the previous configuration, used until the one at the new
+    /// address is answered.
     old_watch: Option<(usize, Watch)>,
-    /// Objects of the list that came and are not in force yet, and the one that is being brought into force.
+    /// Received objects of the list that are not applied yet, and the update that is being applied.
     pending: VecDeque<Pending>,
     changes: Option<ListUpdate>,
-    /// A timer is set for the next batch of them.
+    /// A timer is set for the next batch of the update.
     goes_on: bool,
     /// When the first timer for work on subsets is due.
     subsets_awaited: Option<Nanos>,
-    /// Two sets: the one from `lines_from` on is used; the other's lines, where they stand, only end what they carry.
+    /// Two sets of connections to the counter. The set that starts at `active_counter_set` is in
+    /// use; connections of the other one only finish their calls.
     lines: [Line; 2 * counter::LINES],
     lines_on: [Option<usize>; 2 * counter::LINES],
     lines_again: [Nanos; 2 * counter::LINES],
     lines_from: usize,
     moved_at: Nanos,
     last_call: u64,
-    /// How often each invariant was looked at, kept and broken.
+    /// How often each invariant was checked, upheld by the guard and violated.
     counts: Counts,
-    /// Ends that the module is to be told of.
+    /// Ended attempts that are not yet reported to the module.
     ended: VecDeque<Ended>,
+    /// Ended calls to the counter that are not yet reported to the module.
     counted: VecDeque<(Call, End, f64)>,
-    /// Clients whose buffer may hold a further message.
+    /// Clients whose input buffer may hold another message.
     again: VecDeque<usize>,
     has_list: bool,
-    /// Since SIGTERM.
+    /// Set from SIGTERM on.
     shutdown: Option<Shutdown>,
-    /// The longest deadline that the configuration file told when it was read again.
+    /// The longest deadline in the configuration file when it was last reloaded.
     file_deadline: Option<Nanos>,
-    /// The process ends with this turn.
+    /// The process exits after this turn.
     exits: bool,
     listens: bool,
     accepts_again: bool,
-    /// When accepting is tried again, if it is to be.
+    /// When accepting is retried, if it is scheduled.
     accepts_at: Option<Nanos>,
-    /// When there was no place for a new client last.
+    /// When a new client last found no place.
     crowded_at: Option<Nanos>,
-    /// Whether a new connection is silent that gives way soon, as of the last look at all; until when none is looked for, by
-    /// whom it is for; and how many connections have been served.
+    /// Whether the last scan of all clients found a new connection that has sent nothing and can be
+    /// evicted soon; until when eviction is not retried, by purpose; and how many connections were
+    /// served.
     silent_wait: bool,
     nobody_gives_way_until: [Nanos; 2],
     clients_served: usize,
-    /// Since when there are more that wait to be accepted than there were places for.
+    /// Since when more connections wait to be accepted than there are places.
     behind_since: Option<Nanos>,
     clients_most: usize,
     spares: usize,
     links_most: usize,
-    /// Bytes of clients' buffers beyond which no more is taken in.
+    /// Limit of the total size of clients' buffers; beyond it nothing more is admitted.
     held_most: usize,
     rpcs_most: usize,
     dial: Nanos,
@@ -210,19 +221,21 @@
     count_wait: Nanos,
     directory: Directory,
     columns: Vec<String>,
-    /// Whether discovery pushes its lists, so that asking costs it nothing.
+    /// Whether discovery pushes its lists, so that a request costs it nothing.
     pushed: bool,
-    /// How many gateways there are, as far as the settings tell.
+    /// The number of gateways, according to the settings.
     fleet: u32,
-    /// New work to a server must stop so long after its drain was told.
+    /// New work to a server must stop this long after its drain was announced.
     stop_within: Nanos,
-    /// When this turn began, and how far [`PolicyHost::catch_up`] has moved its time on since.
+    /// When this turn began, and how far [`PolicyHost::catch_up`] has advanced its time since.
     woke_at: Instant,
     caught_up: Nanos,
-    /// How long the turn before this one lasted, and the longest that one may last while the process keeps up.
+    /// Duration of the previous turn, and the longest that a turn may take while the process keeps
+    /// up.
     last_turn: Nanos,
     turn_most: Nanos,
-    /// For rests that must not be in step with other gateways'; the module has a source of its own.
+    /// Random numbers for delays that must not be in step with those of other gateways; the module
+    /// has its own source.
     chance: fastrand::Rng,
 }
 
@@ -307,8 +320,9 @@
         &mut self.host.net
     }
 
-    /// Begins with the list held from before; discovery and the counter may be down. With a list the watch is asked for
-    /// after a rest, since most of the fleet may start at this moment.
+    /// Starts with the list stored from an earlier run; discovery and the counter may be down. If
+    /// there is such a list, the watch is opened after a delay, because most of the fleet may be
+    /// starting at the same time.
     fn start(&mut self, now: Nanos) {
         (self.host.net.now, self.host.woke_at) = (now, Instant::now());
         self.begin_to_agree();
@@ -328,7 +342,8 @@
             "clients_most" => self.host.clients_most, "links_most" => self.host.links_most);
     }
 
-    /// When to turn next. Timers whose cause is over are dropped as they come first, so that they wake nobody.
+    /// The time of the next turn. Timers that no longer apply are discarded when they reach the
+    /// front, so that they cause no wakeup.
     fn next_turn(&mut self) -> Option<Nanos> {
         let PolicyHost { timers, links, rpcs, lines, .. } = &mut self.host;
         timers.discard_stale(|what| match what {
@@ -345,8 +360,10 @@
         self.begin_shutdown();
     }
 
-    /// SIGHUP: discovery and the counter are where the file says now; settings with a version hold from their time on; all
-    /// else is for the next start. The list, calls and RPCs go on. Guards against a file that can't be read: the old one stays. Harm: so does a mistake in it.
+    /// SIGHUP: the addresses of discovery and the counter change at once; settings with a version
+    /// apply from their start time; everything else needs a restart. The list, calls and RPCs
+    /// continue. If the file can't be read, the old configuration stays in use; so it also does
+    /// after a mistake in the file.
     fn reload(&mut self) {
         let host = &mut self.host;
         if !descriptor_is_left() {
@@ -376,10 +393,11 @@
         self.shorten_shutdown();
     }
 
-    /// A list's next batch goes before all that the turn brings: what is sent to a server in this turn is written in it.
+    /// Applies the next batch of a list before anything else in the turn, since attempts of this
+    /// turn are written in it.
     fn woke(&mut self) {
         let host = &mut self.host;
-        // The driver takes the last turn to have begun at the time that was told then.
+        // The driver assumes that the last turn began at the time that it reported then.
         host.net.late += std::mem::take(&mut host.caught_up);
         host.last_turn = host.net.late;
         host.woke_at = Instant::now();
@@ -414,8 +432,9 @@
         let since = self.host.connected_since(id);
         let client = Client { since, spare, ..Client::default() };
         self.host.clients.insert(id, client);
-        // What it sent behind its connection may have waited as long as that did, which is known now and not in the turn
-        // that would read it.
+        // Data that the client sent right after connecting may have waited as long as the
+        // connection did. That time is known now, and no longer in the turn that would read the
+        // data.
         self.host.net.read(id, false);
         self.host.again.push_back(id);
     }
@@ -437,7 +456,7 @@
         self.host.shed()
     }
 
-    /// A connection that was begun here stands.
+    /// A connection opened by the gateway is established.
     fn up(&mut self, id: usize) {
         let PolicyHost { net, links, to_write, lines, watch, watch_on, .. } = &mut self.host;
         let now = net.now;
@@ -454,12 +473,12 @@
         }
     }
 
-    /// All or some of what waited for a connection is written.
+    /// Some or all of the output of a connection was written.
     fn wrote(&mut self, id: usize) {
         self.host.client_wrote(id);
     }
 
-    /// Bytes came in, or the connection ended.
+    /// Bytes were received, or the connection ended.
     fn came(&mut self, id: usize) {
         match self.host.net.peer(id) {
             Some(Peer::Client) => self.client_came(id),
@@ -470,7 +489,7 @@
         }
     }
 
-    /// Timers that are due; true if connections may be accepted again.
+    /// Handles due timers; true if connections may be accepted again.
     fn due(&mut self) -> bool {
         let now = self.host.net.now;
         while let Some(what) = self.host.timers.pop_due(now) {
@@ -495,7 +514,7 @@
                 TimerEvent::LastCall => self.host.close_clients(true),
                 TimerEvent::Exit => self.exit(),
                 TimerEvent::Agree => self.agree(),
-                TimerEvent::Changes => {} // the turn has begun with it
+                TimerEvent::Changes => {} // handled at the start of the turn
                 TimerEvent::Subsets => self.work_on_subsets(),
             }
             self.settle();
@@ -509,14 +528,15 @@
             if self.client_stays(id) {
                 self.host.write_attempt(id);
             } else {
-                // Timers are looked at once a turn, so this is for the next one.
+                // Timers are checked once per turn, so this one is due in the next turn.
                 self.host.timers.set(self.host.net.now + MS, TimerEvent::Write(id));
             }
             self.settle();
         }
     }
 
-    /// Tells the module of all that has ended, until nothing more comes of it.
+    /// Reports all ended attempts and counter calls to the module and reads the remaining clients,
+    /// until nothing is left.
     fn settle(&mut self) {
         let now = self.host.net.now;
         loop {
@@ -600,21 +620,23 @@
 }
 
 impl PolicyHost {
-    /// Moves the turn's time on to what it is by now. Guards against telling a server more time than is left, and against
-    /// attempts whose time passed while the turn lasted. Harm: the time is read once more for each attempt.
+    /// Advances the time of the turn to the current time. Otherwise a server could be given more
+    /// time than is left, and attempts could be written whose time ran out during the turn. The
+    /// cost: one clock read per attempt.
     fn catch_up(&mut self) {
         let further = self.turn_lasted();
         self.caught_up += further;
         self.net.now += further;
     }
 
-    /// How far the time has moved on since the turn's.
+    /// How far the current time is ahead of the time of the turn.
     fn turn_lasted(&self) -> Nanos {
         (self.woke_at.elapsed().as_nanos() as Nanos).saturating_sub(self.caught_up)
     }
 
-    /// Begins a connection. Guards against descriptors that others fill (idle clients, or whatever else the process was
-    /// given): an idle connection gives way. Harm: a client that rested opens another one.
+    /// Opens a connection. If descriptors run out (held by idle clients, or by whatever else the
+    /// process was given), an idle connection is closed for it. The cost: an idle client has to
+    /// reconnect.
     fn connect(&mut self, address: SocketAddr, peer: Peer, most: usize) -> io::Result<usize> {
         match self.net.connect(address, peer, most) {
             Err(e) if out_of_descriptors(&e) && self.shed() => self.net.connect(address, peer, most),
@@ -631,7 +653,7 @@
         }
     }
 
-    /// Every change of where an RPC stands goes through here, and so does its end.
+    /// Changes the state of an RPC, including its end; every such change goes through here.
     fn shift(&mut self, id: u32, to: RpcState) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let was = std::mem::replace(&mut rpc.state, to);
@@ -649,7 +671,7 @@
         }
     }
 
-    /// The servers that connections lead to.
+    /// The servers that there are connections to.
     fn met(&self) -> impl Iterator<Item = &Server> {
         let numbers: BTreeSet<u32> = self.links.values().map(|link| link.server).collect();
         numbers.into_iter().filter_map(|number| self.servers.by_number.get(&number))
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -1,16 +1,17 @@
-//! The gateway's side of clients: RPCs handed to the module, and the one answer each gets.
+//! Handles client connections: passes RPCs to the module and writes the one answer to each.
 
 use super::*;
 
-/// Why a client's connection ended: it left before it had its answer.
+/// Reason code: the client closed its connection before it had its answer.
 pub(super) const LEFT: &str = "left-before-answer";
 
 impl Gateway {
     pub(super) fn client_came(&mut self, id: usize) {
         let Some(client) = self.host.clients.get_mut(&id) else { return };
         let length = self.host.net.input(id).len();
-        // Guards against messages that waited here unread for longer than the last turn lasted: for a place, or while the
-        // process had no processor. Harm: a call of the system for each message.
+        // Accounts for messages that were in the socket buffer for longer than the last turn,
+        // because the connection was not accepted yet or the process had no processor time. The
+        // cost: one system call per message.
         let begins = client.reads.is_empty() && length > 0;
         let unread_for = if begins { self.host.net.unread_for(id).unwrap_or(0) } else { 0 };
         let came = self.host.net.now.saturating_sub(self.host.net.late.max(unread_for));
@@ -19,22 +20,25 @@
             let length = self.host.net.input(id).len();
             self.host.net.used(id, length);
         } else if let Some((_, length)) = client.phase.pending_rpc().filter(|_| self.host.net.is_full(id)) {
-            // Guards against a client whose leaving lies behind what it sent in the meantime, so that its RPC would wait
-            // on for nobody. Covers floods. Harm: one that sends on before its answer has to open another connection.
+            // Drops excess pipelined input, so that the close of a client that floods is noticed
+            // behind it; otherwise its RPC would be processed for nobody. The cost: a client that
+            // keeps sending before its answer has to reconnect.
             client.floods = true;
             self.host.net.keep(id, length);
         } else if client.phase.is_reading()
             && !self.host.net.input(id).is_empty()
             && self.host.net.is_sent(id)
         {
-            // The answer before this message is out: one that reads none can't fill the buffer with them.
+            // The previous answer is fully written, so a client that does not read its answers
+            // can't fill the output buffer.
             let found = client.look(&self.host.config, came, self.host.net.input(id));
             if matches!(found, Ok(Got::Rpc(_) | Got::Ready(_) | Got::Healthy(_))) {
                 self.host.claim_place(id);
             }
             match found {
-                // Guards the memory against many long messages at once; servers' buffers have a part of their own.
-                // Harm: a long message is turned away that might have found room a little later.
+                // Limits the memory for many long messages at once; buffers for servers have a
+                // separate share. The cost: a long message is rejected that might have been
+                // accepted a little later.
                 Ok(Got::Part) if self.host.net.held > self.host.held_most => {
                     self.host.refuse(id, 503, "no-memory")
                 }
@@ -70,7 +74,7 @@
         let own: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
         let spare = self.host.clients.get(&client).is_some_and(|client| client.spare);
         if self.host.open_rpcs >= self.host.rpcs_most || spare || self.host.net.held > self.host.held_most {
-            // No room for more: what is refused here never reached the module.
+            // At the limit: an RPC that is rejected here never reached the module.
             self.host.log_turned_away(&own, 503, "no-room");
             self.host.answer_own(client, 503, end, "");
             return;
@@ -81,7 +85,8 @@
             return self.host.answer_own(client, 503, end, "");
         }
         if !self.host.ids.insert(own.clone()) {
-            // Guards against one client's answer going by another's id. Harm: none, ids are fresh on every RPC.
+            // Two RPCs with the same transaction id could get each other's answer. Clients are not
+            // affected: they use a new id for each RPC.
             return self.host.refuse(client, 409, "duplicate-id");
         }
         let (id, method) = (self.host.fresh_rpc(), message.method);
@@ -118,7 +123,8 @@
         self.brain.rpc(&mut self.host, now, &arrival);
     }
 
-    /// Guards against an RPC that neither the module nor a time-out has ended; nothing else should come here.
+    /// Answers an RPC that neither the module nor a timeout has ended. This is not expected to
+    /// happen.
     pub(super) fn overdue(&mut self, id: u32) {
         if self.host.rpcs.get(&id).is_some_and(|rpc| rpc.state != RpcState::Answered) {
             warn!(self.host.log, "overdue"; "rpc" => id);
@@ -128,10 +134,12 @@
         }
     }
 
-    /// A last look at the client for whom an attempt is about to be written on this connection: whether all that it sent by
-    /// now is read, and with it its leaving. Guards against a close that lies unread: it came while the turn lasted, behind
-    /// what others sent, or behind bytes of its own. Covers busy turns, small parts of a core and floods. Harm: a read for
-    /// each attempt; one whose client sends on without end is put off until its time is over.
+    /// Reads from the client of the attempt that is about to be written on this connection; true if
+    /// the client is still connected and all that it has sent was read. Finds a close that is still
+    /// unread because it arrived during the turn, after the input of other clients, or after more
+    /// data of the same client. Covers busy turns, small CPU shares and floods. The cost: one read
+    /// per attempt; the attempt of a client that never stops sending is deferred until its time is
+    /// over.
     pub(super) fn client_stays(&mut self, link: usize) -> bool {
         let attempt = self.host.links.get(&link).and_then(Link::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
@@ -160,7 +168,7 @@
 }
 
 impl PolicyHost {
-    /// The one final answer of an RPC, when it is the gateway's own.
+    /// Gives an RPC its final answer from the gateway itself.
     pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes(rpc));
@@ -171,7 +179,7 @@
         self.answered(id, client, close);
     }
 
-    /// Whether the answer to an RPC is the last on its connection.
+    /// Whether the connection closes after the answer to an RPC.
     pub(super) fn closes(&self, rpc: &Rpc) -> bool {
         let floods = self.clients.get(&rpc.client).is_some_and(|client| client.floods);
         rpc.message.close
@@ -180,7 +188,8 @@
             || self.gives_its_place(rpc.client, rpc.message.body.end)
     }
 
-    /// An RPC's answer was put into its client's buffer; it is owed until all of it is out.
+    /// Called when the answer to an RPC is in the client's output buffer; it is owed until it is
+    /// fully written.
     pub(super) fn answered(&mut self, id: u32, client: usize, close: bool) {
         let rpc = self.rpcs.get(&id).map(|rpc| (rpc.id.clone(), rpc.deadline));
         let (txn, deadline) = rpc.unzip();
@@ -206,7 +215,8 @@
         self.net.used(client, length);
     }
 
-    /// Some of what waited for a client was written; once that is all, its answer is no longer owed.
+    /// Called when output for a client was written; once its answer is fully written, it is no
+    /// longer owed.
     pub(super) fn client_wrote(&mut self, id: usize) {
         let (now, sent) = (self.net.now, self.net.is_sent(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
@@ -228,7 +238,7 @@
         }
     }
 
-    /// An answer of the gateway's own to a message that is no RPC of the module's; `lines` are further header lines.
+    /// Answers a message that did not reach the module; `lines` are additional header lines.
     pub(super) fn answer_own(&mut self, client: usize, status: u16, length: usize, lines: &str) {
         let spare = self.clients.get(&client).is_some_and(|client| client.spare);
         let (now, stopping) = (self.net.now, self.is_stopping());
@@ -247,7 +257,7 @@
         }
     }
 
-    /// Answers what can't be taken and closes.
+    /// Answers a message that can't be accepted, and closes the connection.
     pub(super) fn refuse(&mut self, client: usize, status: u16, why: &'static str) {
         if let Some(out) = self.net.out(client) {
             clients::write_own(out, status, 0, true);
@@ -259,8 +269,9 @@
         }
     }
 
-    /// Ends a client's connection; the one place where that is done. What owes an answer is ended by its client alone, or
-    /// if that reads none of it: then it stays, and false is told.
+    /// Closes a client's connection; this is the only place where that is done. While an answer is
+    /// owed, only the client's own close or the write timeout ends the connection; otherwise it
+    /// stays open and the result is false.
     pub(super) fn end_client(&mut self, id: usize, end: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
         if !client.phase.permits_close(end) {
@@ -277,8 +288,9 @@
         true
     }
 
-    /// A last look before this side ends a connection without an RPC: whether nothing more has come that is still to be
-    /// served. What had arrived by now is; what comes later crosses the end, was not read before it and is never sent on.
+    /// Reads once more before this side closes a connection without an RPC; true if no new input
+    /// arrived. Input received by now is served. Anything later crosses the close; it was not read
+    /// and is never forwarded.
     pub(super) fn rests(&mut self, id: usize) -> bool {
         let inside = self.clients.get(&id).filter(|client| client.partial);
         let before = inside.map_or(0, |client| client.looked_at);
@@ -290,8 +302,8 @@
         rests
     }
 
-    /// Ends this side's sending on a resting client; what it still sends is discarded until it closes, too, so that no
-    /// unread bytes make a reset of the close.
+    /// Shuts down sending to an idle client. Its further input is discarded until it closes as
+    /// well, so that unread bytes do not turn the close into a reset.
     pub(super) fn finish_client(&mut self, id: usize, why: &'static str) {
         if !self.rests(id) {
             return;
@@ -303,8 +315,9 @@
         }
     }
 
-    /// While this program stops: ends this side's sending on resting clients. Those that have not said anything yet and
-    /// those inside a message get until the last call, when what is not whole is pushed back: it never reached the module.
+    /// During a shutdown: shuts down sending to idle clients. Connections that have sent nothing,
+    /// and those within a message, stay open until reading stops; then an incomplete message is
+    /// rejected, as it never reached the module.
     pub(super) fn close_clients(&mut self, last: bool) {
         let open = self.clients.iter().filter(|(_, client)| client.phase.is_reading());
         let ids: Vec<usize> = open.map(|(id, _)| *id).collect();
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -1,30 +1,35 @@
-//! The gateway's side of making room: which connections give way when descriptors run out (`eviction`).
+//! Limits the number of connections: accepts new clients, and closes idle connections when
+//! descriptors run out. The order of eviction is in [`eviction`].
 
 use super::*;
 use crate::eviction::{EvictFor, IdleState};
 
-/// For so long after the last time that no place was left for a new client, others are taken to wait for one.
+/// For this long after a new client found no place, others are assumed to be waiting for one.
 const CROWDED: Nanos = 1_000 * MS;
-/// How soon at the earliest accepting is tried again, and room looked for where there was none.
+/// Minimum delay before accepting is retried, and before eviction is retried after it found
+/// nothing.
 const ACCEPT_SOONEST: Nanos = MS;
-/// So many connections whose turn it is are looked at for one place: of a crowd that all speak at once nobody gives way.
+/// How many candidates are tried per eviction: where all of a crowd are sending, none can be
+/// evicted.
 const TRIED_MOST: usize = 8;
 
 impl PolicyHost {
-    /// Whether one more client can be taken, if need be for one that only holds its place.
+    /// Whether one more client can be accepted, if necessary only to reject what it sends.
     pub(super) fn has_room_for_client(&mut self) -> bool {
         let taken = self.clients.len();
         if taken < self.clients_most || self.shed_client(EvictFor::NewConnection) {
             return true;
         }
         self.crowded_at = Some(self.net.now);
-        // Where a place is free in a moment, whoever came is better served then than turned away now.
+        // If a place becomes free in a moment, it is better for the new client to wait than to be
+        // rejected now.
         !self.silent_wait && taken < self.clients_most + self.spares
     }
 
-    /// Since when a connection that is taken now counts as silent: where accepting was behind, since it came up or data came
-    /// last. Guards against a crowd that holds places for its 10 ms each though it had waited far longer. Harm: a client that
-    /// sends in this very moment gives way first.
+    /// Since when a connection that is accepted now counts as silent. If accepting was behind, that
+    /// is since it was established or last sent data. Otherwise each of a crowd that has waited far
+    /// longer would hold its place for another 10 ms. The cost: a client that sends at this very
+    /// moment may be evicted first.
     pub(super) fn connected_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
         let Some(behind_since) = self.behind_since else { return now };
@@ -32,7 +37,8 @@
         now.saturating_sub(unread_for).max(behind_since)
     }
 
-    /// Accepting is tried again when the next silent connection gives way, or after a while; once, however many wait.
+    /// Schedules a retry of accepting for when the next silent connection can be evicted, or after
+    /// a delay; only one retry, however many connections wait.
     pub(super) fn accept_later(&mut self) {
         let now = self.net.now;
         self.behind_since.get_or_insert(now);
@@ -45,13 +51,13 @@
         }
     }
 
-    /// A timer for accepting is due: whether it is the one that counts.
+    /// Whether a due timer for accepting is the one in effect.
     pub(super) fn accepts_now(&mut self) -> bool {
         self.accepts_at.take_if(|at| *at <= self.net.now).is_some()
     }
 
-    /// A client on a spare place has spoken: it has a place of its own if there is one by now, or if those that were served
-    /// hold more than their part.
+    /// A client in a spare place has sent a message. It gets a regular place if one is free by now,
+    /// or if connections that were served before hold more than their share.
     pub(super) fn claim_place(&mut self, id: usize) {
         if !self.clients.get(&id).is_some_and(|client| client.spare) {
             return;
@@ -68,8 +74,9 @@
         self.shed_link() || self.shed_client(EvictFor::Required)
     }
 
-    /// Closes the client whose turn it is to give way. What has come from one by now is served first: of a resting one, any
-    /// byte; of one inside a message, more of it. Where nobody gave way just now nobody is looked for: that is a look at all.
+    /// Evicts the next client that can be evicted. Input received by now is served first: any byte
+    /// from an idle client, more of the message from one within a message. After a failure this is
+    /// not retried for a moment, as it scans all clients.
     fn shed_client(&mut self, to: EvictFor) -> bool {
         let now = self.net.now;
         let none_until = &mut self.nobody_gives_way_until[to as usize];
@@ -88,7 +95,8 @@
         gave_way
     }
 
-    /// Whether nothing has come on a connection that is still to be served. What comes after this side's end is not.
+    /// Whether a connection has no unread input that is still to be served. Input after this side
+    /// shut down sending is not.
     fn is_quiet(&mut self, id: usize) -> bool {
         let ending = self.clients.get(&id).is_some_and(|client| client.phase.is_closing());
         if ending {
@@ -97,9 +105,9 @@
         ending || self.rests(id)
     }
 
-    /// Whether a connection ends with its answer so that those who wait for a place have their part. Guards against
-    /// connections that were served before and never let one of a crowd in, and against closing them under their next
-    /// request instead. Harm: such a client connects again.
+    /// Whether a connection closes after its answer so that waiting clients get their share of
+    /// places. Otherwise connections that were served before would never make room for a crowd, or
+    /// would be closed during their next request. The cost: such a client has to reconnect.
     pub(super) fn gives_its_place(&self, client: usize, length: usize) -> bool {
         let crowded = self.crowded_at.is_some_and(|at| self.net.now < at + CROWDED);
         crowded
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -1,4 +1,4 @@
-//! The gateway's side of the counter: a connection for each call.
+//! Handles the connections to the counter and assigns calls to them.
 
 use super::*;
 
@@ -13,7 +13,8 @@
         }
     }
 
-    /// The connection for a call: where its name is out, else the one with the least out.
+    /// The connection for a call: the one with another call for the same name in flight, otherwise
+    /// the one with the fewest calls.
     pub(super) fn line_for(&mut self, name: u64) -> Option<usize> {
         let carries = self.lines.iter().position(|line| line.carries(name));
         let now = self.net.now;
@@ -37,12 +38,13 @@
         Some(line)
     }
 
-    /// The counter is elsewhere now. Calls go there; those that are out end where they are, and a name stays there for
-    /// as long as one of its calls is out, so that its answers keep their order.
+    /// The counter has moved. New calls go to the new address; calls in flight finish at the old
+    /// one, and a name stays there for as long as one of its calls is in flight, so that its
+    /// answers keep their order.
     pub(super) fn move_lines(&mut self) {
         (self.lines_from, self.moved_at) = (counter::LINES - self.lines_from, self.net.now);
         for line in self.lines_from..self.lines_from + counter::LINES {
-            self.line_broke(line, "moved"); // left from the time before
+            self.line_broke(line, "moved"); // from before the previous move
             self.lines_again[line] = 0;
         }
     }
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -1,14 +1,16 @@
-//! The gateway's side of discovery: the watch is kept up, and the module and the pools hear what it tells.
+//! Handles discovery: keeps the watch open, and applies its lists to the module and the connection
+//! pools.
 
 use super::*;
 use crate::start_times;
 use martenramp::host::Listed;
 
-/// The part of a subset's work that one turn does: about a quarter of a millisecond.
+/// Work on subsets per turn: about a quarter of a millisecond.
 const SUBSET_UNITS_A_TURN: usize = 50_000;
 
 impl Gateway {
-    /// Bytes of a watch. While a list is brought into force no more is read: what comes waits at discovery's side.
+    /// Reads from a watch. While a list is being applied nothing more is read, and further data
+    /// waits at discovery.
     pub(super) fn list_came(&mut self, id: usize) {
         if self.host.takes_list() {
             return;
@@ -36,7 +38,7 @@
         }
     }
 
-    /// The list told by discovery, or held from before.
+    /// Receives a list from discovery, or the one stored from an earlier run.
     pub(super) fn told(&mut self, told: Told) {
         self.host.watch.index = told.index;
         if let Some(name) = &told.first_untold {
@@ -46,8 +48,8 @@
         self.bring_into_force();
     }
 
-    /// A change that was not told by the own discovery. It goes before what that told in the meantime and is yet to be
-    /// judged, since it is looked at then.
+    /// Queues a change that did not come from this gateway's own discovery. It is placed before the
+    /// received lists that are not filtered yet, since filtering them takes it into account.
     pub(super) fn list(&mut self, told: Told) {
         let pending = &mut self.host.pending;
         let told_at = pending.iter().position(|waits| matches!(waits, Pending::Told(_)));
@@ -55,7 +57,8 @@
         self.bring_into_force();
     }
 
-    /// The next batch is due, and once all is in force, what the watch said in the meantime.
+    /// Applies the next batch, and once the update is complete, reads what the watch received in
+    /// the meantime.
     pub(super) fn go_on_with_list(&mut self) {
         self.host.goes_on = false;
         self.bring_into_force();
@@ -70,8 +73,8 @@
         }
     }
 
-    /// Brings what waits into force, as far as the work of one turn goes. The first list is taken at once: without one
-    /// nothing can be sent anywhere.
+    /// Applies pending lists, as far as the work limit of one turn allows. The first list is
+    /// applied at once: without a list nothing can be sent to any server.
     fn bring_into_force(&mut self) {
         if self.host.goes_on {
             return;
@@ -96,8 +99,9 @@
         self.host.timers.set(self.host.net.now + 1, TimerEvent::Changes);
     }
 
-    /// Takes up the next object that waits; false if there is none. Where the fleet agrees, what is older than what is
-    /// known here, or would leave nothing, changes only what it may.
+    /// Starts the next pending update; false if there is none. Where gateways agree on lists, a
+    /// list that is older than what is known here, or that would leave no servers, is only applied
+    /// in part.
     fn begin_changes(&mut self) -> bool {
         let told = loop {
             match self.host.pending.pop_front() {
@@ -116,7 +120,7 @@
         true
     }
 
-    /// Tells the module and the pools of a batch.
+    /// Applies a batch to the module and the connection pools.
     fn apply(&mut self, batch: Batch) {
         let host = &mut self.host;
         let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
@@ -142,17 +146,17 @@
         self.await_subsets();
     }
 
-    /// Goes on with the module's subsets for this turn's part of the work.
+    /// Does this turn's share of the work on the subsets of the module.
     pub(super) fn work_on_subsets(&mut self) {
         self.host.subsets_awaited = None;
         self.brain.work_on_subsets(self.host.net.now, SUBSET_UNITS_A_TURN);
         self.await_subsets();
     }
 
-    /// Sets a timer for when there is work on subsets.
+    /// Sets a timer for the next work on subsets.
     fn await_subsets(&mut self) {
         let Some(due) = self.brain.subsets_due() else { return };
-        // Timers are looked at once a turn, so what is due now is for the next one.
+        // Timers are checked once per turn, so work that is due now is done in the next turn.
         let at = due.max(self.host.net.now + 1);
         if self.host.subsets_awaited.is_none_or(|awaited| at < awaited) {
             self.host.subsets_awaited = Some(at);
@@ -162,7 +166,7 @@
 }
 
 impl PolicyHost {
-    /// When a server started that the list names.
+    /// The start time of a listed server, by this process's clock.
     fn started_at(&self, listed: &Listed) -> Nanos {
         let stamp = listed.came_up;
         match self.servers.held(listed.key).filter(|held| held.stamp == stamp) {
@@ -174,12 +178,12 @@
         }
     }
 
-    /// Whether an object of the list has come and is not yet in force.
+    /// Whether a received list is not fully applied yet.
     pub(super) fn takes_list(&self) -> bool {
         self.changes.is_some() || !self.pending.is_empty()
     }
 
-    /// A list that took more than one turn leaves a line.
+    /// Logs a list whose application took more than one turn.
     fn log_turns(&self, done: &ListUpdate) {
         if done.turn_count() > 1 {
             info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
@@ -187,7 +191,7 @@
         }
     }
 
-    /// The watch is asked for after a rest of this gateway's own.
+    /// Opens the watch after a delay that differs between gateways.
     pub(super) fn watch_later(&mut self) {
         let (now, told) = (self.net.now, self.stop_within);
         let rest = self.watch.again(now, self.pushed, self.fleet, told, &mut self.chance);
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Discovery is elsewhere now. What the old watch tells until the new one speaks still counts.
+    /// Discovery has moved. The old watch stays in use until the new one is answered.
     pub(super) fn move_watch(&mut self) {
         let new = self.watch.anew();
         let watch = std::mem::replace(&mut self.watch, new);
@@ -235,7 +239,7 @@
         self.net.close(id);
     }
 
-    /// The list held stays; the watch is asked for again after a while.
+    /// Keeps the list held, and opens the watch again after a delay.
     pub(super) fn watch_broke(&mut self, id: usize, why: &'static str) {
         if self.old_watch.as_ref().is_some_and(|old| old.0 == id) {
             return self.end_old_watch(why);
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -1,13 +1,15 @@
-//! Where the invariants are looked at while the process runs: each break is counted and logged with the RPC's id.
+//! Checks the invariants at run time. Each violation is counted and logged with the transaction id
+//! of the RPC.
 
 use super::*;
 use crate::guard::Denial;
 
-/// An answer so long after the client's time only earns nothing; a later one is a lost RPC (the operators' standing test).
+/// An answer that is later than the client's deadline by at most this earns nothing but is allowed;
+/// a later one counts as a lost RPC (the operators' standing test).
 const ANSWER_SLACK: Nanos = 500 * MS;
 
 impl PolicyHost {
-    /// Counts what an invariant was found to be; a break is logged.
+    /// Counts the result of a check and logs a violation.
     fn check(&mut self, invariant: Invariant, holds: bool, txn: &[u8]) {
         if holds {
             return self.counts.record_held(invariant);
@@ -17,7 +19,7 @@
             "txn" => %String::from_utf8_lossy(txn));
     }
 
-    /// Counts what the guard said of an attempt that is about to be written.
+    /// Counts the verdict of the guard on an attempt that is about to be written.
     pub(super) fn count_send(&mut self, verdict: Result<(), Denial>) {
         match verdict {
             Err(obstacle) => self.counts.record_withheld(obstacle.invariant()),
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Asks the guard whether an RPC that was read now may begin.
+    /// Asks the guard whether an RPC that was just read may be admitted.
     pub(super) fn may_admit(&mut self, txn: &[u8], deadline: Nanos) -> bool {
         let lasted = self.turn_lasted();
         let begin = guard::AdmissionCheck {
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Asks the guard whether the module's refusal of an RPC is true. It withholds one that isn't, so that the RPC is
-    /// answered as failed.
+    /// Asks the guard whether the module may reject an RPC, which tells the client that retrying is
+    /// harmless. If the guard withholds the rejection, the RPC is answered as failed.
     pub(super) fn refusal_is_harmless(&mut self, id: u32) -> bool {
         let Some(rpc) = self.rpcs.get(&id) else { return true };
         let harmless = guard::may_reject(self.net.now, rpc.effect, rpc.first_run);
@@ -71,7 +73,7 @@
         harmless
     }
 
-    /// Looks at an answer as the last of it is out.
+    /// Checks an answer once it is fully written.
     pub(super) fn check_answer(&mut self, owed: &UnsentAnswer) {
         let Some(deadline) = owed.deadline else { return };
         let now = self.net.now + self.turn_lasted();
@@ -81,7 +83,8 @@
         self.check(Invariant::OneAnswer, true, &owed.txn);
     }
 
-    /// Looks at a client's connection as it ends. One that its client ended, or that reads nothing, owes nothing more.
+    /// Checks a client's connection when it is closed. A connection that the client closed, or that
+    /// it does not read from, owes no answer.
     pub(super) fn check_end_of_client(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         if let Some(owed) = client.phase.unsent_answer() {
@@ -93,7 +96,7 @@
         self.check(Invariant::OneAnswer, excused || !owes, &txn);
     }
 
-    /// An end was asked for that would have taken an answer with it.
+    /// Records that a close was withheld because it would have lost an answer.
     pub(super) fn withhold_end(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         let txn = self.txn_on(client);
@@ -101,7 +104,8 @@
         warn!(self.log, "end withheld"; "why" => end.reason(), "txn" => %String::from_utf8_lossy(&txn));
     }
 
-    /// Looks at what the process leaves as it ends: an RPC without an answer, and an answer that its client did not take.
+    /// Checks what is left when the process exits: RPCs without an answer, and answers that were
+    /// not fully written.
     pub(super) fn check_end_of_process(&mut self) {
         let clients: Vec<usize> = self.clients.keys().copied().collect();
         for id in clients {
@@ -115,7 +119,8 @@
         }
     }
 
-    /// The id of the RPC that is at hand or being answered on a connection; empty if there is none.
+    /// The transaction id of the RPC that is pending or being answered on a connection; empty if
+    /// there is none.
     fn txn_on(&self, client: &Client) -> Box<[u8]> {
         let waiting =
             client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.id.clone());
@@ -123,7 +128,7 @@
         waiting.or_else(answering).unwrap_or_default()
     }
 
-    /// The header line by which operators see the counts.
+    /// The header line that shows the counts to operators.
     pub(super) fn counts_line(&self) -> String {
         format!("X-Invariants: {}\n", self.counts.summary())
     }
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -1,9 +1,10 @@
-//! Log lines that name an RPC by its client's id: retries, attempts that did not end well, answers of the gateway's own,
-//! clients that left; and while the process stops, every attempt and every answer.
+//! Log lines that identify an RPC by its transaction id: retries, attempts that did not succeed,
+//! answers of the gateway itself, clients that left; during a shutdown, every attempt and every
+//! answer.
 
 use super::*;
 
-/// The reason code of how an attempt ended.
+/// The reason code for the end of an attempt.
 fn end_code(how: End) -> &'static str {
     match how {
         End::Ok => "ok",
@@ -22,7 +23,7 @@
 }
 
 impl PolicyHost {
-    /// An attempt was asked for; logged for retries, and while the process stops.
+    /// Logs the start of an attempt if it is a retry, and every one during a shutdown.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
         if attempt.nth == 0 && !self.is_stopping() {
@@ -33,7 +34,7 @@
             "limit_ms" => attempt.until.saturating_sub(attempt.sent) / MS, "repeat" => attempt.nth > 0);
     }
 
-    /// An attempt ended; logged unless it went well, and always while the process stops.
+    /// Logs the end of an attempt unless it succeeded, and every one during a shutdown.
     pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: End) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
         if how == End::Ok && !self.is_stopping() {
@@ -44,7 +45,8 @@
             "how" => end_code(how), "ms" => (self.net.now - attempt.sent) / MS);
     }
 
-    /// An RPC got its final answer; `why` tells an answer of the gateway's own from a server's.
+    /// Logs the final answer to an RPC; `why` distinguishes answers of the gateway itself from
+    /// those of a server.
     pub(super) fn log_answer(&self, id: u32, status: u16, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         if status == 200 && !self.is_stopping() {
@@ -54,19 +56,20 @@
             "attempts" => rpc.call_outs, "ms" => self.net.now.saturating_sub(rpc.since) / MS);
     }
 
-    /// A message was answered without the module.
+    /// Logs a message that was answered without the module.
     pub(super) fn log_turned_away(&self, id: &[u8], status: u16, why: &'static str) {
         info!(self.log, "answer"; "txn" => %text(id), "status" => status, "why" => why, "attempts" => 0);
     }
 
-    /// An RPC ended without an answer, since its client had gone.
+    /// Logs an RPC that ended without an answer because its client left.
     pub(super) fn log_abandoned(&self, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         info!(self.log, "abandoned"; "txn" => %text(&rpc.id), "attempts" => rpc.call_outs,
             "ms" => self.net.now.saturating_sub(rpc.since) / MS);
     }
 
-    /// A client's connection ends with so many bytes of an answer not handed to the system.
+    /// Logs a client's connection that is closed with this many bytes of an answer not yet handed
+    /// to the operating system.
     pub(super) fn log_unwritten(&self, txn: &[u8], why: &'static str, bytes: usize) {
         warn!(self.log, "answer not written"; "txn" => %text(txn), "why" => why, "bytes" => bytes);
     }
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -1,10 +1,11 @@
-//! The gateway's side of servers: a connection for each call-out, and how the call-out ended.
+//! Handles connections to servers: opens or reuses one for each attempt, writes the attempt, and
+//! reads its answer.
 
 use super::*;
 use crate::guard::Denial;
 
 impl PolicyHost {
-    /// An idle connection to a server, the one used last, or a new one.
+    /// Takes the most recently used idle connection to a server, or opens a new one.
     pub(super) fn link_to(&mut self, server: u32) -> Option<usize> {
         let now = self.net.now;
         loop {
@@ -15,8 +16,9 @@
                 self.end_link(id, "idle");
                 continue;
             }
-            // Guards against writing to a connection that the server has closed, and against taking what it sent
-            // unasked for the next answer: both may have come since the last poll. Harm: a read for each call-out.
+            // Finds connections that the server has closed, and unsolicited data that would be
+            // taken for the next answer; either may have arrived since the last poll. The cost: one
+            // read per attempt.
             self.net.read(id, false);
             let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
             match unasked.or(self.net.ended(id).map(Ending::reason)) {
@@ -41,13 +43,15 @@
         Some(id)
     }
 
-    /// Writes the attempt that a connection was asked to carry, if all that was true when it was asked for still is. An
-    /// attempt of which no byte was written is provably not run and may go elsewhere; the connection is kept.
+    /// Writes the attempt assigned to a connection, if the conditions that held when it was
+    /// requested still do. An attempt of which no byte was written has provably not run and may go
+    /// to another server; the connection is kept.
     pub(super) fn write_attempt(&mut self, id: usize) {
         let Some(Link { stage: Stage::Asked(attempt), server, .. }) = self.links.get(&id) else { return };
         let (attempt, server) = (*attempt, *server);
-        // Guards against taking for its answer what the server sent unasked, and against writing to what it has closed:
-        // both may have come since the connection was taken up. Harm: a read for each attempt.
+        // Finds unsolicited data that would be taken for the answer, and a connection that the
+        // server has closed; either may have arrived since the connection was chosen. The cost: one
+        // read per attempt.
         self.net.read(id, false);
         let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
         if let Some(why) = unasked.or(self.net.ended(id).map(Ending::reason)) {
@@ -68,7 +72,8 @@
         }
     }
 
-    /// How an attempt ended of which nothing was written. That a connection went while it rested says nothing of the server.
+    /// How an attempt ended of which nothing was written. If an idle connection was closed, that
+    /// says nothing about the server.
     fn unwritten(&self, id: usize) -> End {
         let rested = self.links.get(&id).is_some_and(|link| link.rested.is_some());
         if rested { End::NotSent } else { End::NoConnection }
@@ -93,7 +98,7 @@
         verdict
     }
 
-    /// What the list says now of the server that a connection leads to.
+    /// The current listed state of the server that a connection leads to.
     fn server_now(&self, id: usize, link: &Link) -> ServerStatus {
         let listed = self.servers.by_number.get(&link.server).filter(|server| server.listed && server.ready);
         match listed {
@@ -103,7 +108,7 @@
         }
     }
 
-    /// Whether the connection leads to what the server is now.
+    /// Whether the connection leads to the current address and incarnation of the server.
     fn is_same(&self, id: usize, link: &Link, server: &Server) -> bool {
         self.net.address(id) == Some(server.address) && link.came_up == server.came_up
     }
@@ -113,7 +118,7 @@
         let Some(link) = links.get_mut(&id) else { return };
         let ended = net.ended(id);
         let Stage::Out(call) = link.stage else {
-            // Nothing was written: whatever comes, the connection is of no more use.
+            // Nothing was written, so any input or close makes the connection unusable.
             let unasked = (!net.input(id).is_empty()).then_some("answer-without-call-out");
             if let Some(why) = ended.map(Ending::reason).or(unasked) {
                 self.give_up(id, self.unwritten(id), why);
@@ -145,7 +150,7 @@
         }
     }
 
-    /// A server's 200 answer goes to the client, its body unchanged.
+    /// Forwards a server's 200 answer to the client, with its body unchanged.
     pub(super) fn pass_on(&mut self, link: usize, id: u32, answer: &Answer) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes(rpc));
@@ -179,7 +184,8 @@
         out && self.net.is_sent(id)
     }
 
-    /// The connection can't be used on: its call-out ends by whether the last byte had been written.
+    /// Handles a failed connection. How its attempt ended depends on whether the last byte had been
+    /// written.
     pub(super) fn break_off(&mut self, id: usize, why: &'static str) {
         let how = if self.may_have_run(id) { End::Reset } else { End::NoConnection };
         if let Some(rested) = self.links.get(&id).and_then(|link| link.rested).filter(|_| why == "reset") {
@@ -196,7 +202,7 @@
         self.end_link(id, why);
     }
 
-    /// The time of a call-out is over.
+    /// The time of an attempt is over.
     pub(super) fn call_out_over(&mut self, id: usize, rpc: u32, nth: u16) {
         if self.links.get(&id).is_some_and(|link| link.carries(rpc, nth)) {
             let how = if self.may_have_run(id) { End::TimedOut } else { End::NoConnection };
@@ -246,7 +252,7 @@
         self.net.close(id);
     }
 
-    /// Closes the connection to a server that has been idle for longest.
+    /// Closes the connection to a server that has been idle for longest; false if none is idle.
     pub(super) fn shed_link(&mut self) -> bool {
         let oldest = self.met().filter_map(|server| server.idle.first());
         let Some(id) = oldest.min_by_key(|idle| idle.1).map(|idle| idle.0) else { return false };
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -1,5 +1,6 @@
-//! The gateway's part in the agreement on settings: its file and the datagrams of others go to the state machine, and the
-//! module gets the settings that may be acted on, or their ground.
+//! The gateway's part in the agreement on settings: feeds its file and the datagrams of other
+//! gateways to the state machine, and gives the module either the confirmed settings or their
+//! fallback.
 
 use super::*;
 use crate::config::Method;
@@ -12,7 +13,7 @@
 use agreement::state::{Agreement, Decision, Mode, Offer, Receipt};
 use agreement::version::Version;
 
-/// A version with what the wire needs of it.
+/// A version of the settings, with what the HTTP side needs of it.
 struct Held {
     version: Version,
     methods: Vec<Method>,
@@ -22,21 +23,22 @@
 
 pub(super) struct AgreementLink {
     state: Agreement,
-    /// Held, and waiting for its time.
+    /// The version held, and the one scheduled for its start time.
     held: Held,
     waits: Option<Held>,
     acting: Decision,
     all: SocketAddr,
-    /// For drills: what is added to the clock here.
+    /// For drills: an offset that is added to the local clock, in nanoseconds.
     clock_off: i64,
-    /// When to look again, as the timer that is set has it.
+    /// When the timer for the next evaluation is due.
     looks_at: Nanos,
-    /// Words that counted for nothing because this clock is behind, or the speaker's ahead; logged once a second at most.
+    /// Messages that were ignored because this clock is behind or the sender's is ahead; logged at
+    /// most once a second.
     ahead: u64,
     ahead_logged: Nanos,
     number: Option<u32>,
     lists: Lists,
-    /// Servers by their keys, as the own list told of them last.
+    /// Servers by key, as this gateway's own list last reported them.
     entries: BTreeMap<u64, Entry>,
     tells_list_at: Nanos,
 }
@@ -52,11 +54,12 @@
 }
 
 impl Gateway {
-    /// Starts on the ground of the version that the file has, until it is confirmed.
+    /// Starts with the fallback of the version in the file, until it is confirmed.
     pub(super) fn begin_to_agree(&mut self) {
         let host = &mut self.host;
         let Some(told) = host.config.agreement.take() else { return };
-        // Without them nothing is ever confirmed, so that this gateway stays on its ground.
+        // Without datagrams nothing is ever confirmed, so this gateway stays on its fallback
+        // settings.
         let heard_at = host.net.open_datagrams(told.listen).unwrap_or_else(|e| {
             warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %told.listen, "error" => %e);
             told.listen
@@ -96,7 +99,7 @@
         self.agree();
     }
 
-    /// The module acts on this from now on.
+    /// Makes the module act on this version and mode from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
         if agreement.held.version.content() != acting.content
@@ -120,7 +123,8 @@
         self.brain.settle(now, settings);
     }
 
-    /// Looks at what may be acted on by now, before anything is decided, and tells others what there is to tell.
+    /// Evaluates which settings may be acted on, before anything else is decided, and sends due
+    /// messages to the other gateways.
     pub(super) fn agree(&mut self) {
         let Some(agreement) = &mut self.agreement else { return };
         let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
@@ -177,7 +181,8 @@
         self.agree();
     }
 
-    /// A voter told of the list that it holds: what is out of work there gets nothing new here, if the list here is older.
+    /// A voter announced the list that it holds: servers that it lists as removed from work get
+    /// nothing new from this gateway if the list held here is older.
     fn hear_of_list(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
         if !agreement.state.terms().voters.contains(&notice.gateway) {
@@ -195,8 +200,8 @@
         self.list(Told { index: held, entries, ..Told::default() });
     }
 
-    /// What to make of a list: it is changed to what may be taken of it, and what comes after it is told back; nothing
-    /// where it is passed over.
+    /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
+    /// it. `None` if the list is ignored.
     pub(super) fn judge_list(&mut self, told: &mut Told) -> Option<Told> {
         let mut more = Told { index: told.index, ..Told::default() };
         let Some(agreement) = &mut self.agreement else { return Some(more) };
@@ -226,7 +231,7 @@
             agreement.entries.insert(seen.key, entry.clone());
             entry.ready &= !held_back.contains(&seen.key);
         }
-        // What an older list lacks stays: its changes are taken, not its gaps.
+        // An older list does not remove the servers that it lacks; only its changes are applied.
         told.whole &= !verdict.is_older;
         more.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
@@ -237,7 +242,7 @@
         Some(more)
     }
 
-    /// SIGHUP brought a file with a version.
+    /// Offers the version of a reloaded file to the state machine.
     pub(super) fn take_version(
         &mut self,
         version: Version,
@@ -249,7 +254,7 @@
         let (now, content) =
             (self.host.net.now.saturating_add_signed(agreement.clock_off), version.content());
         let (log, number) = (&self.host.log, content.version);
-        // What is not newer than what is held the state machine judges.
+        // Versions that are not newer than the held ones are judged by the state machine.
         let newer =
             [Some(&agreement.held), agreement.waits.as_ref()].into_iter().flatten().map(|held| &held.version);
         let newer = newer.filter(|held| number > held.number);
@@ -281,7 +286,8 @@
         self.agree();
     }
 
-    /// The header line by which operators see what is acted on; empty where settings have no version.
+    /// The header line that shows operators which settings are in use; empty if the settings have
+    /// no version.
     pub(super) fn shows(&self) -> String {
         let Some(agreement) = &self.agreement else { return String::new() };
         let Decision { content, mode } = agreement.acting;
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -1,15 +1,17 @@
-//! The gateway's side of a shutdown: SIGTERM starts the timeline of [`Shutdown`], and every wait is cut to it.
+//! Carries out a shutdown: SIGTERM starts the timeline of [`Shutdown`], and every wait is shortened
+//! to fit it.
 
 use super::*;
 
 impl Gateway {
-    /// SIGTERM: connections are taken for a while yet, every answer closes its connection, all that is read is answered
-    /// before the process may be killed. A second SIGTERM changes nothing.
+    /// SIGTERM: connections are still accepted for a while, every answer closes its connection, and
+    /// everything that was read is answered before the process may be killed. A second SIGTERM
+    /// changes nothing.
     pub(super) fn begin_shutdown(&mut self) {
         if self.host.shutdown.is_some() {
             return;
         }
-        // The signal may have waited here as long as a message that is read now.
+        // The signal may have been pending for as long as a message that is read now.
         let signalled_at = self.host.net.now.saturating_sub(self.host.net.late);
         let shutdown = Shutdown::new(signalled_at, self.host.longest_deadline());
         info!(self.host.log, "stopping"; "held" => self.host.open_rpcs, "clients" => self.host.clients.len(),
@@ -17,7 +19,8 @@
         self.follow(shutdown);
     }
 
-    /// A configuration read while the process stops may tell shorter deadlines, and so an earlier end.
+    /// A configuration that is reloaded during a shutdown may have shorter deadlines, and so an
+    /// earlier end.
     pub(super) fn shorten_shutdown(&mut self) {
         let Some(shutdown) = self.host.shutdown else { return };
         let shorter = shutdown.earlier(Shutdown::new(shutdown.signalled_at, self.host.longest_deadline()));
@@ -26,7 +29,7 @@
         }
     }
 
-    /// Cuts every wait to a timeline and sets its timers.
+    /// Shortens every wait to fit a timeline, and sets its timers.
     fn follow(&mut self, shutdown: Shutdown) {
         let host = &mut self.host;
         host.shutdown = Some(shutdown);
@@ -48,8 +51,8 @@
         self.brain.end_by(&mut self.host, now, answer_by);
     }
 
-    /// The process ends now. What should have been answered before is answered, and what clients still sent is read, so
-    /// that no unread byte makes a reset of the close.
+    /// Exits the process. RPCs that should have been answered earlier are answered, and pending
+    /// input of clients is read, so that unread bytes do not turn the close into a reset.
     pub(super) fn exit(&mut self) {
         let unanswered: Vec<u32> =
             self.host.clients.values().filter_map(|client| Some(client.phase.pending_rpc()?.0)).collect();
@@ -59,7 +62,7 @@
         self.host.exits = true;
     }
 
-    /// The last line of the log.
+    /// Writes the last line of the log.
     pub fn log_end(&mut self) {
         self.host.check_end_of_process();
         let host = &self.host;
@@ -69,8 +72,8 @@
 }
 
 impl PolicyHost {
-    /// The longest deadline of the settings that hold, or of the file read last, whichever is shorter: the platform may go
-    /// by either.
+    /// The longest deadline in the settings in use or in the last reloaded file, whichever is
+    /// shorter: the platform may go by either.
     fn longest_deadline(&self) -> Nanos {
         let held = self.config.longest_deadline();
         self.file_deadline.map_or(held, |told| held.min(told))
@@ -80,18 +83,18 @@
         self.shutdown.is_some()
     }
 
-    /// Whether nothing that is not whole is waited for any more.
+    /// Whether incomplete messages are no longer waited for.
     pub(super) fn is_past_last_call(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| self.net.now >= shutdown.read_until)
     }
 
-    /// By when an RPC has its answer, if it should have it by this time.
+    /// Limits a deadline to the time by which every RPC is answered during a shutdown.
     pub(super) fn within_life(&self, deadline: Nanos) -> Nanos {
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.answer_by))
     }
 
-    /// Whether a connection whose buffer holds a message of this length closes with its answer: while the process stops,
-    /// unless more has been read, which is answered too.
+    /// Whether a connection whose buffer holds a message of this length closes after its answer:
+    /// during a shutdown, unless more input was read, which is answered too.
     pub(super) fn ends_with(&self, client: usize, length: usize) -> bool {
         self.is_stopping() && self.net.input(client).len() <= length
     }
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -1,8 +1,8 @@
-//! What is idle, silent or slow is looked for at regular times.
+//! Checks all connections periodically, and closes those that are idle, silent or slow.
 
 use super::*;
 
-/// How a client's connection has outstayed its time.
+/// Which time limit a client's connection has exceeded.
 #[derive(Clone, Copy)]
 enum Overstay {
     Lingered,
@@ -15,7 +15,7 @@
 const SLOW_MESSAGE: &str = "slow-message";
 
 impl PolicyHost {
-    /// Looks at all connections.
+    /// Checks all connections.
     pub(super) fn sweep(&mut self) {
         self.timers.set(self.net.now + SWEEP, TimerEvent::Sweep);
         self.sweep_clients();
@@ -32,7 +32,8 @@
         let over: Vec<(usize, Overstay)> = over.collect();
         for (id, overstay) in over {
             match overstay {
-                // What has come by now, maybe the message's end, is looked at first; not again and again, though.
+                // Input received by now, possibly the end of the message, is processed first, but
+                // not again and again.
                 Overstay::SlowMessage
                     if self.net.now <= self.begun(id) + clients::SLOW_MESSAGE + 2 * SWEEP
                         && !self.rests(id) => {}
@@ -55,8 +56,8 @@
                 (clients::SLOW_MESSAGE, Overstay::ReadsNothing)
             }
             Phase::WritingAnswer { close_reason: None, .. } => (clients::IDLE, Overstay::ReadsNothing),
-            // Guards against connections that are opened to say nothing, or never to end a message. Harm: one
-            // opened long before its first message is opened again.
+            // Limits connections that are opened to send nothing, or that never complete a message.
+            // The cost: a connection opened long before its first message has to be opened again.
             Phase::Reading if client.served == 0 => {
                 let silent = now > self.net.since(id) + clients::SLOW_MESSAGE;
                 let overstay = if client.partial { Overstay::SlowMessage } else { Overstay::SaidNothing };
@@ -68,7 +69,7 @@
         (age > most).then_some(overstay)
     }
 
-    /// Since when a client's message is waited for.
+    /// Since when the message of a client is awaited.
     fn begun(&self, id: usize) -> Nanos {
         let begun = self.clients.get(&id).filter(|client| client.served > 0).map(|client| client.since);
         begun.unwrap_or(self.net.since(id))
