--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -39,79 +39,79 @@
 const MS: Nanos = 1_000_000;
 /// An RPC's deadline is set this much earlier than its client states, for the time in transit and a
 /// turn of the event loop.
-const MARGIN: Nanos = 5 * MS;
+const DEADLINE_MARGIN: Nanos = 5 * MS;
 /// An RPC without an answer this long after its deadline is answered without the module.
-const OVERDUE: Nanos = 2 * MS;
+const OVERDUE_GRACE: Nanos = 2 * MS;
 /// Interval of the sweep for idle, silent and slow connections.
-const SWEEP: Nanos = 250 * MS;
+const SWEEP_INTERVAL: Nanos = 250 * MS;
 /// How long input is still read after this side has shut down sending, until the client closes as
 /// well.
-const LINGER: Nanos = 500 * MS;
+const LINGER_TIMEOUT: Nanos = 500 * MS;
 /// Descriptors for everything but clients and servers (poll, signals, logs, list, counter), and
 /// some spare.
-const OTHERS: usize = 24;
+const OTHER_DESCRIPTORS: usize = 24;
 /// Divisor of the share of all descriptors that is reserved for connections accepted only to reject
 /// what they send.
-const SPARES: usize = 32;
+const SPARE_DIVISOR: usize = 32;
 /// The clients' share of the remaining descriptors, in tenths.
-const CLIENTS_TENTHS: usize = 6;
+const CLIENT_TENTHS: usize = 6;
 /// Limit of the input buffer of a connection to the counter.
-const OTHER_INPUT: usize = 64 << 10;
+const MAX_COUNTER_INPUT: usize = 64 << 10;
 /// Limit of the input buffer of the watch: more than a head, and no more than can be processed in a
 /// small part of a turn.
-const LIST_INPUT: usize = HEAD_MOST + (8 << 10);
+const MAX_WATCH_INPUT: usize = HEAD_MOST + (8 << 10);
 /// Divisors of the shares of the memory that may be taken by the buffers of all clients, the
 /// buffers of all servers, and the entries of an incoming list.
-const CLIENTS_MEMORY: usize = 3;
-const LINKS_MEMORY: usize = 3;
-const LIST_MEMORY: usize = 4;
-/// A turn may last this fraction of the shortest deadline, but at least `MIN_TURN_LIMIT`, while the
+const CLIENT_MEMORY_DIVISOR: usize = 3;
+const SERVER_MEMORY_DIVISOR: usize = 3;
+const LIST_MEMORY_DIVISOR: usize = 4;
+/// A turn may last this fraction of the shortest deadline, but at least `MIN_TURN`, while the
 /// process keeps up.
-const TURN_SHARE: Nanos = 10;
-const TURN_LEAST: Nanos = 10 * MS;
+const TURN_DIVISOR: Nanos = 10;
+const MIN_TURN: Nanos = 10 * MS;
 /// How often a client that keeps sending is read before an attempt is written for it.
-const LOOKS: usize = 16;
-const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + 1024;
+const MAX_CLIENT_READS: usize = 16;
+const MAX_MESSAGE: usize = HEAD_MOST + BODY_MOST + 1024;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerEvent {
     Wake(u32),
-    CallOut(usize, u32, u16),
-    Dial(usize),
+    AttemptTimeout(usize, u32, u16),
+    ConnectTimeout(usize),
     /// A deferred attempt is to be written on this connection.
-    Write(usize),
-    Count(usize, u64),
-    Overdue(u32),
+    WriteAttempt(usize),
+    CounterTimeout(usize, u64),
+    RpcOverdue(u32),
     Sweep,
-    Watch,
-    Accept,
+    OpenWatch,
+    RetryAccept,
     /// Steps of a shutdown.
     StopListening,
-    LastCall,
+    StopReading,
     Exit,
-    Agree,
+    EvaluateAgreement,
     /// The next batch of a list update is to be applied.
-    Changes,
+    ContinueListUpdate,
     /// There is work on the subsets of the module.
-    Subsets,
+    SubsetWork,
 }
 
 /// The state of an RPC: with the module, at a server, or answered. An answered RPC may still have
 /// an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RpcState {
-    Held,
-    Out,
+    Pending,
+    InFlight,
     Answered,
 }
 
 /// An object of the list that is waiting to be applied.
-enum Pending {
+enum PendingList {
     /// As received from discovery.
-    Told(Told),
+    Received(Told),
     /// Reduced to what may be applied.
-    Judged(Told),
+    Filtered(Told),
 }
 
 struct Rpc {
@@ -120,16 +120,18 @@
     client: usize,
     message: clients::Rpc,
     /// When the message was read.
-    since: Nanos,
+    received_at: Nanos,
     deadline: Nanos,
-    call_outs: u16,
-    open: bool,
+    /// How many attempts were started.
+    attempts: u16,
+    /// An attempt has not ended yet.
+    attempt_in_flight: bool,
     /// How often it may run, and when the first attempt that may have run began.
-    effect: RetrySafety,
+    retry_safety: RetrySafety,
     first_run: Option<Nanos>,
     /// Part of it was written to a server.
     written: bool,
-    id: Box<[u8]>,
+    txn: Box<[u8]>,
 }
 
 /// Reads the configuration again.
@@ -137,7 +139,8 @@
 
 pub struct Gateway {
     brain: Brain,
-    read_again: ConfigReader,
+    /// Reads the configuration again on SIGHUP.
+    reread_config: ConfigReader,
     host: PolicyHost,
     /// Present if the settings have a version.
     agreement: Option<settings_agreement::AgreementLink>,
@@ -151,167 +154,173 @@
     timers: Timers<TimerEvent>,
     clients: BTreeMap<usize, Client>,
     rpcs: HashMap<u32, Rpc>,
-    last_rpc: u32,
+    last_rpc_id: u32,
     /// Transaction ids, as given by clients, of the RPCs in `rpcs`.
-    ids: HashSet<Box<[u8]>>,
-    open_rpcs: usize,
+    active_txns: HashSet<Box<[u8]>>,
+    unanswered_rpcs: usize,
     servers: Servers,
-    links: BTreeMap<usize, Link>,
-    /// Established connections that were given an attempt; it is written at the end of the turn.
-    to_write: VecDeque<usize>,
+    server_connections: BTreeMap<usize, Link>,
+    /// Ids of established connections that were assigned an attempt; it is written at the end of
+    /// the turn.
+    connections_to_write: VecDeque<usize>,
     watch: Watch,
-    watch_on: Option<usize>,
+    /// The connection of the watch.
+    watch_id: Option<usize>,
     /// The current watch was answered.
-    watching: bool,
+    watch_answered: bool,
     /// The watch at the address in the previous configuration, used until the one at the new
     /// address is answered.
-    old_watch: Option<(usize, Watch)>,
+    previous_watch: Option<(usize, Watch)>,
     /// Received objects of the list that are not applied yet, and the update that is being applied.
-    pending: VecDeque<Pending>,
-    changes: Option<ListUpdate>,
+    pending_lists: VecDeque<PendingList>,
+    list_update: Option<ListUpdate>,
     /// A timer is set for the next batch of the update.
-    goes_on: bool,
+    update_scheduled: bool,
     /// When the first timer for work on subsets is due.
-    subsets_awaited: Option<Nanos>,
-    /// Two sets of connections to the counter. The set that starts at `active_counter_set` is in
-    /// use; connections of the other one only finish their calls.
-    lines: [Line; 2 * counter::LINES],
-    lines_on: [Option<usize>; 2 * counter::LINES],
-    lines_again: [Nanos; 2 * counter::LINES],
-    lines_from: usize,
-    moved_at: Nanos,
-    last_call: u64,
+    subset_timer_at: Option<Nanos>,
+    /// Two sets of connections to the counter, and by the same index their ids while open and when
+    /// they may be opened again. The set that starts at `active_counter_set` is in use; connections
+    /// of the other one only finish their calls.
+    counter_conns: [Line; 2 * counter::LINES],
+    counter_ids: [Option<usize>; 2 * counter::LINES],
+    counter_retry_at: [Nanos; 2 * counter::LINES],
+    active_counter_set: usize,
+    counter_moved_at: Nanos,
+    last_counter_call: u64,
     /// How often each invariant was checked, upheld by the guard and violated.
-    counts: Counts,
+    invariant_counts: Counts,
     /// Ended attempts that are not yet reported to the module.
-    ended: VecDeque<Ended>,
+    ended_attempts: VecDeque<Ended>,
     /// Ended calls to the counter that are not yet reported to the module.
-    counted: VecDeque<(Call, End, f64)>,
+    ended_counter_calls: VecDeque<(Call, End, f64)>,
     /// Clients whose input buffer may hold another message.
-    again: VecDeque<usize>,
+    clients_to_read: VecDeque<usize>,
     has_list: bool,
     /// Set from SIGTERM on.
     shutdown: Option<Shutdown>,
     /// The longest deadline in the configuration file when it was last reloaded.
     file_deadline: Option<Nanos>,
     /// The process exits after this turn.
-    exits: bool,
-    listens: bool,
-    accepts_again: bool,
+    exit_requested: bool,
+    is_listening: bool,
+    accept_again: bool,
     /// When accepting is retried, if it is scheduled.
-    accepts_at: Option<Nanos>,
+    accept_retry_at: Option<Nanos>,
     /// When a new client last found no place.
-    crowded_at: Option<Nanos>,
+    last_full_at: Option<Nanos>,
     /// Whether the last scan of all clients found a new connection that has sent nothing and can be
     /// evicted soon; until when eviction is not retried, by purpose; and how many connections were
     /// served.
-    silent_wait: bool,
-    nobody_gives_way_until: [Nanos; 2],
-    clients_served: usize,
+    has_silent_client: bool,
+    no_eviction_until: [Nanos; 2],
+    served_clients: usize,
     /// Since when more connections wait to be accepted than there are places.
-    behind_since: Option<Nanos>,
-    clients_most: usize,
-    spares: usize,
-    links_most: usize,
+    accept_behind_since: Option<Nanos>,
+    max_clients: usize,
+    spare_places: usize,
+    max_server_connections: usize,
     /// Limit of the total size of clients' buffers; beyond it nothing more is admitted.
-    held_most: usize,
-    rpcs_most: usize,
-    dial: Nanos,
-    idle: Nanos,
-    count_wait: Nanos,
+    max_client_memory: usize,
+    max_unanswered_rpcs: usize,
+    connect_timeout: Nanos,
+    idle_timeout: Nanos,
+    counter_timeout: Nanos,
     directory: Directory,
-    columns: Vec<String>,
+    load_columns: Vec<String>,
     /// Whether discovery pushes its lists, so that a request costs it nothing.
-    pushed: bool,
+    lists_are_pushed: bool,
     /// The number of gateways, according to the settings.
-    fleet: u32,
+    gateway_count: u32,
     /// New work to a server must stop this long after its drain was announced.
     stop_within: Nanos,
-    /// When this turn began, and how far [`PolicyHost::catch_up`] has advanced its time since.
-    woke_at: Instant,
-    caught_up: Nanos,
+    /// When this turn began, and how far [`PolicyHost::advance_time`] has advanced its time since.
+    turn_started_at: Instant,
+    time_advanced: Nanos,
     /// Duration of the previous turn, and the longest that a turn may take while the process keeps
     /// up.
     last_turn: Nanos,
-    turn_most: Nanos,
+    max_turn: Nanos,
     /// Random numbers for delays that must not be in step with those of other gateways; the module
     /// has its own source.
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl Gateway {
-    pub fn new(config: Config, read_again: ConfigReader, net: Net, log: Logger) -> Gateway {
-        let own = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets = config.sockets.min(own.map_or(usize::MAX, |own| own as usize));
-        let spares = (sockets / SPARES).max(2);
-        let shared = sockets.saturating_sub(OTHERS + spares).max(8);
-        let clients_most = shared * CLIENTS_TENTHS / 10;
-        let span = |name: &str, default| config.setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
-        let idle = span("ceilings.connIdle", servers::IDLE) as f64 * servers::IDLE_SHARE;
+    pub fn new(config: Config, reread_config: ConfigReader, net: Net, log: Logger) -> Gateway {
+        let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+        let sockets = config.sockets.min(limit.map_or(usize::MAX, |limit| limit as usize));
+        let spare_places = (sockets / SPARE_DIVISOR).max(2);
+        let shared = sockets.saturating_sub(OTHER_DESCRIPTORS + spare_places).max(8);
+        let max_clients = shared * CLIENT_TENTHS / 10;
+        let duration =
+            |name: &str, default| config.setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
+        let idle = duration("ceilings.connIdle", servers::IDLE) as f64 * servers::IDLE_SHARE;
         let host = PolicyHost {
-            dial: span("ceilings.dialTimeout", servers::DIAL),
-            idle: idle as Nanos,
-            count_wait: span("extra.countWait", counter::WAIT),
-            rpcs_most: config.setting("ceilings.maxOpen").map_or(usize::MAX, |most| most as usize),
+            connect_timeout: duration("ceilings.dialTimeout", servers::DIAL),
+            idle_timeout: idle as Nanos,
+            counter_timeout: duration("extra.countWait", counter::WAIT),
+            max_unanswered_rpcs: config.setting("ceilings.maxOpen").map_or(usize::MAX, |most| most as usize),
             directory: Directory::new(config.list("localities"), config.list("shapes")),
-            columns: config.list("reporting.columns"),
-            clients_most,
-            spares,
-            held_most: config.memory / CLIENTS_MEMORY,
-            links_most: (shared - clients_most).min(config.memory / LINKS_MEMORY / (2 * MESSAGE_MOST)).max(2),
+            load_columns: config.list("reporting.columns"),
+            max_clients,
+            spare_places,
+            max_client_memory: config.memory / CLIENT_MEMORY_DIVISOR,
+            max_server_connections: (shared - max_clients)
+                .min(config.memory / SERVER_MEMORY_DIVISOR / (2 * MAX_MESSAGE))
+                .max(2),
             net,
             log,
             timers: Timers::default(),
             clients: BTreeMap::new(),
             rpcs: HashMap::new(),
-            last_rpc: 0,
-            ids: HashSet::new(),
-            open_rpcs: 0,
+            last_rpc_id: 0,
+            active_txns: HashSet::new(),
+            unanswered_rpcs: 0,
             servers: Servers::default(),
-            links: BTreeMap::new(),
-            to_write: VecDeque::new(),
-            watch: Watch::of_services(0, config.memory / LIST_MEMORY, config.services.clone()),
-            pending: VecDeque::new(),
-            changes: None,
-            goes_on: false,
-            subsets_awaited: None,
-            stop_within: span("rules.stopSendingWithin", list::STOP_WITHIN),
-            pushed: config.settings.get("membershipMode").is_some_and(|mode| mode == "push"),
-            fleet: config.setting("balancers").map_or(1, |count| count as u32),
-            chance: fastrand::Rng::with_seed(config.seed.rotate_left(32)),
-            woke_at: Instant::now(),
-            caught_up: 0,
+            server_connections: BTreeMap::new(),
+            connections_to_write: VecDeque::new(),
+            watch: Watch::of_services(0, config.memory / LIST_MEMORY_DIVISOR, config.services.clone()),
+            pending_lists: VecDeque::new(),
+            list_update: None,
+            update_scheduled: false,
+            subset_timer_at: None,
+            stop_within: duration("rules.stopSendingWithin", list::STOP_WITHIN),
+            lists_are_pushed: config.settings.get("membershipMode").is_some_and(|mode| mode == "push"),
+            gateway_count: config.setting("balancers").map_or(1, |count| count as u32),
+            rng: fastrand::Rng::with_seed(config.seed.rotate_left(32)),
+            turn_started_at: Instant::now(),
+            time_advanced: 0,
             last_turn: 0,
-            turn_most: (config.shortest_deadline() / TURN_SHARE).max(TURN_LEAST),
-            watch_on: None,
-            watching: false,
-            old_watch: None,
-            lines: Default::default(),
-            lines_on: Default::default(),
-            lines_again: Default::default(),
-            lines_from: 0,
-            moved_at: 0,
-            last_call: 0,
-            counts: Counts::default(),
-            ended: VecDeque::new(),
-            counted: VecDeque::new(),
-            again: VecDeque::new(),
+            max_turn: (config.shortest_deadline() / TURN_DIVISOR).max(MIN_TURN),
+            watch_id: None,
+            watch_answered: false,
+            previous_watch: None,
+            counter_conns: Default::default(),
+            counter_ids: Default::default(),
+            counter_retry_at: Default::default(),
+            active_counter_set: 0,
+            counter_moved_at: 0,
+            last_counter_call: 0,
+            invariant_counts: Counts::default(),
+            ended_attempts: VecDeque::new(),
+            ended_counter_calls: VecDeque::new(),
+            clients_to_read: VecDeque::new(),
             has_list: false,
             shutdown: None,
             file_deadline: None,
-            exits: false,
-            listens: true,
-            accepts_again: false,
-            accepts_at: None,
-            crowded_at: None,
-            silent_wait: false,
-            nobody_gives_way_until: [0; 2],
-            clients_served: 0,
-            behind_since: None,
+            exit_requested: false,
+            is_listening: true,
+            accept_again: false,
+            accept_retry_at: None,
+            last_full_at: None,
+            has_silent_client: false,
+            no_eviction_until: [0; 2],
+            served_clients: 0,
+            accept_behind_since: None,
             config,
         };
         let brain = Brain::new(host.config.seed, host.config.settings.clone());
-        Gateway { brain, read_again, host, agreement: None }
+        Gateway { brain, reread_config, host, agreement: None }
     }
 }
 
@@ -324,33 +333,37 @@
     /// there is such a list, the watch is opened after a delay, because most of the fleet may be
     /// starting at the same time.
     fn start(&mut self, now: Nanos) {
-        (self.host.net.now, self.host.woke_at) = (now, Instant::now());
-        self.begin_to_agree();
-        let known =
-            self.host.config.known.take().and_then(|known| list::read(&known, &self.host.config.services));
-        if let Some(told) = known.filter(|told| !told.entries.is_empty()) {
-            self.told(told);
+        (self.host.net.now, self.host.turn_started_at) = (now, Instant::now());
+        self.start_agreement();
+        let stored =
+            self.host.config.known.take().and_then(|stored| list::read(&stored, &self.host.config.services));
+        if let Some(told) = stored.filter(|told| !told.entries.is_empty()) {
+            self.receive_list(told);
         }
         if self.host.has_list {
             self.host.watch.heard = now;
-            self.host.watch_later()
+            self.host.schedule_watch()
         } else {
-            self.host.dial_watch()
+            self.host.connect_watch()
         }
-        self.host.timers.set(now + SWEEP, TimerEvent::Sweep);
+        self.host.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
         info!(self.host.log, "started"; "listen" => %self.host.config.listen, "version" => env!("CARGO_PKG_VERSION"), "servers" => self.host.servers.by_number.len(),
-            "clients_most" => self.host.clients_most, "links_most" => self.host.links_most);
+            "clients_most" => self.host.max_clients, "links_most" => self.host.max_server_connections);
     }
 
     /// The time of the next turn. Timers that no longer apply are discarded when they reach the
     /// front, so that they cause no wakeup.
     fn next_turn(&mut self) -> Option<Nanos> {
-        let PolicyHost { timers, links, rpcs, lines, .. } = &mut self.host;
-        timers.discard_stale(|what| match what {
-            TimerEvent::CallOut(id, rpc, nth) => !links.get(id).is_some_and(|link| link.carries(*rpc, *nth)),
-            TimerEvent::Dial(id) => links.get(id).is_none_or(|link| link.up),
-            TimerEvent::Count(line, serial) => !lines[*line].holds(*serial),
-            TimerEvent::Overdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
+        let PolicyHost { timers, server_connections, rpcs, counter_conns, .. } = &mut self.host;
+        timers.discard_stale(|event| match event {
+            TimerEvent::AttemptTimeout(id, rpc, nth) => {
+                !server_connections.get(id).is_some_and(|connection| connection.carries(*rpc, *nth))
+            }
+            TimerEvent::ConnectTimeout(id) => {
+                server_connections.get(id).is_none_or(|connection| connection.up)
+            }
+            TimerEvent::CounterTimeout(slot, serial) => !counter_conns[*slot].holds(*serial),
+            TimerEvent::RpcOverdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
             _ => false,
         });
         timers.next_due()
@@ -362,20 +375,20 @@
 
     /// SIGHUP: the addresses of discovery and the counter change at once; settings with a version
     /// apply from their start time; everything else needs a restart. The list, calls and RPCs
-    /// continue. If the file can't be read, the old configuration stays in use; so it also does
-    /// after a mistake in the file.
+    /// continue. If the file can't be read, the old configuration stays in use, with any mistake
+    /// that it contains.
     fn reload(&mut self) {
         let host = &mut self.host;
-        if !descriptor_is_left() {
-            host.shed(); // the file needs one
+        if !has_free_descriptor() {
+            host.evict_idle(); // the file needs one
         }
-        let new = match (self.read_again)() {
+        let new = match (self.reread_config)() {
             Ok(new) => new,
             Err(why) => return warn!(host.log, "configuration kept"; "error" => why),
         };
-        let agreed = self.agreement.is_some() && new.agreement.is_some();
-        info!(host.log, "configuration read"; "discovery" => %new.discovery, "counter" => shown(new.counter),
-            "needs_restart" => !agreed && new.settings != host.config.settings);
+        let both_versioned = self.agreement.is_some() && new.agreement.is_some();
+        info!(host.log, "configuration read"; "discovery" => %new.discovery, "counter" => address_text(new.counter),
+            "needs_restart" => !both_versioned && new.settings != host.config.settings);
         host.file_deadline = Some(new.longest_deadline());
         if new.discovery != host.config.discovery {
             host.config.discovery = new.discovery;
@@ -384,11 +397,11 @@
         }
         if new.counter != host.config.counter {
             host.config.counter = new.counter;
-            host.move_lines();
+            host.move_counter();
         }
-        if let Some(told) = new.agreement.filter(|_| agreed) {
+        if let Some(agreed) = new.agreement.filter(|_| both_versioned) {
             let services = Rc::new(self.host.config.services.with_classes_of(&new.services));
-            self.take_version(told.version, new.methods, new.plans, services);
+            self.offer_version(agreed.version, new.methods, new.plans, services);
         }
         self.shorten_shutdown();
     }
@@ -398,53 +411,53 @@
     fn woke(&mut self) {
         let host = &mut self.host;
         // The driver assumes that the last turn began at the time that it reported then.
-        host.net.late += std::mem::take(&mut host.caught_up);
+        host.net.late += std::mem::take(&mut host.time_advanced);
         host.last_turn = host.net.late;
-        host.woke_at = Instant::now();
-        self.agree();
-        if self.host.goes_on {
-            self.go_on_with_list();
+        host.turn_started_at = Instant::now();
+        self.evaluate_agreement();
+        if self.host.update_scheduled {
+            self.continue_list_update();
         }
     }
 
     fn heard(&mut self, bytes: &[u8]) {
-        self.hear(bytes);
+        self.receive_datagram(bytes);
     }
 
     fn listens(&self) -> bool {
-        self.host.listens
+        self.host.is_listening
     }
 
     fn is_over(&self) -> bool {
-        self.host.exits || !self.host.listens && self.host.clients.is_empty()
+        self.host.exit_requested || !self.host.is_listening && self.host.clients.is_empty()
     }
 
     fn has_room(&mut self) -> bool {
-        self.host.has_room_for_client()
+        self.host.can_accept_client()
     }
 
     fn client_input_most(&self) -> usize {
-        MESSAGE_MOST
+        MAX_MESSAGE
     }
 
     fn accepted(&mut self, id: usize) {
-        let spare = self.host.clients.len() >= self.host.clients_most;
-        let since = self.host.connected_since(id);
+        let spare = self.host.clients.len() >= self.host.max_clients;
+        let since = self.host.silent_since(id);
         let client = Client { since, spare, ..Client::default() };
         self.host.clients.insert(id, client);
         // Data that the client sent right after connecting may have waited as long as the
         // connection did. That time is known now, and no longer in the turn that would read the
         // data.
         self.host.net.read(id, false);
-        self.host.again.push_back(id);
+        self.host.clients_to_read.push_back(id);
     }
 
     fn accept_later(&mut self) {
-        self.host.accept_later();
+        self.host.schedule_accept();
     }
 
     fn accepted_all(&mut self) {
-        self.host.behind_since = None;
+        self.host.accept_behind_since = None;
     }
 
     fn refusal(&self) -> &[u8] {
@@ -453,38 +466,40 @@
 
     /// Closes an idle connection to free its descriptor; false if there is none.
     fn shed(&mut self) -> bool {
-        self.host.shed()
+        self.host.evict_idle()
     }
 
     /// A connection opened by the gateway is established.
     fn up(&mut self, id: usize) {
-        let PolicyHost { net, links, to_write, lines, watch, watch_on, .. } = &mut self.host;
+        let PolicyHost {
+            net, server_connections, connections_to_write, counter_conns, watch, watch_id, ..
+        } = &mut self.host;
         let now = net.now;
         match net.peer(id) {
             Some(Peer::Server) => {
-                if let Some(link) = links.get_mut(&id) {
-                    link.up = true;
-                    to_write.push_back(id);
+                if let Some(connection) = server_connections.get_mut(&id) {
+                    connection.up = true;
+                    connections_to_write.push_back(id);
                 }
             }
-            Some(Peer::List) if *watch_on == Some(id) => drop(net.out(id).map(|out| watch.ask(out, now))),
-            Some(Peer::Counter(line)) => drop(net.out(id).map(|out| lines[line].opened(out, now))),
+            Some(Peer::List) if *watch_id == Some(id) => drop(net.out(id).map(|out| watch.ask(out, now))),
+            Some(Peer::Counter(slot)) => drop(net.out(id).map(|out| counter_conns[slot].opened(out, now))),
             _ => {}
         }
     }
 
     /// Some or all of the output of a connection was written.
     fn wrote(&mut self, id: usize) {
-        self.host.client_wrote(id);
+        self.host.after_client_write(id);
     }
 
     /// Bytes were received, or the connection ended.
     fn came(&mut self, id: usize) {
         match self.host.net.peer(id) {
-            Some(Peer::Client) => self.client_came(id),
-            Some(Peer::Server) => self.host.server_came(id),
-            Some(Peer::List) => self.list_came(id),
-            Some(Peer::Counter(line)) => self.host.counter_came(line, id),
+            Some(Peer::Client) => self.read_client(id),
+            Some(Peer::Server) => self.host.read_server(id),
+            Some(Peer::List) => self.read_watch(id),
+            Some(Peer::Counter(slot)) => self.host.read_counter(slot, id),
             None => {}
         }
     }
@@ -492,44 +507,44 @@
     /// Handles due timers; true if connections may be accepted again.
     fn due(&mut self) -> bool {
         let now = self.host.net.now;
-        while let Some(what) = self.host.timers.pop_due(now) {
-            match what {
+        while let Some(event) = self.host.timers.pop_due(now) {
+            match event {
                 TimerEvent::Wake(token) => self.brain.woke(&mut self.host, now, token),
-                TimerEvent::CallOut(id, rpc, nth) => self.host.call_out_over(id, rpc, nth),
-                TimerEvent::Dial(id) => self.host.dial_over(id),
-                TimerEvent::Write(id) => self.host.to_write.push_back(id),
-                TimerEvent::Count(line, serial) => {
-                    if let Some((call, how)) = self.host.lines[line].time_out(serial) {
-                        self.host.counted.push_back((call, how, 0.0));
+                TimerEvent::AttemptTimeout(id, rpc, nth) => self.host.attempt_timed_out(id, rpc, nth),
+                TimerEvent::ConnectTimeout(id) => self.host.connect_timed_out(id),
+                TimerEvent::WriteAttempt(id) => self.host.connections_to_write.push_back(id),
+                TimerEvent::CounterTimeout(slot, serial) => {
+                    if let Some((call, how)) = self.host.counter_conns[slot].time_out(serial) {
+                        self.host.ended_counter_calls.push_back((call, how, 0.0));
                     }
                 }
-                TimerEvent::Overdue(id) => self.overdue(id),
+                TimerEvent::RpcOverdue(id) => self.answer_overdue(id),
                 TimerEvent::Sweep => self.host.sweep(),
-                TimerEvent::Watch => self.host.dial_watch(),
-                TimerEvent::Accept => self.host.accepts_again |= self.host.accepts_now(),
+                TimerEvent::OpenWatch => self.host.connect_watch(),
+                TimerEvent::RetryAccept => self.host.accept_again |= self.host.is_accept_due(),
                 TimerEvent::StopListening => {
-                    self.host.listens = false;
-                    self.host.close_clients(false);
+                    self.host.is_listening = false;
+                    self.host.half_close_clients(false);
                 }
-                TimerEvent::LastCall => self.host.close_clients(true),
+                TimerEvent::StopReading => self.host.half_close_clients(true),
                 TimerEvent::Exit => self.exit(),
-                TimerEvent::Agree => self.agree(),
-                TimerEvent::Changes => {} // handled at the start of the turn
-                TimerEvent::Subsets => self.work_on_subsets(),
+                TimerEvent::EvaluateAgreement => self.evaluate_agreement(),
+                TimerEvent::ContinueListUpdate => {} // handled at the start of the turn
+                TimerEvent::SubsetWork => self.do_subset_work(),
             }
             self.settle();
         }
-        std::mem::take(&mut self.host.accepts_again)
+        std::mem::take(&mut self.host.accept_again)
     }
 
     fn write_attempts(&mut self) {
-        while let Some(id) = self.host.to_write.pop_front() {
-            self.host.catch_up();
-            if self.client_stays(id) {
+        while let Some(id) = self.host.connections_to_write.pop_front() {
+            self.host.advance_time();
+            if self.client_is_present(id) {
                 self.host.write_attempt(id);
             } else {
                 // Timers are checked once per turn, so this one is due in the next turn.
-                self.host.timers.set(self.host.net.now + MS, TimerEvent::Write(id));
+                self.host.timers.set(self.host.net.now + MS, TimerEvent::WriteAttempt(id));
             }
             self.settle();
         }
@@ -540,12 +555,12 @@
     fn settle(&mut self) {
         let now = self.host.net.now;
         loop {
-            if let Some(ended) = self.host.ended.pop_front() {
+            if let Some(ended) = self.host.ended_attempts.pop_front() {
                 self.brain.ended(&mut self.host, now, &ended);
-            } else if let Some((call, how, total)) = self.host.counted.pop_front() {
+            } else if let Some((call, how, total)) = self.host.ended_counter_calls.pop_front() {
                 self.brain.counted(&mut self.host, now, call.name, how, total);
-            } else if let Some(id) = self.host.again.pop_front() {
-                self.client_came(id);
+            } else if let Some(id) = self.host.clients_to_read.pop_front() {
+                self.read_client(id);
             } else {
                 return;
             }
@@ -554,11 +569,11 @@
 }
 
 /// Whether this process can open one more file.
-fn descriptor_is_left() -> bool {
+fn has_free_descriptor() -> bool {
     rustix::io::fcntl_dupfd_cloexec(rustix::stdio::stderr(), 0).is_ok()
 }
 
-fn shown(address: Option<SocketAddr>) -> String {
+fn address_text(address: Option<SocketAddr>) -> String {
     address.map_or_else(String::new, |address| address.to_string())
 }
 
@@ -567,28 +582,32 @@
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
-        let attempt = Attempt { rpc: id, nth: rpc.call_outs, sent: now, until, before };
-        rpc.call_outs += 1;
+        let attempt = Attempt { rpc: id, nth: rpc.attempts, sent: now, until, before };
+        rpc.attempts += 1;
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         if rpc.state == RpcState::Answered || until <= now {
-            return self.end_call_out(server, attempt, End::NotSent, 0.0, Vec::new());
+            return self.end_attempt(server, attempt, End::NotSent, 0.0, Vec::new());
         }
-        let Some(to) = self.link_to(server) else {
-            return self.end_call_out(server, attempt, End::NoConnection, 0.0, Vec::new());
+        let Some(connection_id) = self.connection_to(server) else {
+            return self.end_attempt(server, attempt, End::NoConnection, 0.0, Vec::new());
         };
-        self.shift(id, RpcState::Out);
-        let (Some(rpc), Some(link)) = (self.rpcs.get_mut(&id), self.links.get_mut(&to)) else { return };
-        rpc.open = true;
-        link.stage = Stage::Asked(attempt);
-        if link.up {
-            self.to_write.push_back(to);
+        self.set_rpc_state(id, RpcState::InFlight);
+        let (Some(rpc), Some(connection)) =
+            (self.rpcs.get_mut(&id), self.server_connections.get_mut(&connection_id))
+        else {
+            return;
+        };
+        rpc.attempt_in_flight = true;
+        connection.stage = Stage::Asked(attempt);
+        if connection.up {
+            self.connections_to_write.push_back(connection_id);
         }
-        self.timers.set(until, TimerEvent::CallOut(to, id, attempt.nth));
+        self.timers.set(until, TimerEvent::AttemptTimeout(connection_id, id, attempt.nth));
     }
 
     fn push_back(&mut self, id: u32, come_back: Nanos) {
-        if self.refusal_is_harmless(id) {
+        if self.rejection_is_harmless(id) {
             self.answer(id, if come_back > 0 { 429 } else { 503 }, come_back, "refused");
         } else {
             self.abort(id);
@@ -596,8 +615,13 @@
     }
 
     fn abort(&mut self, id: u32) {
-        let over = self.rpcs.get(&id).is_some_and(|rpc| self.net.now >= rpc.deadline);
-        self.answer(id, if over { 504 } else { 502 }, 0, if over { "time-over" } else { "failed" });
+        let past_deadline = self.rpcs.get(&id).is_some_and(|rpc| self.net.now >= rpc.deadline);
+        self.answer(
+            id,
+            if past_deadline { 504 } else { 502 },
+            0,
+            if past_deadline { "time-over" } else { "failed" },
+        );
     }
 
     fn wake(&mut self, after: Nanos, token: u32) {
@@ -605,16 +629,16 @@
     }
 
     fn count(&mut self, name: u64, add: f64, forget: Nanos) {
-        self.last_call += 1;
-        let call = Call { serial: self.last_call, name, add, forget };
-        let Some(line) = self.line_for(name) else {
-            return self.counted.push_back((call, End::NoConnection, 0.0));
+        self.last_counter_call += 1;
+        let call = Call { serial: self.last_counter_call, name, add, forget };
+        let Some(slot) = self.counter_connection_for(name) else {
+            return self.ended_counter_calls.push_back((call, End::NoConnection, 0.0));
         };
-        let PolicyHost { net, lines, lines_on, .. } = self;
+        let PolicyHost { net, counter_conns, counter_ids, .. } = self;
         let now = net.now;
-        if let Some(out) = lines_on[line].and_then(|id| net.out(id)) {
-            lines[line].call(out, now, call);
-            self.timers.set(now + self.count_wait, TimerEvent::Count(line, call.serial));
+        if let Some(out) = counter_ids[slot].and_then(|id| net.out(id)) {
+            counter_conns[slot].call(out, now, call);
+            self.timers.set(now + self.counter_timeout, TimerEvent::CounterTimeout(slot, call.serial));
         }
     }
 }
@@ -623,57 +647,60 @@
     /// Advances the time of the turn to the current time. Otherwise a server could be given more
     /// time than is left, and attempts could be written whose time ran out during the turn. The
     /// cost: one clock read per attempt.
-    fn catch_up(&mut self) {
-        let further = self.turn_lasted();
-        self.caught_up += further;
-        self.net.now += further;
+    fn advance_time(&mut self) {
+        let elapsed = self.elapsed_in_turn();
+        self.time_advanced += elapsed;
+        self.net.now += elapsed;
     }
 
     /// How far the current time is ahead of the time of the turn.
-    fn turn_lasted(&self) -> Nanos {
-        (self.woke_at.elapsed().as_nanos() as Nanos).saturating_sub(self.caught_up)
+    fn elapsed_in_turn(&self) -> Nanos {
+        (self.turn_started_at.elapsed().as_nanos() as Nanos).saturating_sub(self.time_advanced)
     }
 
     /// Opens a connection. If descriptors run out (held by idle clients, or by whatever else the
     /// process was given), an idle connection is closed for it. The cost: an idle client has to
     /// reconnect.
-    fn connect(&mut self, address: SocketAddr, peer: Peer, most: usize) -> io::Result<usize> {
-        match self.net.connect(address, peer, most) {
-            Err(e) if out_of_descriptors(&e) && self.shed() => self.net.connect(address, peer, most),
+    fn connect(&mut self, address: SocketAddr, peer: Peer, max_input: usize) -> io::Result<usize> {
+        match self.net.connect(address, peer, max_input) {
+            Err(e) if out_of_descriptors(&e) && self.evict_idle() => {
+                self.net.connect(address, peer, max_input)
+            }
             connected => connected,
         }
     }
 
-    fn fresh_rpc(&mut self) -> u32 {
+    fn next_rpc_id(&mut self) -> u32 {
         loop {
-            self.last_rpc = self.last_rpc.wrapping_add(1);
-            if !self.rpcs.contains_key(&self.last_rpc) {
-                return self.last_rpc;
+            self.last_rpc_id = self.last_rpc_id.wrapping_add(1);
+            if !self.rpcs.contains_key(&self.last_rpc_id) {
+                return self.last_rpc_id;
             }
         }
     }
 
     /// Changes the state of an RPC, including its end; every such change goes through here.
-    fn shift(&mut self, id: u32, to: RpcState) {
+    fn set_rpc_state(&mut self, id: u32, to: RpcState) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let was = std::mem::replace(&mut rpc.state, to);
+        let previous = std::mem::replace(&mut rpc.state, to);
         if to == RpcState::Answered {
-            self.open_rpcs -= usize::from(was != RpcState::Answered);
-            if !rpc.open {
-                self.forget(id);
+            self.unanswered_rpcs -= usize::from(previous != RpcState::Answered);
+            if !rpc.attempt_in_flight {
+                self.remove_rpc(id);
             }
         }
     }
 
-    fn forget(&mut self, id: u32) {
+    fn remove_rpc(&mut self, id: u32) {
         if let Some(rpc) = self.rpcs.remove(&id) {
-            self.ids.remove(&rpc.id);
+            self.active_txns.remove(&rpc.txn);
         }
     }
 
     /// The servers that there are connections to.
-    fn met(&self) -> impl Iterator<Item = &Server> {
-        let numbers: BTreeSet<u32> = self.links.values().map(|link| link.server).collect();
+    fn connected_servers(&self) -> impl Iterator<Item = &Server> {
+        let numbers: BTreeSet<u32> =
+            self.server_connections.values().map(|connection| connection.server).collect();
         numbers.into_iter().filter_map(|number| self.servers.by_number.get(&number))
     }
 }
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// Reason code: the client closed its connection before it had its answer.
-pub(super) const LEFT: &str = "left-before-answer";
+pub(super) const LEFT_BEFORE_ANSWER: &str = "left-before-answer";
 
 impl Gateway {
-    pub(super) fn client_came(&mut self, id: usize) {
+    pub(super) fn read_client(&mut self, id: usize) {
         let Some(client) = self.host.clients.get_mut(&id) else { return };
         let length = self.host.net.input(id).len();
         // Accounts for messages that were in the socket buffer for longer than the last turn,
@@ -33,17 +33,17 @@
             // can't fill the output buffer.
             let found = client.look(&self.host.config, came, self.host.net.input(id));
             if matches!(found, Ok(Got::Rpc(_) | Got::Ready(_) | Got::Healthy(_))) {
-                self.host.claim_place(id);
+                self.host.claim_client_place(id);
             }
             match found {
                 // Limits the memory for many long messages at once; buffers for servers have a
                 // separate share. The cost: a long message is rejected that might have been
                 // accepted a little later.
-                Ok(Got::Part) if self.host.net.held > self.host.held_most => {
-                    self.host.refuse(id, 503, "no-memory")
+                Ok(Got::Part) if self.host.net.held > self.host.max_client_memory => {
+                    self.host.reject_message(id, 503, "no-memory")
                 }
-                Ok(Got::Part | Got::Continue) if self.host.is_past_last_call() => {
-                    self.host.refuse(id, 503, "stopping")
+                Ok(Got::Part | Got::Continue) if self.host.is_past_read_period() => {
+                    self.host.reject_message(id, 503, "stopping")
                 }
                 Ok(Got::Part) => {}
                 Ok(Got::Continue) => {
@@ -51,17 +51,17 @@
                         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                 }
-                Ok(Got::Rpc(message)) => self.arrive(id, message),
+                Ok(Got::Rpc(message)) => self.admit(id, message),
                 Ok(Got::Ready(length)) => {
-                    let ready = self.host.has_list && !self.host.is_stopping();
-                    let shows = self.shows();
-                    self.host.answer_own(id, if ready { 200 } else { 503 }, length, &shows);
+                    let ready = self.host.has_list && !self.host.is_shutting_down();
+                    let settings_header = self.settings_header();
+                    self.host.answer_directly(id, if ready { 200 } else { 503 }, length, &settings_header);
                 }
                 Ok(Got::Healthy(length)) => {
-                    let shows = self.shows() + &self.host.counts_line();
-                    self.host.answer_own(id, 200, length, &shows);
+                    let settings_header = self.settings_header() + &self.host.invariants_header();
+                    self.host.answer_directly(id, 200, length, &settings_header);
                 }
-                Err(Bad(status, why)) => self.host.refuse(id, status, why),
+                Err(Bad(status, why)) => self.host.reject_message(id, status, why),
             }
         }
         if let Some(ending) = self.host.net.ended(id) {
@@ -69,30 +69,33 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, client: usize, message: clients::Rpc) {
+    pub(super) fn admit(&mut self, client: usize, message: clients::Rpc) {
         let (now, end) = (self.host.net.now, message.body.end);
-        let own: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
+        let txn: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
         let spare = self.host.clients.get(&client).is_some_and(|client| client.spare);
-        if self.host.open_rpcs >= self.host.rpcs_most || spare || self.host.net.held > self.host.held_most {
+        if self.host.unanswered_rpcs >= self.host.max_unanswered_rpcs
+            || spare
+            || self.host.net.held > self.host.max_client_memory
+        {
             // At the limit: an RPC that is rejected here never reached the module.
-            self.host.log_turned_away(&own, 503, "no-room");
-            self.host.answer_own(client, 503, end, "");
+            self.host.log_direct_answer(&txn, 503, "no-room");
+            self.host.answer_directly(client, 503, end, "");
             return;
         }
         let came = self.host.clients.get(&client).map_or(now, |client| client.came);
-        let asked = (came + message.remaining_ms * MS).saturating_sub(MARGIN);
-        if !self.host.may_admit(&own, asked) {
-            return self.host.answer_own(client, 503, end, "");
+        let asked = (came + message.remaining_ms * MS).saturating_sub(DEADLINE_MARGIN);
+        if !self.host.may_admit(&txn, asked) {
+            return self.host.answer_directly(client, 503, end, "");
         }
-        if !self.host.ids.insert(own.clone()) {
+        if !self.host.active_txns.insert(txn.clone()) {
             // Two RPCs with the same transaction id could get each other's answer. Clients are not
             // affected: they use a new id for each RPC.
-            return self.host.refuse(client, 409, "duplicate-id");
+            return self.host.reject_message(client, 409, "duplicate-id");
         }
-        let (id, method) = (self.host.fresh_rpc(), message.method);
+        let (id, method) = (self.host.next_rpc_id(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
         at.shift(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
-        let deadline = self.host.within_life(asked).max(now);
+        let deadline = self.host.cap_deadline(asked).max(now);
         let arrival = Arrival {
             id,
             method: message.method,
@@ -105,27 +108,27 @@
             first: message.first,
         };
         let rpc = Rpc {
-            state: RpcState::Held,
+            state: RpcState::Pending,
             client,
             message,
-            since: now,
+            received_at: now,
             deadline,
-            call_outs: 0,
-            open: false,
-            effect: self.host.config.methods[usize::from(method)].effect,
+            attempts: 0,
+            attempt_in_flight: false,
+            retry_safety: self.host.config.methods[usize::from(method)].effect,
             first_run: None,
             written: false,
-            id: own,
+            txn,
         };
         self.host.rpcs.insert(id, rpc);
-        self.host.open_rpcs += 1;
-        self.host.timers.set(deadline + OVERDUE, TimerEvent::Overdue(id));
+        self.host.unanswered_rpcs += 1;
+        self.host.timers.set(deadline + OVERDUE_GRACE, TimerEvent::RpcOverdue(id));
         self.brain.rpc(&mut self.host, now, &arrival);
     }
 
     /// Answers an RPC that neither the module nor a timeout has ended. This is not expected to
     /// happen.
-    pub(super) fn overdue(&mut self, id: u32) {
+    pub(super) fn answer_overdue(&mut self, id: u32) {
         if self.host.rpcs.get(&id).is_some_and(|rpc| rpc.state != RpcState::Answered) {
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
@@ -140,28 +143,29 @@
     /// data of the same client. Covers busy turns, small CPU shares and floods. The cost: one read
     /// per attempt; the attempt of a client that never stops sending is deferred until its time is
     /// over.
-    pub(super) fn client_stays(&mut self, link: usize) -> bool {
-        let attempt = self.host.links.get(&link).and_then(Link::attempt);
+    pub(super) fn client_is_present(&mut self, connection: usize) -> bool {
+        let attempt = self.host.server_connections.get(&connection).and_then(Link::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
         let client = rpc.client;
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_CLIENT_READS {
             let before = self.host.net.input(client).len();
             self.host.net.read(client, false);
             let net = &self.host.net;
             if net.input(client).len() == before && !net.is_full(client) && net.ended(client).is_none() {
                 return true;
             }
-            self.client_came(client);
+            self.read_client(client);
         }
         false
     }
 
     pub(super) fn client_left(&mut self, id: usize, why: &'static str) {
         let rpc = self.host.clients.get(&id).and_then(|client| client.phase.pending_rpc()).map(|rpc| rpc.0);
-        self.host.end_client(id, CloseCause::ClientClosed(if rpc.is_some() { LEFT } else { why }));
+        self.host
+            .close_client(id, CloseCause::ClientClosed(if rpc.is_some() { LEFT_BEFORE_ANSWER } else { why }));
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
-            self.host.shift(rpc, RpcState::Answered);
+            self.host.set_rpc_state(rpc, RpcState::Answered);
             self.brain.client_left(rpc);
         }
     }
@@ -171,30 +175,30 @@
     /// Gives an RPC its final answer from the gateway itself.
     pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
-        let (client, close) = (rpc.client, self.closes(rpc));
+        let (client, close) = (rpc.client, self.closes_after(rpc));
         if let Some(out) = self.net.out(client) {
             clients::write_own(out, status, come_back, close);
         }
         self.log_answer(id, status, why);
-        self.answered(id, client, close);
+        self.answer_queued(id, client, close);
     }
 
     /// Whether the connection closes after the answer to an RPC.
-    pub(super) fn closes(&self, rpc: &Rpc) -> bool {
+    pub(super) fn closes_after(&self, rpc: &Rpc) -> bool {
         let floods = self.clients.get(&rpc.client).is_some_and(|client| client.floods);
         rpc.message.close
             || floods
-            || self.ends_with(rpc.client, rpc.message.body.end)
-            || self.gives_its_place(rpc.client, rpc.message.body.end)
+            || self.closes_for_shutdown(rpc.client, rpc.message.body.end)
+            || self.yields_place(rpc.client, rpc.message.body.end)
     }
 
     /// Called when the answer to an RPC is in the client's output buffer; it is owed until it is
     /// fully written.
-    pub(super) fn answered(&mut self, id: u32, client: usize, close: bool) {
-        let rpc = self.rpcs.get(&id).map(|rpc| (rpc.id.clone(), rpc.deadline));
+    pub(super) fn answer_queued(&mut self, id: u32, client: usize, close: bool) {
+        let rpc = self.rpcs.get(&id).map(|rpc| (rpc.txn.clone(), rpc.deadline));
         let (txn, deadline) = rpc.unzip();
-        self.shift(id, RpcState::Answered);
-        let (now, stopping) = (self.net.now, self.is_stopping());
+        self.set_rpc_state(id, RpcState::Answered);
+        let (now, stopping) = (self.net.now, self.is_shutting_down());
         let Some(at) = self.clients.get_mut(&client) else { return };
         let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
         let last = close.then_some(match at.floods {
@@ -209,7 +213,7 @@
             },
             now,
         );
-        self.clients_served += usize::from(at.served == 0);
+        self.served_clients += usize::from(at.served == 0);
         at.served += 1;
         at.used(length);
         self.net.used(client, length);
@@ -217,7 +221,7 @@
 
     /// Called when output for a client was written; once its answer is fully written, it is no
     /// longer owed.
-    pub(super) fn client_wrote(&mut self, id: usize) {
+    pub(super) fn after_client_write(&mut self, id: usize) {
         let (now, sent) = (self.net.now, self.net.is_sent(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
@@ -234,15 +238,15 @@
         }
         let reads = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
         if reads && !self.net.input(id).is_empty() {
-            self.again.push_back(id);
+            self.clients_to_read.push_back(id);
         }
     }
 
     /// Answers a message that did not reach the module; `lines` are additional header lines.
-    pub(super) fn answer_own(&mut self, client: usize, status: u16, length: usize, lines: &str) {
+    pub(super) fn answer_directly(&mut self, client: usize, status: u16, length: usize, lines: &str) {
         let spare = self.clients.get(&client).is_some_and(|client| client.spare);
-        let (now, stopping) = (self.net.now, self.is_stopping());
-        let close = spare || self.ends_with(client, length);
+        let (now, stopping) = (self.net.now, self.is_shutting_down());
+        let close = spare || self.closes_for_shutdown(client, length);
         if let Some(out) = self.net.out(client) {
             clients::write_told(out, status, lines, 0, close);
         }
@@ -252,13 +256,13 @@
             at.shift(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
             at.partial = false;
             at.used(length);
-            self.clients_served += usize::from(at.served == 0);
+            self.served_clients += usize::from(at.served == 0);
             at.served += 1;
         }
     }
 
     /// Answers a message that can't be accepted, and closes the connection.
-    pub(super) fn refuse(&mut self, client: usize, status: u16, why: &'static str) {
+    pub(super) fn reject_message(&mut self, client: usize, status: u16, why: &'static str) {
         if let Some(out) = self.net.out(client) {
             clients::write_own(out, status, 0, true);
         }
@@ -272,17 +276,17 @@
     /// Closes a client's connection; this is the only place where that is done. While an answer is
     /// owed, only the client's own close or the write timeout ends the connection; otherwise it
     /// stays open and the result is false.
-    pub(super) fn end_client(&mut self, id: usize, end: CloseCause) -> bool {
+    pub(super) fn close_client(&mut self, id: usize, end: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
         if !client.phase.permits_close(end) {
-            self.withhold_end(id, end);
+            self.withhold_close(id, end);
             return false;
         }
-        self.check_end_of_client(id, end);
+        self.check_client_close(id, end);
         let Some(client) = self.clients.remove(&id) else { return false };
-        self.clients_served -= usize::from(client.served > 0);
+        self.served_clients -= usize::from(client.served > 0);
         let why = client.phase.close_reason().unwrap_or(end.reason());
-        info!(self.log, "client"; "why" => why, "from" => shown(self.net.address(id)), "answers" => client.served,
+        info!(self.log, "client"; "why" => why, "from" => address_text(self.net.address(id)), "answers" => client.served,
             "ms" => (self.net.now - self.net.since(id)) / MS);
         self.net.close(id);
         true
@@ -291,21 +295,21 @@
     /// Reads once more before this side closes a connection without an RPC; true if no new input
     /// arrived. Input received by now is served. Anything later crosses the close; it was not read
     /// and is never forwarded.
-    pub(super) fn rests(&mut self, id: usize) -> bool {
+    pub(super) fn is_drained(&mut self, id: usize) -> bool {
         let inside = self.clients.get(&id).filter(|client| client.partial);
         let before = inside.map_or(0, |client| client.looked_at);
         self.net.read(id, false);
         let rests = self.net.input(id).len() == before && self.net.ended(id).is_none();
         if !rests {
-            self.again.push_back(id);
+            self.clients_to_read.push_back(id);
         }
         rests
     }
 
     /// Shuts down sending to an idle client. Its further input is discarded until it closes as
     /// well, so that unread bytes do not turn the close into a reset.
-    pub(super) fn finish_client(&mut self, id: usize, why: &'static str) {
-        if !self.rests(id) {
+    pub(super) fn half_close_client(&mut self, id: usize, why: &'static str) {
+        if !self.is_drained(id) {
             return;
         }
         let now = self.net.now;
@@ -318,15 +322,15 @@
     /// During a shutdown: shuts down sending to idle clients. Connections that have sent nothing,
     /// and those within a message, stay open until reading stops; then an incomplete message is
     /// rejected, as it never reached the module.
-    pub(super) fn close_clients(&mut self, last: bool) {
+    pub(super) fn half_close_clients(&mut self, last: bool) {
         let open = self.clients.iter().filter(|(_, client)| client.phase.is_reading());
         let ids: Vec<usize> = open.map(|(id, _)| *id).collect();
         for id in ids {
             let (partial, served) = self.clients.get(&id).map_or((false, 0), |one| (one.partial, one.served));
             match () {
-                _ if partial && last => self.refuse(id, 503, "stopping"),
+                _ if partial && last => self.reject_message(id, 503, "stopping"),
                 _ if partial || served == 0 && !last => {}
-                _ => self.finish_client(id, "stopping"),
+                _ => self.half_close_client(id, "stopping"),
             }
         }
     }
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -3,58 +3,62 @@
 use super::*;
 
 impl PolicyHost {
-    pub(super) fn counter_came(&mut self, line: usize, id: usize) {
+    pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
-        let fed = self.lines[line].feed(self.net.now, self.net.input(id), &mut ended);
+        let fed = self.counter_conns[slot].feed(self.net.now, self.net.input(id), &mut ended);
         self.net.used(id, fed.unwrap_or(0));
-        self.counted.extend(ended);
+        self.ended_counter_calls.extend(ended);
         if let Some(why) = fed.err().or(self.net.ended(id).map(Ending::reason)) {
-            self.line_broke(line, why);
+            self.counter_connection_lost(slot, why);
         }
     }
 
     /// The connection for a call: the one with another call for the same name in flight, otherwise
     /// the one with the fewest calls.
-    pub(super) fn line_for(&mut self, name: u64) -> Option<usize> {
-        let carries = self.lines.iter().position(|line| line.carries(name));
+    pub(super) fn counter_connection_for(&mut self, name: u64) -> Option<usize> {
+        let carries = self.counter_conns.iter().position(|slot| slot.carries(name));
         let now = self.net.now;
-        let usable = |line: &usize| self.lines_on[*line].is_some() || now >= self.lines_again[*line];
-        let least = |line: &usize| self.lines[*line].written.len() + self.lines[*line].waiting.len();
-        let line = carries.or_else(|| {
-            (self.lines_from..self.lines_from + counter::LINES).filter(usable).min_by_key(least)
+        let usable = |slot: &usize| self.counter_ids[*slot].is_some() || now >= self.counter_retry_at[*slot];
+        let least =
+            |slot: &usize| self.counter_conns[*slot].written.len() + self.counter_conns[*slot].waiting.len();
+        let slot = carries.or_else(|| {
+            (self.active_counter_set..self.active_counter_set + counter::LINES)
+                .filter(usable)
+                .min_by_key(least)
         })?;
-        if self.lines_on[line].is_none() {
+        if self.counter_ids[slot].is_none() {
             let address = self.config.counter?;
-            self.lines[line].heard = now;
-            match self.connect(address, Peer::Counter(line), OTHER_INPUT) {
-                Ok(id) => self.lines_on[line] = Some(id),
+            self.counter_conns[slot].heard = now;
+            match self.connect(address, Peer::Counter(slot), MAX_COUNTER_INPUT) {
+                Ok(id) => self.counter_ids[slot] = Some(id),
                 Err(e) => {
                     warn!(self.log, "can't connect"; "to" => %address, "error" => %e);
-                    self.lines_again[line] = now + counter::AGAIN;
+                    self.counter_retry_at[slot] = now + counter::AGAIN;
                     return None;
                 }
             }
         }
-        Some(line)
+        Some(slot)
     }
 
     /// The counter has moved. New calls go to the new address; calls in flight finish at the old
     /// one, and a name stays there for as long as one of its calls is in flight, so that its
     /// answers keep their order.
-    pub(super) fn move_lines(&mut self) {
-        (self.lines_from, self.moved_at) = (counter::LINES - self.lines_from, self.net.now);
-        for line in self.lines_from..self.lines_from + counter::LINES {
-            self.line_broke(line, "moved"); // from before the previous move
-            self.lines_again[line] = 0;
+    pub(super) fn move_counter(&mut self) {
+        (self.active_counter_set, self.counter_moved_at) =
+            (counter::LINES - self.active_counter_set, self.net.now);
+        for slot in self.active_counter_set..self.active_counter_set + counter::LINES {
+            self.counter_connection_lost(slot, "moved"); // from before the previous move
+            self.counter_retry_at[slot] = 0;
         }
     }
 
-    pub(super) fn line_broke(&mut self, line: usize, why: &'static str) {
-        let Some(id) = self.lines_on[line].take() else { return };
-        info!(self.log, "counter"; "why" => why, "line" => line, "ms" => (self.net.now - self.net.since(id)) / MS);
-        self.lines_again[line] = self.net.now + counter::AGAIN;
-        let ended = self.lines[line].broke();
-        self.counted.extend(ended.into_iter().map(|(call, how)| (call, how, 0.0)));
+    pub(super) fn counter_connection_lost(&mut self, slot: usize, why: &'static str) {
+        let Some(id) = self.counter_ids[slot].take() else { return };
+        info!(self.log, "counter"; "why" => why, "line" => slot, "ms" => (self.net.now - self.net.since(id)) / MS);
+        self.counter_retry_at[slot] = self.net.now + counter::AGAIN;
+        let ended = self.counter_conns[slot].broke();
+        self.ended_counter_calls.extend(ended.into_iter().map(|(call, how)| (call, how, 0.0)));
         self.net.close(id);
     }
 }
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -12,17 +12,17 @@
     /// Counts the result of a check and logs a violation.
     fn check(&mut self, invariant: Invariant, holds: bool, txn: &[u8]) {
         if holds {
-            return self.counts.record_held(invariant);
+            return self.invariant_counts.record_held(invariant);
         }
-        self.counts.record_violated(invariant);
+        self.invariant_counts.record_violated(invariant);
         warn!(self.log, "invariant broken"; "invariant" => invariant.name(),
             "txn" => %String::from_utf8_lossy(txn));
     }
 
     /// Counts the verdict of the guard on an attempt that is about to be written.
-    pub(super) fn count_send(&mut self, verdict: Result<(), Denial>) {
+    pub(super) fn count_send_check(&mut self, verdict: Result<(), Denial>) {
         match verdict {
-            Err(obstacle) => self.counts.record_withheld(obstacle.invariant()),
+            Err(obstacle) => self.invariant_counts.record_withheld(obstacle.invariant()),
             Ok(()) => {
                 let looked_at = [
                     Invariant::ClientPresent,
@@ -30,30 +30,30 @@
                     Invariant::RepeatAllowed,
                     Invariant::ServerListed,
                 ];
-                looked_at.into_iter().for_each(|invariant| self.counts.record_held(invariant));
+                looked_at.into_iter().for_each(|invariant| self.invariant_counts.record_held(invariant));
             }
         }
     }
 
     /// Asks the guard whether an RPC that was just read may be admitted.
     pub(super) fn may_admit(&mut self, txn: &[u8], deadline: Nanos) -> bool {
-        let lasted = self.turn_lasted();
+        let lasted = self.elapsed_in_turn();
         let begin = guard::AdmissionCheck {
             now: self.net.now + lasted,
             deadline,
             last_turn: self.last_turn,
-            this_turn: lasted + self.caught_up,
-            max_turn: self.turn_most,
+            this_turn: lasted + self.time_advanced,
+            max_turn: self.max_turn,
             shutdown: self.shutdown,
         };
         match guard::may_admit(&begin) {
             Ok(()) => {
-                self.counts.record_held(Invariant::AdmittedInTime);
+                self.invariant_counts.record_held(Invariant::AdmittedInTime);
                 true
             }
             Err(obstacle) => {
-                self.counts.record_withheld(obstacle.invariant());
-                self.log_turned_away(txn, 503, obstacle.reason());
+                self.invariant_counts.record_withheld(obstacle.invariant());
+                self.log_direct_answer(txn, 503, obstacle.reason());
                 false
             }
         }
@@ -61,14 +61,14 @@
 
     /// Asks the guard whether the module may reject an RPC, which tells the client that retrying is
     /// harmless. If the guard withholds the rejection, the RPC is answered as failed.
-    pub(super) fn refusal_is_harmless(&mut self, id: u32) -> bool {
+    pub(super) fn rejection_is_harmless(&mut self, id: u32) -> bool {
         let Some(rpc) = self.rpcs.get(&id) else { return true };
-        let harmless = guard::may_reject(self.net.now, rpc.effect, rpc.first_run);
+        let harmless = guard::may_reject(self.net.now, rpc.retry_safety, rpc.first_run);
         if harmless {
-            self.counts.record_held(Invariant::RefusalHarmless);
+            self.invariant_counts.record_held(Invariant::RefusalHarmless);
         } else {
-            self.counts.record_withheld(Invariant::RefusalHarmless);
-            warn!(self.log, "refusal withheld"; "txn" => %String::from_utf8_lossy(&rpc.id));
+            self.invariant_counts.record_withheld(Invariant::RefusalHarmless);
+            warn!(self.log, "refusal withheld"; "txn" => %String::from_utf8_lossy(&rpc.txn));
         }
         harmless
     }
@@ -76,7 +76,7 @@
     /// Checks an answer once it is fully written.
     pub(super) fn check_answer(&mut self, owed: &UnsentAnswer) {
         let Some(deadline) = owed.deadline else { return };
-        let now = self.net.now + self.turn_lasted();
+        let now = self.net.now + self.elapsed_in_turn();
         let in_time = now <= deadline + ANSWER_SLACK;
         let in_life = self.shutdown.is_none_or(|shutdown| now <= shutdown.exit_at);
         self.check(Invariant::AnswerInTime, in_time && in_life, &owed.txn);
@@ -85,7 +85,7 @@
 
     /// Checks a client's connection when it is closed. A connection that the client closed, or that
     /// it does not read from, owes no answer.
-    pub(super) fn check_end_of_client(&mut self, id: usize, end: CloseCause) {
+    pub(super) fn check_client_close(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         if let Some(owed) = client.phase.unsent_answer() {
             self.log_unwritten(&owed.txn, end.reason(), self.net.unwritten(id));
@@ -97,16 +97,16 @@
     }
 
     /// Records that a close was withheld because it would have lost an answer.
-    pub(super) fn withhold_end(&mut self, id: usize, end: CloseCause) {
+    pub(super) fn withhold_close(&mut self, id: usize, end: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         let txn = self.txn_on(client);
-        self.counts.record_withheld(Invariant::OneAnswer);
+        self.invariant_counts.record_withheld(Invariant::OneAnswer);
         warn!(self.log, "end withheld"; "why" => end.reason(), "txn" => %String::from_utf8_lossy(&txn));
     }
 
     /// Checks what is left when the process exits: RPCs without an answer, and answers that were
     /// not fully written.
-    pub(super) fn check_end_of_process(&mut self) {
+    pub(super) fn check_process_end(&mut self) {
         let clients: Vec<usize> = self.clients.keys().copied().collect();
         for id in clients {
             let Some(client) = self.clients.get(&id) else { continue };
@@ -123,13 +123,13 @@
     /// there is none.
     fn txn_on(&self, client: &Client) -> Box<[u8]> {
         let waiting =
-            client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.id.clone());
+            client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.txn.clone());
         let answering = || client.phase.unsent_answer().map(|owed| owed.txn.clone());
         waiting.or_else(answering).unwrap_or_default()
     }
 
     /// The header line that shows the counts to operators.
-    pub(super) fn counts_line(&self) -> String {
-        format!("X-Invariants: {}\n", self.counts.summary())
+    pub(super) fn invariants_header(&self) -> String {
+        format!("X-Invariants: {}\n", self.invariant_counts.summary())
     }
 }
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn text(id: &[u8]) -> std::borrow::Cow<'_, str> {
+fn lossy_text(id: &[u8]) -> std::borrow::Cow<'_, str> {
     String::from_utf8_lossy(id)
 }
 
@@ -26,22 +26,22 @@
     /// Logs the start of an attempt if it is a retry, and every one during a shutdown.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if attempt.nth == 0 && !self.is_stopping() {
+        if attempt.nth == 0 && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt"; "txn" => %text(&rpc.id), "number" => attempt.nth, "to" => shown(address),
+        info!(self.log, "attempt"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.nth, "to" => address_text(address),
             "limit_ms" => attempt.until.saturating_sub(attempt.sent) / MS, "repeat" => attempt.nth > 0);
     }
 
     /// Logs the end of an attempt unless it succeeded, and every one during a shutdown.
     pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: End) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if how == End::Ok && !self.is_stopping() {
+        if how == End::Ok && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt ended"; "txn" => %text(&rpc.id), "number" => attempt.nth, "to" => shown(address),
+        info!(self.log, "attempt ended"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.nth, "to" => address_text(address),
             "how" => end_code(how), "ms" => (self.net.now - attempt.sent) / MS);
     }
 
@@ -49,28 +49,28 @@
     /// those of a server.
     pub(super) fn log_answer(&self, id: u32, status: u16, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        if status == 200 && !self.is_stopping() {
+        if status == 200 && !self.is_shutting_down() {
             return;
         }
-        info!(self.log, "answer"; "txn" => %text(&rpc.id), "status" => status, "why" => why,
-            "attempts" => rpc.call_outs, "ms" => self.net.now.saturating_sub(rpc.since) / MS);
+        info!(self.log, "answer"; "txn" => %lossy_text(&rpc.txn), "status" => status, "why" => why,
+            "attempts" => rpc.attempts, "ms" => self.net.now.saturating_sub(rpc.received_at) / MS);
     }
 
     /// Logs a message that was answered without the module.
-    pub(super) fn log_turned_away(&self, id: &[u8], status: u16, why: &'static str) {
-        info!(self.log, "answer"; "txn" => %text(id), "status" => status, "why" => why, "attempts" => 0);
+    pub(super) fn log_direct_answer(&self, id: &[u8], status: u16, why: &'static str) {
+        info!(self.log, "answer"; "txn" => %lossy_text(id), "status" => status, "why" => why, "attempts" => 0);
     }
 
     /// Logs an RPC that ended without an answer because its client left.
     pub(super) fn log_abandoned(&self, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        info!(self.log, "abandoned"; "txn" => %text(&rpc.id), "attempts" => rpc.call_outs,
-            "ms" => self.net.now.saturating_sub(rpc.since) / MS);
+        info!(self.log, "abandoned"; "txn" => %lossy_text(&rpc.txn), "attempts" => rpc.attempts,
+            "ms" => self.net.now.saturating_sub(rpc.received_at) / MS);
     }
 
     /// Logs a client's connection that is closed with this many bytes of an answer not yet handed
     /// to the operating system.
     pub(super) fn log_unwritten(&self, txn: &[u8], why: &'static str, bytes: usize) {
-        warn!(self.log, "answer not written"; "txn" => %text(txn), "why" => why, "bytes" => bytes);
+        warn!(self.log, "answer not written"; "txn" => %lossy_text(txn), "why" => why, "bytes" => bytes);
     }
 }
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -14,7 +14,7 @@
 use agreement::version::Version;
 
 /// A version of the settings, with what the HTTP side needs of it.
-struct Held {
+struct HeldVersion {
     version: Version,
     methods: Vec<Method>,
     plans: Vec<String>,
@@ -24,23 +24,23 @@
 pub(super) struct AgreementLink {
     state: Agreement,
     /// The version held, and the one scheduled for its start time.
-    held: Held,
-    waits: Option<Held>,
+    held: HeldVersion,
+    scheduled: Option<HeldVersion>,
     acting: Decision,
     all: SocketAddr,
     /// For drills: an offset that is added to the local clock, in nanoseconds.
-    clock_off: i64,
+    clock_offset: i64,
     /// When the timer for the next evaluation is due.
-    looks_at: Nanos,
+    evaluation_timer_at: Nanos,
     /// Messages that were ignored because this clock is behind or the sender's is ahead; logged at
     /// most once a second.
-    ahead: u64,
+    ahead_count: u64,
     ahead_logged: Nanos,
     number: Option<u32>,
     lists: Lists,
     /// Servers by key, as this gateway's own list last reported them.
     entries: BTreeMap<u64, Entry>,
-    tells_list_at: Nanos,
+    next_list_notice_at: Nanos,
 }
 
 impl AgreementLink {
@@ -55,7 +55,7 @@
 
 impl Gateway {
     /// Starts with the fallback of the version in the file, until it is confirmed.
-    pub(super) fn begin_to_agree(&mut self) {
+    pub(super) fn start_agreement(&mut self) {
         let host = &mut self.host;
         let Some(told) = host.config.agreement.take() else { return };
         // Without datagrams nothing is ever confirmed, so this gateway stays on its fallback
@@ -65,14 +65,14 @@
             told.listen
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
-        let (all, clock_off) = (told.all, told.clock_off);
-        let (now, content) = (host.net.now.saturating_add_signed(clock_off), told.version.content());
+        let (all, clock_offset) = (told.all, told.clock_off);
+        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), told.version.content());
         let mut state =
-            Agreement::new(told.terms, number, host.chance.u32(..), now, content, told.version.start);
+            Agreement::new(told.terms, number, host.rng.u32(..), now, content, told.version.start);
         if told.fresh {
             state.skip_recovery();
         }
-        let held = Held {
+        let held = HeldVersion {
             version: told.version,
             methods: Vec::new(),
             plans: Vec::new(),
@@ -83,27 +83,28 @@
         self.agreement = Some(AgreementLink {
             state,
             held,
-            waits: None,
+            scheduled: None,
             acting,
             all,
-            clock_off,
-            looks_at: 0,
-            ahead: 0,
+            clock_offset,
+            evaluation_timer_at: 0,
+            ahead_count: 0,
             ahead_logged: 0,
             number,
             lists: Lists::default(),
             entries: BTreeMap::new(),
-            tells_list_at: 0,
+            next_list_notice_at: 0,
         });
         self.act_on(acting, "begins");
-        self.agree();
+        self.evaluate_agreement();
     }
 
     /// Makes the module act on this version and mode from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
         if agreement.held.version.content() != acting.content
-            && let Some(new) = agreement.waits.take_if(|waits| waits.version.content() == acting.content)
+            && let Some(new) =
+                agreement.scheduled.take_if(|scheduled| scheduled.version.content() == acting.content)
         {
             agreement.held = new;
             self.host.config.methods = std::mem::take(&mut agreement.held.methods);
@@ -125,13 +126,13 @@
 
     /// Evaluates which settings may be acted on, before anything else is decided, and sends due
     /// messages to the other gateways.
-    pub(super) fn agree(&mut self) {
+    pub(super) fn evaluate_agreement(&mut self) {
         let Some(agreement) = &mut self.agreement else { return };
-        let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
-        let words = agreement.state.poll_messages(now);
-        words.iter().for_each(|word| self.host.net.tell(agreement.all, &word.encode()));
-        if agreement.state.is_voter() && now >= agreement.tells_list_at {
-            agreement.tells_list_at = now + agreement.state.terms().renewal_interval();
+        let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
+        let messages = agreement.state.poll_messages(now);
+        messages.iter().for_each(|message| self.host.net.tell(agreement.all, &message.encode()));
+        if agreement.state.is_voter() && now >= agreement.next_list_notice_at {
+            agreement.next_list_notice_at = now + agreement.state.terms().renewal_interval();
             if let (Some(Announcement { index, removed }), Some(gateway)) =
                 (agreement.lists.announcement(now), agreement.number)
             {
@@ -149,41 +150,43 @@
         }
         let Some(agreement) = &mut self.agreement else { return };
         let next = agreement.state.next_evaluation(now);
-        if agreement.looks_at <= now || next < agreement.looks_at {
-            agreement.looks_at = next;
-            self.host.timers.set(next.saturating_add_signed(-agreement.clock_off), TimerEvent::Agree);
+        if agreement.evaluation_timer_at <= now || next < agreement.evaluation_timer_at {
+            agreement.evaluation_timer_at = next;
+            self.host
+                .timers
+                .set(next.saturating_add_signed(-agreement.clock_offset), TimerEvent::EvaluateAgreement);
         }
     }
 
-    pub(super) fn hear(&mut self, bytes: &[u8]) {
+    pub(super) fn receive_datagram(&mut self, bytes: &[u8]) {
         let Some(agreement) = &mut self.agreement else { return };
-        let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
+        let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
         if let Some(notice) = ListNotice::decode(bytes) {
-            return self.hear_of_list(notice);
+            return self.receive_list_notice(notice);
         }
         let Some(agreement) = &mut self.agreement else { return };
-        let Some(word) = LeaseMessage::decode(bytes) else { return };
-        match agreement.state.receive(now, &word) {
+        let Some(message) = LeaseMessage::decode(bytes) else { return };
+        match agreement.state.receive(now, &message) {
             Receipt::TwoContents => {
-                agreement.waits = None;
-                let content = word.lease.content;
+                agreement.scheduled = None;
+                let content = message.lease.content;
                 warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short(content));
             }
             Receipt::SentAhead => {
-                agreement.ahead += 1;
+                agreement.ahead_count += 1;
                 if now >= agreement.ahead_logged + 1000 * MS {
                     agreement.ahead_logged = now;
-                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => word.gateway, "ahead_ms" => (word.sent - now) / MS, "words" => agreement.ahead);
+                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => message.gateway, "ahead_ms" => (message.sent - now) / MS, "words" => agreement.ahead_count);
                 }
             }
             Receipt::Accepted | Receipt::Ignored => {}
         }
-        self.agree();
+        self.evaluate_agreement();
     }
 
     /// A voter announced the list that it holds: servers that it lists as removed from work get
     /// nothing new from this gateway if the list held here is older.
-    fn hear_of_list(&mut self, notice: ListNotice) {
+    fn receive_list_notice(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
         if !agreement.state.terms().voters.contains(&notice.gateway) {
             return;
@@ -197,12 +200,12 @@
         let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
         info!(self.host.log, "list"; "why" => "late", "index" => held, "newer" => notice.index, "held_back" => names.join(","));
         let entries = entries.into_iter().map(|entry| Entry { ready: false, ..entry }).collect();
-        self.list(Told { index: held, entries, ..Told::default() });
+        self.queue_filtered_list(Told { index: held, entries, ..Told::default() });
     }
 
     /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
     /// it. `None` if the list is ignored.
-    pub(super) fn judge_list(&mut self, told: &mut Told) -> Option<Told> {
+    pub(super) fn filter_list(&mut self, told: &mut Told) -> Option<Told> {
         let mut more = Told { index: told.index, ..Told::default() };
         let Some(agreement) = &mut self.agreement else { return Some(more) };
         let seen = |entry: &Entry| ListedServer {
@@ -243,7 +246,7 @@
     }
 
     /// Offers the version of a reloaded file to the state machine.
-    pub(super) fn take_version(
+    pub(super) fn offer_version(
         &mut self,
         version: Version,
         methods: Vec<Method>,
@@ -252,11 +255,13 @@
     ) {
         let Some(agreement) = &mut self.agreement else { return };
         let (now, content) =
-            (self.host.net.now.saturating_add_signed(agreement.clock_off), version.content());
+            (self.host.net.now.saturating_add_signed(agreement.clock_offset), version.content());
         let (log, number) = (&self.host.log, content.version);
         // Versions that are not newer than the held ones are judged by the state machine.
-        let newer =
-            [Some(&agreement.held), agreement.waits.as_ref()].into_iter().flatten().map(|held| &held.version);
+        let newer = [Some(&agreement.held), agreement.scheduled.as_ref()]
+            .into_iter()
+            .flatten()
+            .map(|held| &held.version);
         let newer = newer.filter(|held| number > held.number);
         let why: Vec<String> = newer
             .flat_map(|held| objections(held, &version))
@@ -267,28 +272,28 @@
         }
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
-                let start = agreement.state.waiting().map_or(0, |waits| waits.start);
+                let start = agreement.state.waiting().map_or(0, |scheduled| scheduled.start);
                 info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short(content),
                     "starts_in_ms" => start.saturating_sub(now) / MS);
-                agreement.waits = Some(Held { version, methods, plans, services });
+                agreement.scheduled = Some(HeldVersion { version, methods, plans, services });
             }
             Ok(Offer::Known) => {
                 info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short(content))
             }
             Err(refused) => {
                 if agreement.state.waiting().is_none() {
-                    agreement.waits = None;
+                    agreement.scheduled = None;
                 }
                 warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short(content),
                     "held" => agreement.held.version.number);
             }
         }
-        self.agree();
+        self.evaluate_agreement();
     }
 
     /// The header line that shows operators which settings are in use; empty if the settings have
     /// no version.
-    pub(super) fn shows(&self) -> String {
+    pub(super) fn settings_header(&self) -> String {
         let Some(agreement) = &self.agreement else { return String::new() };
         let Decision { content, mode } = agreement.acting;
         let age = match agreement.state.last_confirmed() {
@@ -296,12 +301,12 @@
             at => (self.host.net.now.saturating_sub(at) / MS).to_string(),
         };
         let acts_on = if mode == Mode::Confirmed { "version" } else { "ground" };
-        let waits = agreement
+        let scheduled = agreement
             .state
             .waiting()
-            .map_or(String::new(), |waits| format!(", waits={}", waits.content.version));
+            .map_or(String::new(), |scheduled| format!(", waits={}", scheduled.content.version));
         format!(
-            "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{waits}\n",
+            "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{scheduled}\n",
             content.version,
             short(content)
         )
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -14,9 +14,9 @@
         // The signal may have been pending for as long as a message that is read now.
         let signalled_at = self.host.net.now.saturating_sub(self.host.net.late);
         let shutdown = Shutdown::new(signalled_at, self.host.longest_deadline());
-        info!(self.host.log, "stopping"; "held" => self.host.open_rpcs, "clients" => self.host.clients.len(),
+        info!(self.host.log, "stopping"; "held" => self.host.unanswered_rpcs, "clients" => self.host.clients.len(),
             "answer_within_ms" => shutdown.answer_by.saturating_sub(self.host.net.now) / MS);
-        self.follow(shutdown);
+        self.apply_shutdown(shutdown);
     }
 
     /// A configuration that is reloaded during a shutdown may have shorter deadlines, and so an
@@ -25,26 +25,26 @@
         let Some(shutdown) = self.host.shutdown else { return };
         let shorter = shutdown.earlier(Shutdown::new(shutdown.signalled_at, self.host.longest_deadline()));
         if shorter != shutdown {
-            self.follow(shorter);
+            self.apply_shutdown(shorter);
         }
     }
 
     /// Shortens every wait to fit a timeline, and sets its timers.
-    fn follow(&mut self, shutdown: Shutdown) {
+    fn apply_shutdown(&mut self, shutdown: Shutdown) {
         let host = &mut self.host;
         host.shutdown = Some(shutdown);
         host.timers.set(shutdown.listen_until, TimerEvent::StopListening);
-        host.timers.set(shutdown.read_until, TimerEvent::LastCall);
+        host.timers.set(shutdown.read_until, TimerEvent::StopReading);
         host.timers.set(shutdown.exit_at, TimerEvent::Exit);
         let answer_by = shutdown.answer_by;
         for (id, rpc) in &mut host.rpcs {
             rpc.deadline = rpc.deadline.min(answer_by);
-            host.timers.set(rpc.deadline + OVERDUE, TimerEvent::Overdue(*id));
+            host.timers.set(rpc.deadline + OVERDUE_GRACE, TimerEvent::RpcOverdue(*id));
         }
-        for (id, link) in &mut host.links {
-            if let Some(attempt) = link.attempt_mut() {
+        for (id, connection) in &mut host.server_connections {
+            if let Some(attempt) = connection.attempt_mut() {
                 attempt.until = attempt.until.min(answer_by);
-                host.timers.set(attempt.until, TimerEvent::CallOut(*id, attempt.rpc, attempt.nth));
+                host.timers.set(attempt.until, TimerEvent::AttemptTimeout(*id, attempt.rpc, attempt.nth));
             }
         }
         let now = host.net.now;
@@ -56,18 +56,18 @@
     pub(super) fn exit(&mut self) {
         let unanswered: Vec<u32> =
             self.host.clients.values().filter_map(|client| Some(client.phase.pending_rpc()?.0)).collect();
-        unanswered.into_iter().for_each(|id| self.overdue(id));
+        unanswered.into_iter().for_each(|id| self.answer_overdue(id));
         let clients: Vec<usize> = self.host.clients.keys().copied().collect();
         clients.into_iter().for_each(|id| self.host.net.read(id, false));
-        self.host.exits = true;
+        self.host.exit_requested = true;
     }
 
     /// Writes the last line of the log.
     pub fn log_end(&mut self) {
-        self.host.check_end_of_process();
+        self.host.check_process_end();
         let host = &self.host;
-        info!(host.log, "ended"; "unanswered" => host.open_rpcs, "clients" => host.clients.len(),
-            "invariants" => host.counts.summary(), "violations" => host.counts.violations());
+        info!(host.log, "ended"; "unanswered" => host.unanswered_rpcs, "clients" => host.clients.len(),
+            "invariants" => host.invariant_counts.summary(), "violations" => host.invariant_counts.violations());
     }
 }
 
@@ -79,23 +79,23 @@
         self.file_deadline.map_or(held, |told| held.min(told))
     }
 
-    pub(super) fn is_stopping(&self) -> bool {
+    pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
     /// Whether incomplete messages are no longer waited for.
-    pub(super) fn is_past_last_call(&self) -> bool {
+    pub(super) fn is_past_read_period(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| self.net.now >= shutdown.read_until)
     }
 
     /// Limits a deadline to the time by which every RPC is answered during a shutdown.
-    pub(super) fn within_life(&self, deadline: Nanos) -> Nanos {
+    pub(super) fn cap_deadline(&self, deadline: Nanos) -> Nanos {
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.answer_by))
     }
 
     /// Whether a connection whose buffer holds a message of this length closes after its answer:
     /// during a shutdown, unless more input was read, which is answered too.
-    pub(super) fn ends_with(&self, client: usize, length: usize) -> bool {
-        self.is_stopping() && self.net.input(client).len() <= length
+    pub(super) fn closes_for_shutdown(&self, client: usize, length: usize) -> bool {
+        self.is_shutting_down() && self.net.input(client).len() <= length
     }
 }
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -12,18 +12,20 @@
     Idle,
 }
 
-const SLOW_MESSAGE: &str = "slow-message";
+const SLOW_MESSAGE_REASON: &str = "slow-message";
 
 impl PolicyHost {
     /// Checks all connections.
     pub(super) fn sweep(&mut self) {
-        self.timers.set(self.net.now + SWEEP, TimerEvent::Sweep);
+        self.timers.set(self.net.now + SWEEP_INTERVAL, TimerEvent::Sweep);
         self.sweep_clients();
-        self.sweep_links();
-        if let Some(id) = self.watch_on.filter(|_| !self.takes_list() && self.watch.is_silent(self.net.now)) {
-            self.watch_broke(id, "silent");
+        self.sweep_server_connections();
+        if let Some(id) =
+            self.watch_id.filter(|_| !self.is_updating_list() && self.watch.is_silent(self.net.now))
+        {
+            self.watch_lost(id, "silent");
         }
-        self.sweep_lines();
+        self.sweep_counter_connections();
     }
 
     fn sweep_clients(&mut self) {
@@ -35,13 +37,13 @@
                 // Input received by now, possibly the end of the message, is processed first, but
                 // not again and again.
                 Overstay::SlowMessage
-                    if self.net.now <= self.begun(id) + clients::SLOW_MESSAGE + 2 * SWEEP
-                        && !self.rests(id) => {}
-                Overstay::SlowMessage => self.refuse(id, 408, SLOW_MESSAGE),
-                Overstay::SaidNothing => self.finish_client(id, "said-nothing"),
-                Overstay::Idle => self.finish_client(id, "idle"),
-                Overstay::Lingered => drop(self.end_client(id, CloseCause::LingerTimeout)),
-                Overstay::ReadsNothing => drop(self.end_client(id, CloseCause::WriteTimeout)),
+                    if self.net.now <= self.begun(id) + clients::SLOW_MESSAGE + 2 * SWEEP_INTERVAL
+                        && !self.is_drained(id) => {}
+                Overstay::SlowMessage => self.reject_message(id, 408, SLOW_MESSAGE_REASON),
+                Overstay::SaidNothing => self.half_close_client(id, "said-nothing"),
+                Overstay::Idle => self.half_close_client(id, "idle"),
+                Overstay::Lingered => drop(self.close_client(id, CloseCause::LingerTimeout)),
+                Overstay::ReadsNothing => drop(self.close_client(id, CloseCause::WriteTimeout)),
             }
         }
     }
@@ -51,7 +53,7 @@
         let age = now.saturating_sub(client.since);
         let (most, overstay) = match client.phase {
             Phase::AwaitingAnswer { .. } => return None,
-            Phase::HalfClosed { .. } => (LINGER, Overstay::Lingered),
+            Phase::HalfClosed { .. } => (LINGER_TIMEOUT, Overstay::Lingered),
             Phase::WritingAnswer { close_reason: Some(_), .. } => {
                 (clients::SLOW_MESSAGE, Overstay::ReadsNothing)
             }
@@ -75,23 +77,24 @@
         begun.unwrap_or(self.net.since(id))
     }
 
-    fn sweep_links(&mut self) {
+    fn sweep_server_connections(&mut self) {
         let now = self.net.now;
-        let idle = self.met().flat_map(|server| &server.idle);
-        let idle: Vec<usize> = idle.filter(|idle| now >= idle.1 + self.idle).map(|idle| idle.0).collect();
-        idle.into_iter().for_each(|id| self.end_link(id, "idle"));
+        let idle = self.connected_servers().flat_map(|server| &server.idle);
+        let idle: Vec<usize> =
+            idle.filter(|idle| now >= idle.1 + self.idle_timeout).map(|idle| idle.0).collect();
+        idle.into_iter().for_each(|id| self.close_server_connection(id, "idle"));
     }
 
-    fn sweep_lines(&mut self) {
+    fn sweep_counter_connections(&mut self) {
         let now = self.net.now;
-        for at in 0..self.lines.len() {
-            let Some(id) = self.lines_on[at] else { continue };
-            let used = at / counter::LINES == self.lines_from / counter::LINES;
-            let line = &mut self.lines[at];
-            if !used && (line.is_done() || now > self.moved_at + counter::MOVES_WITHIN) {
-                self.line_broke(at, "moved");
+        for at in 0..self.counter_conns.len() {
+            let Some(id) = self.counter_ids[at] else { continue };
+            let used = at / counter::LINES == self.active_counter_set / counter::LINES;
+            let line = &mut self.counter_conns[at];
+            if !used && (line.is_done() || now > self.counter_moved_at + counter::MOVES_WITHIN) {
+                self.counter_connection_lost(at, "moved");
             } else if line.is_dead(now) || !line.up && now > line.heard + counter::DEAD_AFTER {
-                self.line_broke(at, "silent");
+                self.counter_connection_lost(at, "silent");
             } else if line.up
                 && now > line.wrote + counter::PING_EVERY
                 && let Some(out) = self.net.out(id)
