--- a/crates/agreement/src/state/tests.rs
+++ b/crates/agreement/src/state/tests.rs
@@ -3,17 +3,17 @@
 //! that covers the whole change of a version. Mistakes seeded by changing a gateway's state from here have to be found.
 
 use super::{Agreement, Mode, VoterPhase};
-use crate::lease::Content;
+use crate::config::AgreementConfig;
+use crate::lease::ContentId;
 use crate::message::{LeaseMessage, MessageKind};
-use crate::terms::Terms;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 const GATEWAYS: usize = 3;
 const START: u64 = 10;
 
-fn content(version: u64, digest: u128) -> Content {
-    Content { version, digest }
+fn content(version: u64, digest: u128) -> ContentId {
+    ContentId { version, digest }
 }
 
 const OLD: u64 = 1;
@@ -69,16 +69,20 @@
 }
 
 impl World {
-    fn terms(&self) -> Terms {
-        Terms { voters: (0..GATEWAYS as u32).collect(), lease: self.lease, clock: self.clock }
+    fn config(&self) -> AgreementConfig {
+        AgreementConfig {
+            voters: (0..GATEWAYS as u32).collect(),
+            lease_duration: self.lease,
+            max_clock_error: self.clock,
+        }
     }
 
     fn clock(&self, now: u64, gateway: usize) -> u64 {
         now.saturating_add_signed(self.clocks[gateway])
     }
 
-    fn gateway(&self, number: usize, life: u32, born: u64, content: Content, start: u64) -> Agreement {
-        let mut gateway = Agreement::new(self.terms(), Some(number as u32), life, born, content, start);
+    fn gateway(&self, number: usize, life: u32, born: u64, content: ContentId, start: u64) -> Agreement {
+        let mut gateway = Agreement::new(self.config(), Some(number as u32), life, born, content, start);
         match self.mistake {
             Some(Mistake::SmallQuorum) => gateway.quorum -= 1,
             Some(Mistake::NoSilence) => gateway.silent_until = born,
@@ -164,7 +168,7 @@
             let comes = state.now < START - self.lease + self.comes_within;
             if comes
                 && gateway.content().version == OLD
-                && gateway.waiting().is_none()
+                && gateway.scheduled().is_none()
                 && gateway.dropped.is_none()
             {
                 actions.push(Action::Give(at));
@@ -217,16 +221,19 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("contradict no longer than the bound", |world: &World, state: &State| {
-                let acted: BTreeSet<Content> = state
+                let acted: BTreeSet<ContentId> = state
                     .gateways
                     .iter()
                     .filter(|gateway| gateway.mode() == Mode::Confirmed)
                     .map(Agreement::content)
                     .collect();
-                let new: BTreeSet<&Content> = acted.iter().filter(|content| content.version == NEW).collect();
+                let new: BTreeSet<&ContentId> =
+                    acted.iter().filter(|content| content.version == NEW).collect();
                 let old = acted.iter().any(|content| content.version == OLD);
-                let late = state.new_since.is_some_and(|since| state.now > since + world.terms().bound());
-                let together = old && !new.is_empty() && world.terms().bound() == 0;
+                let late = state
+                    .new_since
+                    .is_some_and(|since| state.now > since + world.config().contradiction_bound());
+                let together = old && !new.is_empty() && world.config().contradiction_bound() == 0;
                 new.len() <= 1 && !together && !(old && late)
             }),
             Property::sometimes("all act on the new version", |_, state: &State| {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 use crate::services::Services;
 use crate::shutdown::longest_deadline;
 use agreement::Nanos;
-use agreement::terms::Terms;
+use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use martenramp::host::Settings;
 use serde_json::Value;
@@ -19,41 +19,41 @@
     pub counter: Option<SocketAddr>,
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// Memory that it may take.
-    pub memory: usize,
+    pub memory_limit: usize,
     /// The list of servers as this gateway last had it, in discovery's form.
-    pub known: Option<Value>,
+    pub initial_list: Option<Value>,
     /// As the module gets them: path=value, names and units untouched.
     pub settings: Settings,
     pub methods: Vec<Method>,
     pub plans: Vec<String>,
     pub services: Rc<Services>,
     /// The most units that one RPC may take, and how many gateways there are.
-    pub units_most: f64,
+    pub max_units: f64,
     pub gateways: u32,
     /// Settings with a version, if this file tells one.
-    pub agreement: Option<Agreed>,
+    pub agreement: Option<SettingsAgreement>,
 }
 
 /// The version that the settings are, and how gateways agree on it.
-pub struct Agreed {
+pub struct SettingsAgreement {
     pub version: Version,
-    pub terms: Terms,
+    pub terms: AgreementConfig,
     /// Where other gateways' datagrams come in, and where this one sends what all of them are to hear.
     pub listen: SocketAddr,
-    pub all: SocketAddr,
+    pub peers: SocketAddr,
     /// For drills: this gateway's clock is taken to be so far ahead, nanoseconds.
-    pub clock_off: i64,
+    pub clock_offset: i64,
     /// The operators' word that nothing has to be remembered.
     pub fresh: bool,
 }
 
 /// Who votes where the file names nobody: the first so many gateways.
-const VOTERS: u32 = 7;
+const DEFAULT_VOTERS: u32 = 7;
 /// How long a voter's word holds, and how far clocks are apart from true time at most, where the file does not say.
-const LEASE: f64 = 2.0;
-const CLOCK: f64 = 0.25;
+const DEFAULT_LEASE_SECONDS: f64 = 2.0;
+const DEFAULT_CLOCK_ERROR_SECONDS: f64 = 0.25;
 
 /// A method by its name.
 pub struct Method {
@@ -62,7 +62,7 @@
 }
 
 impl Method {
-    fn read(name: String, number: usize, settings: &Settings) -> Method {
+    fn from_settings(name: String, number: usize, settings: &Settings) -> Method {
         let told = |part: &str| settings.get(&format!("classes.{number}.{part}")).map(String::as_str);
         let window = told("window").and_then(|secs| secs.parse().ok()).unwrap_or(0.0);
         let effect = match told("idempotency") {
@@ -78,12 +78,12 @@
 }
 
 /// Where no limit is told: the usual one of a process.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: u64 = 1024;
+const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
+const DEFAULT_MEMORY_MB: u64 = 1024;
 
 impl Config {
     /// Reads the configuration's text; `env` looks up what it leaves out.
-    pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
+    pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let all: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
         let told = |name: &str, variable: &str| {
             let value = all[name].as_str().map(str::to_string).or_else(|| env(variable));
@@ -106,7 +106,7 @@
             return Err("'settings' is missing".to_string());
         };
         let settings = flatten(nested);
-        check(&settings)?;
+        validate(&settings)?;
         let names = |list: &str| -> Vec<String> {
             let entries = nested.get(list).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
             entries.iter().map(|entry| entry["name"].as_str().unwrap_or_default().to_string()).collect()
@@ -114,20 +114,21 @@
         let methods: Vec<Method> = names("classes")
             .into_iter()
             .enumerate()
-            .map(|(number, name)| Method::read(name, number, &settings))
+            .map(|(number, name)| Method::from_settings(name, number, &settings))
             .collect();
         let services = Services::read(&all["services"], &names("classes"))?;
         let plans = names("tariffs");
         if methods.is_empty() || plans.is_empty() {
             return Err("'settings' names no classes or no tariffs".to_string());
         }
-        let sockets = all["limits"]["sockets"].as_u64().map_or(SOCKETS, |most| most as usize);
-        let memory = all["limits"]["memory_mb"].as_u64().unwrap_or(MEMORY_MB) as usize;
+        let sockets =
+            all["limits"]["sockets"].as_u64().map_or(DEFAULT_DESCRIPTOR_LIMIT, |most| most as usize);
+        let memory = all["limits"]["memory_mb"].as_u64().unwrap_or(DEFAULT_MEMORY_MB) as usize;
         let memory = memory.saturating_mul(1 << 20);
         let known = Some(all["known"].clone()).filter(Value::is_object);
         let agreement = match &all["agreement"] {
             Value::Null => None,
-            told => Some(agreed(told, &all, &settings, &address)?),
+            told => Some(parse_agreement(told, &all, &settings, &address)?),
         };
         let name = told("name", "LB_NAME").unwrap_or_else(|_| listen.to_string());
         let mut config = Config {
@@ -136,62 +137,62 @@
             discovery,
             counter,
             seed,
-            sockets,
-            memory,
-            known,
+            descriptor_limit: sockets,
+            memory_limit: memory,
+            initial_list: known,
             settings,
             methods,
             plans,
             services: Rc::new(services),
-            units_most: counter::AMOUNT_MOST,
+            max_units: counter::MAX_AMOUNT,
             gateways: u32::MAX,
             agreement,
         };
-        config.bounds();
+        config.update_limits();
         Ok(config)
     }
 
-    fn bounds(&mut self) {
-        self.units_most = self.setting("extra.largest").unwrap_or(f64::MAX).min(counter::AMOUNT_MOST);
-        self.gateways = self.setting("balancers").map_or(u32::MAX, |count| count as u32);
+    fn update_limits(&mut self) {
+        self.max_units = self.positive_setting("extra.largest").unwrap_or(f64::MAX).min(counter::MAX_AMOUNT);
+        self.gateways = self.positive_setting("balancers").map_or(u32::MAX, |count| count as u32);
     }
 
     /// Other settings hold from now on. What this process made of them at its start (limits, time-outs, names of zones) stays.
-    pub fn settle(&mut self, settings: Settings) {
+    pub fn apply_settings(&mut self, settings: Settings) {
         self.settings = settings;
-        self.bounds();
+        self.update_limits();
     }
 
     /// The longest deadline of a method.
     pub fn longest_deadline(&self) -> Nanos {
-        let told = |number| self.setting(&format!("classes.{number}.deadline"));
+        let told = |number| self.positive_setting(&format!("classes.{number}.deadline"));
         let nanos = |secs: f64| (secs * 1e9) as Nanos;
         longest_deadline((0..self.methods.len()).map(|number| told(number).map(nanos)))
     }
 
     /// The shortest deadline of a method; the longest that counts where none is told.
     pub fn shortest_deadline(&self) -> Nanos {
-        let told =
-            (0..self.methods.len()).filter_map(|number| self.setting(&format!("classes.{number}.deadline")));
+        let told = (0..self.methods.len())
+            .filter_map(|number| self.positive_setting(&format!("classes.{number}.deadline")));
         told.map(|secs| (secs * 1e9) as Nanos).min().unwrap_or_else(|| self.longest_deadline())
     }
 
-    pub fn setting(&self, name: &str) -> Option<f64> {
+    pub fn positive_setting(&self, name: &str) -> Option<f64> {
         self.settings.get(name)?.parse().ok().filter(|value: &f64| value.is_finite() && *value > 0.0)
     }
 
     /// The entries of a list of plain names, such as the zones.
-    pub fn list(&self, name: &str) -> Vec<String> {
+    pub fn setting_list(&self, name: &str) -> Vec<String> {
         let joined = self.settings.get(name).map_or("", String::as_str);
         joined.split(',').filter(|entry| !entry.is_empty()).map(str::to_string).collect()
     }
 }
 
 /// What a method's effect and group may be; one that is not known could be repeated where it must not.
-const EFFECTS: [&str; 3] = ["free", "guarded", "single_shot"];
-const GROUPS: [&str; 3] = ["all", "zone", "cell"];
+const IDEMPOTENCY_VALUES: [&str; 3] = ["free", "guarded", "single_shot"];
+const GROUP_VALUES: [&str; 3] = ["all", "zone", "cell"];
 /// Times in seconds, by name and among the parts of each method; none is longer than a day.
-const TIMES: [&str; 7] = [
+const TIME_SETTINGS: [&str; 7] = [
     "ceilings.connIdle",
     "ceilings.dialTimeout",
     "ceilings.maxRetryAfter",
@@ -200,14 +201,14 @@
     "rules.fall",
     "rules.warmWithin",
 ];
-const METHOD_TIMES: [&str; 3] = ["onTime", "deadline", "window"];
-const DAY: f64 = 86_400.0;
+const METHOD_TIME_SETTINGS: [&str; 3] = ["onTime", "deadline", "window"];
+const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Amounts of each plan, in units or units a second.
-const PLAN_AMOUNTS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
+const PLAN_AMOUNT_SETTINGS: [&str; 5] = ["perSecond", "depth", "ceilingRate", "hardBurst", "maxOut"];
 
 /// Refuses settings that make no sense, by the key that does not. Guards against a slip in a file that would have every RPC
 /// turned away, or repeat what must not run twice. What is left out takes its default.
-fn check(settings: &Settings) -> Result<(), String> {
+fn validate(settings: &Settings) -> Result<(), String> {
     let amount = |key: String, most: f64, what: &str| match settings.get(&key) {
         Some(told) if !told.parse().is_ok_and(|told: f64| (0.0..=most).contains(&told)) => {
             Err(format!("'{key}' is no {what}: {told:?}"))
@@ -223,29 +224,29 @@
     let count =
         |list: &str| settings.get(&format!("{list}.count")).and_then(|count| count.parse().ok()).unwrap_or(0);
     let time = "time from 0 to 86400 s";
-    TIMES.iter().try_for_each(|key| amount(key.to_string(), DAY, time))?;
+    TIME_SETTINGS.iter().try_for_each(|key| amount(key.to_string(), SECONDS_PER_DAY, time))?;
     for number in 0..count("classes") {
         let key = |name: &str| format!("classes.{number}.{name}");
-        METHOD_TIMES.iter().try_for_each(|name| amount(key(name), DAY, time))?;
-        word(key("idempotency"), &EFFECTS)?;
-        word(key("group"), &GROUPS)?;
+        METHOD_TIME_SETTINGS.iter().try_for_each(|name| amount(key(name), SECONDS_PER_DAY, time))?;
+        word(key("idempotency"), &IDEMPOTENCY_VALUES)?;
+        word(key("group"), &GROUP_VALUES)?;
     }
     for number in 0..count("tariffs") {
         let key = |name: &str| format!("tariffs.{number}.{name}");
-        PLAN_AMOUNTS
+        PLAN_AMOUNT_SETTINGS
             .iter()
-            .try_for_each(|name| amount(key(name), counter::AMOUNT_MOST, "amount from 0 to 1e9"))?;
+            .try_for_each(|name| amount(key(name), counter::MAX_AMOUNT, "amount from 0 to 1e9"))?;
     }
     Ok(())
 }
 
 /// Reads the `agreement` part of a configuration.
-fn agreed(
+fn parse_agreement(
     told: &Value,
     all: &Value,
     settings: &Settings,
     address: &impl Fn(&str, &str) -> Result<SocketAddr, String>,
-) -> Result<Agreed, String> {
+) -> Result<SettingsAgreement, String> {
     let known = ["version", "starts_ms", "ground", "voters", "lease", "clock", "clock_off_ms", "fresh"];
     let unknown = told.as_object().into_iter().flatten().find(|(name, _)| !known.contains(&name.as_str()));
     if let Some((name, _)) = unknown {
@@ -260,14 +261,14 @@
         Value::Null => Ok(default),
         told => told.as_f64().filter(|told| *told > 0.0).ok_or(format!("'{name}' is no amount above 0")),
     };
-    let usual = Fallback::of(settings);
+    let usual = Fallback::default_for(settings);
     let ground = Fallback {
-        quota: amount(&told["ground"], "quota", usual.quota)?,
-        gateways: amount(&told["ground"], "gateways", usual.gateways)?,
-        attempts: amount(&told["ground"], "attempts", usual.attempts)?,
+        quota_share: amount(&told["ground"], "quota", usual.quota_share)?,
+        max_gateways: amount(&told["ground"], "gateways", usual.max_gateways)?,
+        max_attempts: amount(&told["ground"], "attempts", usual.max_attempts)?,
     };
     let voters = match &told["voters"] {
-        Value::Null => (0..VOTERS.min(usual.gateways as u32)).collect(),
+        Value::Null => (0..DEFAULT_VOTERS.min(usual.max_gateways as u32)).collect(),
         Value::Array(list) => {
             let numbers =
                 list.iter().map(|number| number.as_u64().and_then(|number| u32::try_from(number).ok()));
@@ -276,10 +277,14 @@
         _ => return Err("'voters' is no list".to_string()),
     };
     let nanos = |name, default| Ok::<_, String>((amount(told, name, default)?.min(3600.0) * 1e9) as Nanos);
-    let terms = Terms { voters, lease: nanos("lease", LEASE)?, clock: nanos("clock", CLOCK)? };
+    let terms = AgreementConfig {
+        voters,
+        lease_duration: nanos("lease", DEFAULT_LEASE_SECONDS)?,
+        max_clock_error: nanos("clock", DEFAULT_CLOCK_ERROR_SECONDS)?,
+    };
     let start = start_ms.checked_mul(1_000_000).ok_or("'starts_ms' is too far ahead")?;
     // A voter's word has to hold for a hearer whose clock is ahead of the voter's by twice the bound, until the next word.
-    if terms.lease < 4 * terms.clock {
+    if terms.lease_duration < 4 * terms.max_clock_error {
         return Err("'lease' is below four times 'clock'".to_string());
     }
     let version = Version { number, start, fallback: ground, settings: settings.clone() };
@@ -291,7 +296,7 @@
     let all = address("peers_all", text("peers_all")?)?;
     let clock_off = told["clock_off_ms"].as_i64().unwrap_or(0).saturating_mul(1_000_000);
     let fresh = told["fresh"].as_bool().unwrap_or(false);
-    Ok(Agreed { version, terms, listen, all, clock_off, fresh })
+    Ok(SettingsAgreement { version, terms, listen, peers: all, clock_offset: clock_off, fresh })
 }
 
 pub use martenramp::settings::flatten;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,23 +1,23 @@
 //! Connects the decision module to clients, servers, discovery and the counter: passes their events
 //! to the module and carries out what it asks for. It makes no decisions of its own.
 
-use crate::clients::{self, Client, Got};
+use crate::clients::{self, Client, Parsed};
 use crate::config::Config;
-use crate::counter::{self, Call, Line};
-use crate::directory::Directory;
-use crate::driver::{ACCEPT_AGAIN, Ending, EventHandler, Net, Peer, out_of_descriptors};
+use crate::counter::{self, Call, CounterConnection};
+use crate::driver::{ACCEPT_RETRY_DELAY, ConnectionEnd, EventHandler, Net, Peer, is_resource_exhausted};
 use crate::eviction;
 use crate::guard::{self, RetrySafety, ServerStatus};
-use crate::http::{BODY_MOST, Bad, HEAD_MOST};
+use crate::http::{MAX_BODY_LEN, MAX_HEAD_LEN, MessageError};
 use crate::invariants::{Counts, Invariant};
-use crate::list::{self, Told, Watch};
-use crate::list_update::{Batch, ListUpdate, ServerChange, WORK_PER_TURN};
+use crate::list::{self, ListUpdate, Watch};
+use crate::list_diff::{Batch, ListDiff, ServerChange, WORK_PER_TURN};
+use crate::name_ids::NameIds;
 use crate::phase::{CloseCause, Phase, UnsentAnswer};
-use crate::servers::{self, Answer, Attempt, Body, Link, Server, Servers, Stage};
+use crate::servers::{self, Attempt, Body, Response, Server, ServerConnection, Servers, Stage};
 use crate::shutdown::Shutdown;
 use crate::timers::Timers;
-use martenramp::brain::Brain;
-use martenramp::host::{Arrival, End, Ended, Host, Nanos};
+use martenramp::admission::AdmissionController;
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Host, Nanos};
 use slog::{Logger, info, warn};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::io;
@@ -59,7 +59,7 @@
 const MAX_COUNTER_INPUT: usize = 64 << 10;
 /// Limit of the input buffer of the watch: more than a head, and no more than can be processed in a
 /// small part of a turn.
-const MAX_WATCH_INPUT: usize = HEAD_MOST + (8 << 10);
+const MAX_WATCH_INPUT: usize = MAX_HEAD_LEN + (8 << 10);
 /// Divisors of the shares of the memory that may be taken by the buffers of all clients, the
 /// buffers of all servers, and the entries of an incoming list.
 const CLIENT_MEMORY_DIVISOR: usize = 3;
@@ -71,7 +71,7 @@
 const MIN_TURN: Nanos = 10 * MS;
 /// How often a client that keeps sending is read before an attempt is written for it.
 const MAX_CLIENT_READS: usize = 16;
-const MAX_MESSAGE: usize = HEAD_MOST + BODY_MOST + 1024;
+const MAX_MESSAGE: usize = MAX_HEAD_LEN + MAX_BODY_LEN + 1024;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -109,16 +109,16 @@
 /// An object of the list that is waiting to be applied.
 enum PendingList {
     /// As received from discovery.
-    Received(Told),
+    Received(ListUpdate),
     /// Reduced to what may be applied.
-    Filtered(Told),
+    Filtered(ListUpdate),
 }
 
 struct Rpc {
     state: RpcState,
     /// The client whose input buffer holds the message, for as long as it is connected.
     client: usize,
-    message: clients::Rpc,
+    message: clients::RpcRequest,
     /// When the message was read.
     received_at: Nanos,
     deadline: Nanos,
@@ -138,7 +138,7 @@
 pub type ConfigReader = Box<dyn Fn() -> Result<Config, String>>;
 
 pub struct Gateway {
-    brain: Brain,
+    brain: AdmissionController,
     /// Reads the configuration again on SIGHUP.
     reread_config: ConfigReader,
     host: PolicyHost,
@@ -159,7 +159,7 @@
     active_txns: HashSet<Box<[u8]>>,
     unanswered_rpcs: usize,
     servers: Servers,
-    server_connections: BTreeMap<usize, Link>,
+    server_connections: BTreeMap<usize, ServerConnection>,
     /// Ids of established connections that were assigned an attempt; it is written at the end of
     /// the turn.
     connections_to_write: VecDeque<usize>,
@@ -173,7 +173,7 @@
     previous_watch: Option<(usize, Watch)>,
     /// Received objects of the list that are not applied yet, and the update that is being applied.
     pending_lists: VecDeque<PendingList>,
-    list_update: Option<ListUpdate>,
+    list_diff: Option<ListDiff>,
     /// A timer is set for the next batch of the update.
     update_scheduled: bool,
     /// When the first timer for work on subsets is due.
@@ -181,18 +181,18 @@
     /// Two sets of connections to the counter, and by the same index their ids while open and when
     /// they may be opened again. The set that starts at `active_counter_set` is in use; connections
     /// of the other one only finish their calls.
-    counter_conns: [Line; 2 * counter::LINES],
-    counter_ids: [Option<usize>; 2 * counter::LINES],
-    counter_retry_at: [Nanos; 2 * counter::LINES],
+    counter_connections: [CounterConnection; 2 * counter::CONNECTIONS],
+    counter_ids: [Option<usize>; 2 * counter::CONNECTIONS],
+    counter_retry_at: [Nanos; 2 * counter::CONNECTIONS],
     active_counter_set: usize,
     counter_moved_at: Nanos,
     last_counter_call: u64,
     /// How often each invariant was checked, upheld by the guard and violated.
     invariant_counts: Counts,
     /// Ended attempts that are not yet reported to the module.
-    ended_attempts: VecDeque<Ended>,
+    ended_attempts: VecDeque<AttemptResult>,
     /// Ended calls to the counter that are not yet reported to the module.
-    ended_counter_calls: VecDeque<(Call, End, f64)>,
+    ended_counter_calls: VecDeque<(Call, CallOutcome, f64)>,
     /// Clients whose input buffer may hold another message.
     clients_to_read: VecDeque<usize>,
     has_list: bool,
@@ -225,7 +225,7 @@
     connect_timeout: Nanos,
     idle_timeout: Nanos,
     counter_timeout: Nanos,
-    directory: Directory,
+    directory: NameIds,
     load_columns: Vec<String>,
     /// Whether discovery pushes its lists, so that a request costs it nothing.
     lists_are_pushed: bool,
@@ -248,25 +248,28 @@
 impl Gateway {
     pub fn new(config: Config, reread_config: ConfigReader, net: Net, log: Logger) -> Gateway {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets = config.sockets.min(limit.map_or(usize::MAX, |limit| limit as usize));
+        let sockets = config.descriptor_limit.min(limit.map_or(usize::MAX, |limit| limit as usize));
         let spare_places = (sockets / SPARE_DIVISOR).max(2);
         let shared = sockets.saturating_sub(OTHER_DESCRIPTORS + spare_places).max(8);
         let max_clients = shared * CLIENT_TENTHS / 10;
         let duration =
-            |name: &str, default| config.setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
-        let idle = duration("ceilings.connIdle", servers::IDLE) as f64 * servers::IDLE_SHARE;
+            |name: &str, default| config.positive_setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
+        let idle =
+            duration("ceilings.connIdle", servers::DEFAULT_IDLE_TIMEOUT) as f64 * servers::IDLE_TIMEOUT_SHARE;
         let host = PolicyHost {
-            connect_timeout: duration("ceilings.dialTimeout", servers::DIAL),
+            connect_timeout: duration("ceilings.dialTimeout", servers::DEFAULT_CONNECT_TIMEOUT),
             idle_timeout: idle as Nanos,
-            counter_timeout: duration("extra.countWait", counter::WAIT),
-            max_unanswered_rpcs: config.setting("ceilings.maxOpen").map_or(usize::MAX, |most| most as usize),
-            directory: Directory::new(config.list("localities"), config.list("shapes")),
-            load_columns: config.list("reporting.columns"),
+            counter_timeout: duration("extra.countWait", counter::DEFAULT_CALL_TIMEOUT),
+            max_unanswered_rpcs: config
+                .positive_setting("ceilings.maxOpen")
+                .map_or(usize::MAX, |most| most as usize),
+            directory: NameIds::new(config.setting_list("localities"), config.setting_list("shapes")),
+            load_columns: config.setting_list("reporting.columns"),
             max_clients,
             spare_places,
-            max_client_memory: config.memory / CLIENT_MEMORY_DIVISOR,
+            max_client_memory: config.memory_limit / CLIENT_MEMORY_DIVISOR,
             max_server_connections: (shared - max_clients)
-                .min(config.memory / SERVER_MEMORY_DIVISOR / (2 * MAX_MESSAGE))
+                .min(config.memory_limit / SERVER_MEMORY_DIVISOR / (2 * MAX_MESSAGE))
                 .max(2),
             net,
             log,
@@ -279,14 +282,14 @@
             servers: Servers::default(),
             server_connections: BTreeMap::new(),
             connections_to_write: VecDeque::new(),
-            watch: Watch::of_services(0, config.memory / LIST_MEMORY_DIVISOR, config.services.clone()),
+            watch: Watch::for_services(0, config.memory_limit / LIST_MEMORY_DIVISOR, config.services.clone()),
             pending_lists: VecDeque::new(),
-            list_update: None,
+            list_diff: None,
             update_scheduled: false,
             subset_timer_at: None,
-            stop_within: duration("rules.stopSendingWithin", list::STOP_WITHIN),
+            stop_within: duration("rules.stopSendingWithin", list::DEFAULT_STOP_WITHIN),
             lists_are_pushed: config.settings.get("membershipMode").is_some_and(|mode| mode == "push"),
-            gateway_count: config.setting("balancers").map_or(1, |count| count as u32),
+            gateway_count: config.positive_setting("balancers").map_or(1, |count| count as u32),
             rng: fastrand::Rng::with_seed(config.seed.rotate_left(32)),
             turn_started_at: Instant::now(),
             time_advanced: 0,
@@ -295,7 +298,7 @@
             watch_id: None,
             watch_answered: false,
             previous_watch: None,
-            counter_conns: Default::default(),
+            counter_connections: Default::default(),
             counter_ids: Default::default(),
             counter_retry_at: Default::default(),
             active_counter_set: 0,
@@ -319,7 +322,7 @@
             accept_behind_since: None,
             config,
         };
-        let brain = Brain::new(host.config.seed, host.config.settings.clone());
+        let brain = AdmissionController::new(host.config.seed, host.config.settings.clone());
         Gateway { brain, reread_config, host, agreement: None }
     }
 }
@@ -335,13 +338,17 @@
     fn start(&mut self, now: Nanos) {
         (self.host.net.now, self.host.turn_started_at) = (now, Instant::now());
         self.start_agreement();
-        let stored =
-            self.host.config.known.take().and_then(|stored| list::read(&stored, &self.host.config.services));
+        let stored = self
+            .host
+            .config
+            .initial_list
+            .take()
+            .and_then(|stored| list::parse(&stored, &self.host.config.services));
         if let Some(told) = stored.filter(|told| !told.entries.is_empty()) {
             self.receive_list(told);
         }
         if self.host.has_list {
-            self.host.watch.heard = now;
+            self.host.watch.last_received = now;
             self.host.schedule_watch()
         } else {
             self.host.connect_watch()
@@ -353,16 +360,16 @@
 
     /// The time of the next turn. Timers that no longer apply are discarded when they reach the
     /// front, so that they cause no wakeup.
-    fn next_turn(&mut self) -> Option<Nanos> {
-        let PolicyHost { timers, server_connections, rpcs, counter_conns, .. } = &mut self.host;
+    fn next_timer(&mut self) -> Option<Nanos> {
+        let PolicyHost { timers, server_connections, rpcs, counter_connections, .. } = &mut self.host;
         timers.discard_stale(|event| match event {
             TimerEvent::AttemptTimeout(id, rpc, nth) => {
                 !server_connections.get(id).is_some_and(|connection| connection.carries(*rpc, *nth))
             }
             TimerEvent::ConnectTimeout(id) => {
-                server_connections.get(id).is_none_or(|connection| connection.up)
+                server_connections.get(id).is_none_or(|connection| connection.is_connected)
             }
-            TimerEvent::CounterTimeout(slot, serial) => !counter_conns[*slot].holds(*serial),
+            TimerEvent::CounterTimeout(slot, serial) => !counter_connections[*slot].has_call(*serial),
             TimerEvent::RpcOverdue(id) => rpcs.get(id).is_none_or(|rpc| rpc.state == RpcState::Answered),
             _ => false,
         });
@@ -408,11 +415,11 @@
 
     /// Applies the next batch of a list before anything else in the turn, since attempts of this
     /// turn are written in it.
-    fn woke(&mut self) {
+    fn turn_started(&mut self) {
         let host = &mut self.host;
         // The driver assumes that the last turn began at the time that it reported then.
-        host.net.late += std::mem::take(&mut host.time_advanced);
-        host.last_turn = host.net.late;
+        host.net.input_delay += std::mem::take(&mut host.time_advanced);
+        host.last_turn = host.net.input_delay;
         host.turn_started_at = Instant::now();
         self.evaluate_agreement();
         if self.host.update_scheduled {
@@ -420,30 +427,30 @@
         }
     }
 
-    fn heard(&mut self, bytes: &[u8]) {
+    fn datagram_received(&mut self, bytes: &[u8]) {
         self.receive_datagram(bytes);
     }
 
-    fn listens(&self) -> bool {
+    fn is_listening(&self) -> bool {
         self.host.is_listening
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.host.exit_requested || !self.host.is_listening && self.host.clients.is_empty()
     }
 
-    fn has_room(&mut self) -> bool {
+    fn can_accept(&mut self) -> bool {
         self.host.can_accept_client()
     }
 
-    fn client_input_most(&self) -> usize {
+    fn max_client_input(&self) -> usize {
         MAX_MESSAGE
     }
 
     fn accepted(&mut self, id: usize) {
         let spare = self.host.clients.len() >= self.host.max_clients;
         let since = self.host.silent_since(id);
-        let client = Client { since, spare, ..Client::default() };
+        let client = Client { state_since: since, over_limit: spare, ..Client::default() };
         self.host.clients.insert(id, client);
         // Data that the client sent right after connecting may have waited as long as the
         // connection did. That time is known now, and no longer in the turn that would read the
@@ -452,69 +459,83 @@
         self.host.clients_to_read.push_back(id);
     }
 
-    fn accept_later(&mut self) {
+    fn retry_accept_later(&mut self) {
         self.host.schedule_accept();
     }
 
-    fn accepted_all(&mut self) {
+    fn accept_queue_empty(&mut self) {
         self.host.accept_behind_since = None;
     }
 
-    fn refusal(&self) -> &[u8] {
-        clients::REFUSAL
+    fn unavailable_response(&self) -> &[u8] {
+        clients::UNAVAILABLE_RESPONSE
     }
 
     /// Closes an idle connection to free its descriptor; false if there is none.
-    fn shed(&mut self) -> bool {
+    fn free_descriptor(&mut self) -> bool {
         self.host.evict_idle()
     }
 
     /// A connection opened by the gateway is established.
-    fn up(&mut self, id: usize) {
+    fn connected(&mut self, id: usize) {
         let PolicyHost {
-            net, server_connections, connections_to_write, counter_conns, watch, watch_id, ..
+            net,
+            server_connections,
+            connections_to_write,
+            counter_connections,
+            watch,
+            watch_id,
+            ..
         } = &mut self.host;
         let now = net.now;
         match net.peer(id) {
             Some(Peer::Server) => {
                 if let Some(connection) = server_connections.get_mut(&id) {
-                    connection.up = true;
+                    connection.is_connected = true;
                     connections_to_write.push_back(id);
                 }
             }
-            Some(Peer::List) if *watch_id == Some(id) => drop(net.out(id).map(|out| watch.ask(out, now))),
-            Some(Peer::Counter(slot)) => drop(net.out(id).map(|out| counter_conns[slot].opened(out, now))),
+            Some(Peer::Discovery) if *watch_id == Some(id) => {
+                if let Some(out) = net.output(id) {
+                    watch.write_request(out, now);
+                }
+            }
+            Some(Peer::Counter(slot)) => {
+                if let Some(out) = net.output(id) {
+                    counter_connections[slot].connected(out, now);
+                }
+            }
             _ => {}
         }
     }
 
     /// Some or all of the output of a connection was written.
-    fn wrote(&mut self, id: usize) {
+    fn output_written(&mut self, id: usize) {
         self.host.after_client_write(id);
     }
 
     /// Bytes were received, or the connection ended.
-    fn came(&mut self, id: usize) {
+    fn input_received(&mut self, id: usize) {
         match self.host.net.peer(id) {
             Some(Peer::Client) => self.read_client(id),
             Some(Peer::Server) => self.host.read_server(id),
-            Some(Peer::List) => self.read_watch(id),
+            Some(Peer::Discovery) => self.read_watch(id),
             Some(Peer::Counter(slot)) => self.host.read_counter(slot, id),
             None => {}
         }
     }
 
     /// Handles due timers; true if connections may be accepted again.
-    fn due(&mut self) -> bool {
+    fn run_due_timers(&mut self) -> bool {
         let now = self.host.net.now;
         while let Some(event) = self.host.timers.pop_due(now) {
             match event {
-                TimerEvent::Wake(token) => self.brain.woke(&mut self.host, now, token),
+                TimerEvent::Wake(token) => self.brain.on_timer(&mut self.host, now, token),
                 TimerEvent::AttemptTimeout(id, rpc, nth) => self.host.attempt_timed_out(id, rpc, nth),
                 TimerEvent::ConnectTimeout(id) => self.host.connect_timed_out(id),
                 TimerEvent::WriteAttempt(id) => self.host.connections_to_write.push_back(id),
                 TimerEvent::CounterTimeout(slot, serial) => {
-                    if let Some((call, how)) = self.host.counter_conns[slot].time_out(serial) {
+                    if let Some((call, how)) = self.host.counter_connections[slot].time_out_call(serial) {
                         self.host.ended_counter_calls.push_back((call, how, 0.0));
                     }
                 }
@@ -532,7 +553,7 @@
                 TimerEvent::ContinueListUpdate => {} // handled at the start of the turn
                 TimerEvent::SubsetWork => self.do_subset_work(),
             }
-            self.settle();
+            self.process_pending();
         }
         std::mem::take(&mut self.host.accept_again)
     }
@@ -546,19 +567,19 @@
                 // Timers are checked once per turn, so this one is due in the next turn.
                 self.host.timers.set(self.host.net.now + MS, TimerEvent::WriteAttempt(id));
             }
-            self.settle();
+            self.process_pending();
         }
     }
 
     /// Reports all ended attempts and counter calls to the module and reads the remaining clients,
     /// until nothing is left.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         let now = self.host.net.now;
         loop {
             if let Some(ended) = self.host.ended_attempts.pop_front() {
-                self.brain.ended(&mut self.host, now, &ended);
+                self.brain.on_attempt_end(&mut self.host, now, &ended);
             } else if let Some((call, how, total)) = self.host.ended_counter_calls.pop_front() {
-                self.brain.counted(&mut self.host, now, call.name, how, total);
+                self.brain.on_counter_reply(&mut self.host, now, call.name, how, total);
             } else if let Some(id) = self.host.clients_to_read.pop_front() {
                 self.read_client(id);
             } else {
@@ -578,19 +599,20 @@
 }
 
 impl Host for PolicyHost {
-    fn call_out(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
+    fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
-        let attempt = Attempt { rpc: id, nth: rpc.attempts, sent: now, until, before };
+        let attempt =
+            Attempt { rpc: id, number: rpc.attempts, requested_at: now, deadline: until, write_by: before };
         rpc.attempts += 1;
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         if rpc.state == RpcState::Answered || until <= now {
-            return self.end_attempt(server, attempt, End::NotSent, 0.0, Vec::new());
+            return self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
         }
         let Some(connection_id) = self.connection_to(server) else {
-            return self.end_attempt(server, attempt, End::NoConnection, 0.0, Vec::new());
+            return self.end_attempt(server, attempt, CallOutcome::NoConnection, 0.0, Vec::new());
         };
         self.set_rpc_state(id, RpcState::InFlight);
         let (Some(rpc), Some(connection)) =
@@ -599,14 +621,14 @@
             return;
         };
         rpc.attempt_in_flight = true;
-        connection.stage = Stage::Asked(attempt);
-        if connection.up {
+        connection.stage = Stage::Requested(attempt);
+        if connection.is_connected {
             self.connections_to_write.push_back(connection_id);
         }
-        self.timers.set(until, TimerEvent::AttemptTimeout(connection_id, id, attempt.nth));
+        self.timers.set(until, TimerEvent::AttemptTimeout(connection_id, id, attempt.number));
     }
 
-    fn push_back(&mut self, id: u32, come_back: Nanos) {
+    fn reject(&mut self, id: u32, come_back: Nanos) {
         if self.rejection_is_harmless(id) {
             self.answer(id, if come_back > 0 { 429 } else { 503 }, come_back, "refused");
         } else {
@@ -624,20 +646,20 @@
         );
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.timers.set(self.net.now.saturating_add(after), TimerEvent::Wake(token));
     }
 
-    fn count(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
         self.last_counter_call += 1;
-        let call = Call { serial: self.last_counter_call, name, add, forget };
+        let call = Call { serial: self.last_counter_call, name, add, ttl: forget };
         let Some(slot) = self.counter_connection_for(name) else {
-            return self.ended_counter_calls.push_back((call, End::NoConnection, 0.0));
+            return self.ended_counter_calls.push_back((call, CallOutcome::NoConnection, 0.0));
         };
-        let PolicyHost { net, counter_conns, counter_ids, .. } = self;
+        let PolicyHost { net, counter_connections, counter_ids, .. } = self;
         let now = net.now;
-        if let Some(out) = counter_ids[slot].and_then(|id| net.out(id)) {
-            counter_conns[slot].call(out, now, call);
+        if let Some(out) = counter_ids[slot].and_then(|id| net.output(id)) {
+            counter_connections[slot].send_call(out, now, call);
             self.timers.set(now + self.counter_timeout, TimerEvent::CounterTimeout(slot, call.serial));
         }
     }
@@ -663,7 +685,7 @@
     /// reconnect.
     fn connect(&mut self, address: SocketAddr, peer: Peer, max_input: usize) -> io::Result<usize> {
         match self.net.connect(address, peer, max_input) {
-            Err(e) if out_of_descriptors(&e) && self.evict_idle() => {
+            Err(e) if is_resource_exhausted(&e) && self.evict_idle() => {
                 self.net.connect(address, peer, max_input)
             }
             connected => connected,
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -12,77 +12,79 @@
         // Accounts for messages that were in the socket buffer for longer than the last turn,
         // because the connection was not accepted yet or the process had no processor time. The
         // cost: one system call per message.
-        let begins = client.reads.is_empty() && length > 0;
-        let unread_for = if begins { self.host.net.unread_for(id).unwrap_or(0) } else { 0 };
-        let came = self.host.net.now.saturating_sub(self.host.net.late.max(unread_for));
-        client.filled(length, came);
+        let begins = client.read_times.is_empty() && length > 0;
+        let unread_for = if begins { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
+        let came = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
+        client.record_read(length, came);
         if client.phase.is_closing() {
             let length = self.host.net.input(id).len();
-            self.host.net.used(id, length);
-        } else if let Some((_, length)) = client.phase.pending_rpc().filter(|_| self.host.net.is_full(id)) {
+            self.host.net.consume(id, length);
+        } else if let Some((_, length)) =
+            client.phase.pending_rpc().filter(|_| self.host.net.is_input_full(id))
+        {
             // Drops excess pipelined input, so that the close of a client that floods is noticed
             // behind it; otherwise its RPC would be processed for nobody. The cost: a client that
             // keeps sending before its answer has to reconnect.
-            client.floods = true;
-            self.host.net.keep(id, length);
+            client.sent_excess = true;
+            self.host.net.truncate_input(id, length);
         } else if client.phase.is_reading()
             && !self.host.net.input(id).is_empty()
-            && self.host.net.is_sent(id)
+            && self.host.net.is_flushed(id)
         {
             // The previous answer is fully written, so a client that does not read its answers
             // can't fill the output buffer.
-            let found = client.look(&self.host.config, came, self.host.net.input(id));
-            if matches!(found, Ok(Got::Rpc(_) | Got::Ready(_) | Got::Healthy(_))) {
+            let found = client.parse_message(&self.host.config, came, self.host.net.input(id));
+            if matches!(found, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
                 self.host.claim_client_place(id);
             }
             match found {
                 // Limits the memory for many long messages at once; buffers for servers have a
                 // separate share. The cost: a long message is rejected that might have been
                 // accepted a little later.
-                Ok(Got::Part) if self.host.net.held > self.host.max_client_memory => {
+                Ok(Parsed::Incomplete) if self.host.net.client_buffer_bytes > self.host.max_client_memory => {
                     self.host.reject_message(id, 503, "no-memory")
                 }
-                Ok(Got::Part | Got::Continue) if self.host.is_past_read_period() => {
+                Ok(Parsed::Incomplete | Parsed::Continue) if self.host.is_past_read_period() => {
                     self.host.reject_message(id, 503, "stopping")
                 }
-                Ok(Got::Part) => {}
-                Ok(Got::Continue) => {
-                    if let Some(out) = self.host.net.out(id) {
+                Ok(Parsed::Incomplete) => {}
+                Ok(Parsed::Continue) => {
+                    if let Some(out) = self.host.net.output(id) {
                         out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                 }
-                Ok(Got::Rpc(message)) => self.admit(id, message),
-                Ok(Got::Ready(length)) => {
+                Ok(Parsed::Rpc(message)) => self.admit(id, message),
+                Ok(Parsed::Ready(length)) => {
                     let ready = self.host.has_list && !self.host.is_shutting_down();
                     let settings_header = self.settings_header();
                     self.host.answer_directly(id, if ready { 200 } else { 503 }, length, &settings_header);
                 }
-                Ok(Got::Healthy(length)) => {
+                Ok(Parsed::Healthy(length)) => {
                     let settings_header = self.settings_header() + &self.host.invariants_header();
                     self.host.answer_directly(id, 200, length, &settings_header);
                 }
-                Err(Bad(status, why)) => self.host.reject_message(id, status, why),
+                Err(MessageError(status, why)) => self.host.reject_message(id, status, why),
             }
         }
-        if let Some(ending) = self.host.net.ended(id) {
+        if let Some(ending) = self.host.net.connection_end(id) {
             self.client_left(id, ending.reason());
         }
     }
 
-    pub(super) fn admit(&mut self, client: usize, message: clients::Rpc) {
+    pub(super) fn admit(&mut self, client: usize, message: clients::RpcRequest) {
         let (now, end) = (self.host.net.now, message.body.end);
         let txn: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
-        let spare = self.host.clients.get(&client).is_some_and(|client| client.spare);
+        let spare = self.host.clients.get(&client).is_some_and(|client| client.over_limit);
         if self.host.unanswered_rpcs >= self.host.max_unanswered_rpcs
             || spare
-            || self.host.net.held > self.host.max_client_memory
+            || self.host.net.client_buffer_bytes > self.host.max_client_memory
         {
             // At the limit: an RPC that is rejected here never reached the module.
             self.host.log_direct_answer(&txn, 503, "no-room");
             self.host.answer_directly(client, 503, end, "");
             return;
         }
-        let came = self.host.clients.get(&client).map_or(now, |client| client.came);
+        let came = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
         let asked = (came + message.remaining_ms * MS).saturating_sub(DEADLINE_MARGIN);
         if !self.host.may_admit(&txn, asked) {
             return self.host.answer_directly(client, 503, end, "");
@@ -94,7 +96,7 @@
         }
         let (id, method) = (self.host.next_rpc_id(), message.method);
         let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.shift(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
+        at.set_phase(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
         let deadline = self.host.cap_deadline(asked).max(now);
         let arrival = Arrival {
             id,
@@ -104,8 +106,8 @@
             service: self.host.config.services.of_class(message.method),
             deadline,
             units: message.units,
-            width: message.width,
-            first: message.first,
+            gateway_count: message.width,
+            first_gateway: message.first,
         };
         let rpc = Rpc {
             state: RpcState::Pending,
@@ -123,7 +125,7 @@
         self.host.rpcs.insert(id, rpc);
         self.host.unanswered_rpcs += 1;
         self.host.timers.set(deadline + OVERDUE_GRACE, TimerEvent::RpcOverdue(id));
-        self.brain.rpc(&mut self.host, now, &arrival);
+        self.brain.on_arrival(&mut self.host, now, &arrival);
     }
 
     /// Answers an RPC that neither the module nor a timeout has ended. This is not expected to
@@ -133,7 +135,7 @@
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
             self.host.answer(id, if harmless { 503 } else { 504 }, 0, "overdue");
-            self.brain.client_left(id);
+            self.brain.on_client_left(id);
         }
     }
 
@@ -144,14 +146,17 @@
     /// per attempt; the attempt of a client that never stops sending is deferred until its time is
     /// over.
     pub(super) fn client_is_present(&mut self, connection: usize) -> bool {
-        let attempt = self.host.server_connections.get(&connection).and_then(Link::attempt);
+        let attempt = self.host.server_connections.get(&connection).and_then(ServerConnection::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
         let client = rpc.client;
         for _ in 0..MAX_CLIENT_READS {
             let before = self.host.net.input(client).len();
             self.host.net.read(client, false);
             let net = &self.host.net;
-            if net.input(client).len() == before && !net.is_full(client) && net.ended(client).is_none() {
+            if net.input(client).len() == before
+                && !net.is_input_full(client)
+                && net.connection_end(client).is_none()
+            {
                 return true;
             }
             self.read_client(client);
@@ -166,7 +171,7 @@
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.set_rpc_state(rpc, RpcState::Answered);
-            self.brain.client_left(rpc);
+            self.brain.on_client_left(rpc);
         }
     }
 }
@@ -176,8 +181,8 @@
     pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes_after(rpc));
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, come_back, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, come_back, close);
         }
         self.log_answer(id, status, why);
         self.answer_queued(id, client, close);
@@ -185,7 +190,7 @@
 
     /// Whether the connection closes after the answer to an RPC.
     pub(super) fn closes_after(&self, rpc: &Rpc) -> bool {
-        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.floods);
+        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.sent_excess);
         rpc.message.close
             || floods
             || self.closes_for_shutdown(rpc.client, rpc.message.body.end)
@@ -201,12 +206,12 @@
         let (now, stopping) = (self.net.now, self.is_shutting_down());
         let Some(at) = self.clients.get_mut(&client) else { return };
         let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
-        let last = close.then_some(match at.floods {
+        let last = close.then_some(match at.sent_excess {
             _ if stopping => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.shift(
+        at.set_phase(
             Phase::WritingAnswer {
                 answer: UnsentAnswer { txn: txn.unwrap_or_default(), deadline },
                 close_reason: last,
@@ -215,24 +220,27 @@
         );
         self.served_clients += usize::from(at.served == 0);
         at.served += 1;
-        at.used(length);
-        self.net.used(client, length);
+        at.consume(length);
+        self.net.consume(client, length);
     }
 
     /// Called when output for a client was written; once its answer is fully written, it is no
     /// longer owed.
     pub(super) fn after_client_write(&mut self, id: usize) {
-        let (now, sent) = (self.net.now, self.net.is_sent(id));
+        let (now, sent) = (self.net.now, self.net.is_flushed(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
         match client.phase.after_answer().filter(|_| sent) {
-            None => client.since = if client.phase.unsent_answer().is_some() { now } else { client.since },
+            None => {
+                client.state_since =
+                    if client.phase.unsent_answer().is_some() { now } else { client.state_since }
+            }
             Some(next) => {
                 let owed = client.phase.unsent_answer().cloned().unwrap_or_default();
                 let ends = next.is_closing();
-                client.shift(next, now);
+                client.set_phase(next, now);
                 self.check_answer(&owed);
                 if ends {
-                    self.net.finish(id);
+                    self.net.shutdown_write(id);
                 }
             }
         }
@@ -244,18 +252,18 @@
 
     /// Answers a message that did not reach the module; `lines` are additional header lines.
     pub(super) fn answer_directly(&mut self, client: usize, status: u16, length: usize, lines: &str) {
-        let spare = self.clients.get(&client).is_some_and(|client| client.spare);
+        let spare = self.clients.get(&client).is_some_and(|client| client.over_limit);
         let (now, stopping) = (self.net.now, self.is_shutting_down());
         let close = spare || self.closes_for_shutdown(client, length);
-        if let Some(out) = self.net.out(client) {
-            clients::write_told(out, status, lines, 0, close);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response_with_headers(out, status, lines, 0, close);
         }
-        self.net.used(client, length);
+        self.net.consume(client, length);
         if let Some(at) = self.clients.get_mut(&client) {
             let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.shift(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
+            at.set_phase(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
             at.partial = false;
-            at.used(length);
+            at.consume(length);
             self.served_clients += usize::from(at.served == 0);
             at.served += 1;
         }
@@ -263,13 +271,16 @@
 
     /// Answers a message that can't be accepted, and closes the connection.
     pub(super) fn reject_message(&mut self, client: usize, status: u16, why: &'static str) {
-        if let Some(out) = self.net.out(client) {
-            clients::write_own(out, status, 0, true);
+        if let Some(out) = self.net.output(client) {
+            clients::write_response(out, status, 0, true);
         }
-        self.net.discard(client);
+        self.net.discard_input(client);
         let now = self.net.now;
         if let Some(at) = self.clients.get_mut(&client) {
-            at.shift(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) }, now);
+            at.set_phase(
+                Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) },
+                now,
+            );
         }
     }
 
@@ -287,7 +298,7 @@
         self.served_clients -= usize::from(client.served > 0);
         let why = client.phase.close_reason().unwrap_or(end.reason());
         info!(self.log, "client"; "why" => why, "from" => address_text(self.net.address(id)), "answers" => client.served,
-            "ms" => (self.net.now - self.net.since(id)) / MS);
+            "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
         true
     }
@@ -297,9 +308,9 @@
     /// and is never forwarded.
     pub(super) fn is_drained(&mut self, id: usize) -> bool {
         let inside = self.clients.get(&id).filter(|client| client.partial);
-        let before = inside.map_or(0, |client| client.looked_at);
+        let before = inside.map_or(0, |client| client.parsed_bytes);
         self.net.read(id, false);
-        let rests = self.net.input(id).len() == before && self.net.ended(id).is_none();
+        let rests = self.net.input(id).len() == before && self.net.connection_end(id).is_none();
         if !rests {
             self.clients_to_read.push_back(id);
         }
@@ -314,8 +325,8 @@
         }
         let now = self.net.now;
         if let Some(client) = self.clients.get_mut(&id).filter(|client| client.phase.is_reading()) {
-            client.shift(Phase::HalfClosed { reason: why }, now);
-            self.net.finish(id);
+            client.set_phase(Phase::HalfClosed { reason: why }, now);
+            self.net.shutdown_write(id);
         }
     }
 
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -33,7 +33,7 @@
     pub(super) fn silent_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
         let Some(accept_behind_since) = self.accept_behind_since else { return now };
-        let unread_for = self.net.unread_for(id).unwrap_or(0);
+        let unread_for = self.net.last_input_age(id).unwrap_or(0);
         now.saturating_sub(unread_for).max(accept_behind_since)
     }
 
@@ -42,8 +42,8 @@
     pub(super) fn schedule_accept(&mut self) {
         let now = self.net.now;
         self.accept_behind_since.get_or_insert(now);
-        let again = now + ACCEPT_AGAIN;
-        let silent = eviction::next_silent_eviction(self.clients.values().filter_map(Client::idle));
+        let again = now + ACCEPT_RETRY_DELAY;
+        let silent = eviction::next_silent_eviction(self.clients.values().filter_map(Client::idle_state));
         let at = silent.map_or(again, |at| at.clamp(now + MIN_ACCEPT_DELAY, again));
         if self.accept_retry_at.is_none_or(|awaited| at < awaited) {
             self.accept_retry_at = Some(at);
@@ -59,13 +59,13 @@
     /// A client in a spare place has sent a message. It gets a regular place if one is free by now,
     /// or if connections that were served before hold more than their share.
     pub(super) fn claim_client_place(&mut self, id: usize) {
-        if !self.clients.get(&id).is_some_and(|client| client.spare) {
+        if !self.clients.get(&id).is_some_and(|client| client.over_limit) {
             return;
         }
         let is_left = self.clients.len() <= self.max_clients;
         let overheld = eviction::exceeds_served_share(self.served_clients, self.max_clients);
         if is_left || overheld && self.evict_client(EvictFor::Required) {
-            self.clients.entry(id).and_modify(|client| client.spare = false);
+            self.clients.entry(id).and_modify(|client| client.over_limit = false);
         }
     }
 
@@ -84,7 +84,7 @@
             return false;
         }
         *none_until = now + MIN_ACCEPT_DELAY;
-        let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle()?)));
+        let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle_state()?)));
         let in_turn = eviction::eviction_order(idle(), now, to);
         self.has_silent_client = idle().any(|(_, idle)| matches!(idle, IdleState::Silent(_)));
         let mut tried = in_turn.into_iter().take(MAX_EVICTION_TRIES);
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -5,10 +5,10 @@
 impl PolicyHost {
     pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
-        let fed = self.counter_conns[slot].feed(self.net.now, self.net.input(id), &mut ended);
-        self.net.used(id, fed.unwrap_or(0));
+        let fed = self.counter_connections[slot].feed(self.net.now, self.net.input(id), &mut ended);
+        self.net.consume(id, fed.unwrap_or(0));
         self.ended_counter_calls.extend(ended);
-        if let Some(why) = fed.err().or(self.net.ended(id).map(Ending::reason)) {
+        if let Some(why) = fed.err().or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.counter_connection_lost(slot, why);
         }
     }
@@ -16,24 +16,25 @@
     /// The connection for a call: the one with another call for the same name in flight, otherwise
     /// the one with the fewest calls.
     pub(super) fn counter_connection_for(&mut self, name: u64) -> Option<usize> {
-        let carries = self.counter_conns.iter().position(|slot| slot.carries(name));
+        let carries = self.counter_connections.iter().position(|slot| slot.has_call_for(name));
         let now = self.net.now;
         let usable = |slot: &usize| self.counter_ids[*slot].is_some() || now >= self.counter_retry_at[*slot];
-        let least =
-            |slot: &usize| self.counter_conns[*slot].written.len() + self.counter_conns[*slot].waiting.len();
+        let least = |slot: &usize| {
+            self.counter_connections[*slot].in_flight.len() + self.counter_connections[*slot].waiting.len()
+        };
         let slot = carries.or_else(|| {
-            (self.active_counter_set..self.active_counter_set + counter::LINES)
+            (self.active_counter_set..self.active_counter_set + counter::CONNECTIONS)
                 .filter(usable)
                 .min_by_key(least)
         })?;
         if self.counter_ids[slot].is_none() {
             let address = self.config.counter?;
-            self.counter_conns[slot].heard = now;
+            self.counter_connections[slot].last_reply = now;
             match self.connect(address, Peer::Counter(slot), MAX_COUNTER_INPUT) {
                 Ok(id) => self.counter_ids[slot] = Some(id),
                 Err(e) => {
                     warn!(self.log, "can't connect"; "to" => %address, "error" => %e);
-                    self.counter_retry_at[slot] = now + counter::AGAIN;
+                    self.counter_retry_at[slot] = now + counter::RECONNECT_DELAY;
                     return None;
                 }
             }
@@ -46,8 +47,8 @@
     /// answers keep their order.
     pub(super) fn move_counter(&mut self) {
         (self.active_counter_set, self.counter_moved_at) =
-            (counter::LINES - self.active_counter_set, self.net.now);
-        for slot in self.active_counter_set..self.active_counter_set + counter::LINES {
+            (counter::CONNECTIONS - self.active_counter_set, self.net.now);
+        for slot in self.active_counter_set..self.active_counter_set + counter::CONNECTIONS {
             self.counter_connection_lost(slot, "moved"); // from before the previous move
             self.counter_retry_at[slot] = 0;
         }
@@ -55,9 +56,9 @@
 
     pub(super) fn counter_connection_lost(&mut self, slot: usize, why: &'static str) {
         let Some(id) = self.counter_ids[slot].take() else { return };
-        info!(self.log, "counter"; "why" => why, "line" => slot, "ms" => (self.net.now - self.net.since(id)) / MS);
-        self.counter_retry_at[slot] = self.net.now + counter::AGAIN;
-        let ended = self.counter_conns[slot].broke();
+        info!(self.log, "counter"; "why" => why, "line" => slot, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
+        self.counter_retry_at[slot] = self.net.now + counter::RECONNECT_DELAY;
+        let ended = self.counter_connections[slot].disconnect();
         self.ended_counter_calls.extend(ended.into_iter().map(|(call, how)| (call, how, 0.0)));
         self.net.close(id);
     }
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::start_times;
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 
 /// Work on subsets per turn: about a quarter of a millisecond.
 const SUBSET_WORK_PER_TURN: usize = 50_000;
@@ -22,27 +22,27 @@
             _ => watch,
         };
         let fed = watch.feed(net.now, net.input(id), &mut told);
-        net.used(id, fed.unwrap_or(0));
+        net.consume(id, fed.unwrap_or(0));
         if self.host.watch_id == Some(id)
             && self.host.watch.head_read
             && !std::mem::replace(&mut self.host.watch_answered, true)
         {
-            info!(self.host.log, "watching"; "index" => self.host.watch.index, "ms" => (self.host.net.now - self.host.net.since(id)) / MS);
+            info!(self.host.log, "watching"; "index" => self.host.watch.index, "ms" => (self.host.net.now - self.host.net.opened_at(id)) / MS);
         }
         if self.host.watch_id == Some(id) && self.host.watch.head_read {
             self.host.close_previous_watch("moved");
         }
         told.into_iter().for_each(|told| self.receive_list(told));
-        if let Some(why) = fed.err().or(self.host.net.ended(id).map(Ending::reason)) {
+        if let Some(why) = fed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.host.watch_lost(id, why);
         }
     }
 
     /// Receives a list from discovery, or the one stored from an earlier run.
-    pub(super) fn receive_list(&mut self, told: Told) {
+    pub(super) fn receive_list(&mut self, told: ListUpdate) {
         self.host.watch.index = told.index;
-        if let Some(name) = &told.first_untold {
-            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.untold);
+        if let Some(name) = &told.first_without_service {
+            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.without_service);
         }
         self.host.pending_lists.push_back(PendingList::Received(told));
         self.apply_pending_lists();
@@ -50,7 +50,7 @@
 
     /// Queues a change that did not come from this gateway's own discovery. It is placed before the
     /// received lists that are not filtered yet, since filtering them takes it into account.
-    pub(super) fn queue_filtered_list(&mut self, told: Told) {
+    pub(super) fn queue_filtered_list(&mut self, told: ListUpdate) {
         let pending = &mut self.host.pending_lists;
         let told_at = pending.iter().position(|waits| matches!(waits, PendingList::Received(_)));
         pending.insert(told_at.unwrap_or(pending.len()), PendingList::Filtered(told));
@@ -67,7 +67,7 @@
         }
         let old = self.host.previous_watch.as_ref().map(|old| old.0);
         for id in [old, self.host.watch_id].into_iter().flatten() {
-            if !self.host.net.input(id).is_empty() || self.host.net.ended(id).is_some() {
+            if !self.host.net.input(id).is_empty() || self.host.net.connection_end(id).is_some() {
                 self.read_watch(id);
             }
         }
@@ -81,20 +81,20 @@
         }
         let mut work = if self.host.has_list { WORK_PER_TURN } else { usize::MAX };
         loop {
-            if self.host.list_update.is_none() && !self.start_next_update() {
+            if self.host.list_diff.is_none() && !self.start_next_update() {
                 return;
             }
-            let PolicyHost { list_update, servers, directory, .. } = &mut self.host;
-            let Some(update) = list_update else { return };
+            let PolicyHost { list_diff, servers, directory, .. } = &mut self.host;
+            let Some(update) = list_diff else { return };
             let Some(batch) = update.next_batch(servers, directory, &mut work) else { break };
-            let done = update.is_done().then(|| self.host.list_update.take()).flatten();
+            let done = update.is_done().then(|| self.host.list_diff.take()).flatten();
             self.apply_batch(batch);
             if let Some(done) = done {
                 self.host.has_list = true;
                 self.host.log_update(&done);
             }
         }
-        self.host.list_update.iter_mut().for_each(ListUpdate::defer_to_next_turn);
+        self.host.list_diff.iter_mut().for_each(ListDiff::defer_to_next_turn);
         self.host.update_scheduled = true;
         self.host.timers.set(self.host.net.now + 1, TimerEvent::ContinueListUpdate);
     }
@@ -116,7 +116,7 @@
                 }
             }
         };
-        self.host.list_update = Some(ListUpdate::new(told));
+        self.host.list_diff = Some(ListDiff::new(told));
         true
     }
 
@@ -126,23 +126,23 @@
         let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
         for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
             let Some(address) = address else {
-                if let Some((listed, idle)) = host.servers.take_off(listed.key) {
+                if let Some((listed, idle)) = host.servers.delist(listed.key) {
                     idle.into_iter().for_each(|id| host.close_server_connection(id, "server-gone"));
                     list.push(listed);
                 }
                 continue;
             };
             let came_up = host.started_at(&listed);
-            let (server, stale) = host.servers.list_started(&listed, address, came_up);
+            let (server, stale) = host.servers.upsert_with_start(&listed, address, came_up);
             stale.into_iter().for_each(|id| host.close_server_connection(id, "server-moved"));
-            list.push(Listed { server, came_up, ..listed });
+            list.push(DiscoveredServer { server, started_at: came_up, ..listed });
         }
         if host.has_list {
-            self.brain.listed_in_steps(host.net.now, &list);
+            self.brain.on_server_list_deferred(host.net.now, &list);
         } else {
-            self.brain.listed(host.net.now, false, &list);
+            self.brain.on_server_list(host.net.now, false, &list);
         }
-        host.servers.forget();
+        host.servers.remove_unused();
         self.schedule_subset_work();
     }
 
@@ -155,7 +155,7 @@
 
     /// Sets a timer for the next work on subsets.
     fn schedule_subset_work(&mut self) {
-        let Some(due) = self.brain.subsets_due() else { return };
+        let Some(due) = self.brain.subset_work_due() else { return };
         // Timers are checked once per turn, so work that is due now is done in the next turn.
         let at = due.max(self.host.net.now + 1);
         if self.host.subset_timer_at.is_none_or(|awaited| at < awaited) {
@@ -167,10 +167,10 @@
 
 impl PolicyHost {
     /// The start time of a listed server, by this process's clock.
-    fn started_at(&self, listed: &Listed) -> Nanos {
-        let stamp = listed.came_up;
-        match self.servers.held(listed.key).filter(|held| held.stamp == stamp) {
-            Some(held) => held.came_up,
+    fn started_at(&self, listed: &DiscoveredServer) -> Nanos {
+        let stamp = listed.started_at;
+        match self.servers.by_key(listed.key).filter(|held| held.listed_start == stamp) {
+            Some(held) => held.started_at,
             None => {
                 let now = self.net.now + self.elapsed_in_turn();
                 start_times::started_at(stamp, now, self.has_list, start_times::is_wall_stepped(now))
@@ -180,11 +180,11 @@
 
     /// Whether a received list is not fully applied yet.
     pub(super) fn is_updating_list(&self) -> bool {
-        self.list_update.is_some() || !self.pending_lists.is_empty()
+        self.list_diff.is_some() || !self.pending_lists.is_empty()
     }
 
     /// Logs a list whose application took more than one turn.
-    fn log_update(&self, done: &ListUpdate) {
+    fn log_update(&self, done: &ListDiff) {
         if done.turn_count() > 1 {
             info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
@@ -194,8 +194,9 @@
     /// Opens the watch after a delay that differs between gateways.
     pub(super) fn schedule_watch(&mut self) {
         let (now, told) = (self.net.now, self.stop_within);
-        let rest = self.watch.again(now, self.lists_are_pushed, self.gateway_count, told, &mut self.rng);
-        let rest = rest.max(self.watch.rest_untaken(&mut self.rng));
+        let rest =
+            self.watch.retry_delay(now, self.lists_are_pushed, self.gateway_count, told, &mut self.rng);
+        let rest = rest.max(self.watch.invalid_list_delay(&mut self.rng));
         self.timers.set(now + rest, TimerEvent::OpenWatch);
     }
 
@@ -203,8 +204,8 @@
         if self.watch_id.is_some() {
             return;
         }
-        self.watch.heard = self.net.now;
-        match self.connect(self.config.discovery, Peer::List, MAX_WATCH_INPUT) {
+        self.watch.last_received = self.net.now;
+        match self.connect(self.config.discovery, Peer::Discovery, MAX_WATCH_INPUT) {
             Ok(id) => self.watch_id = Some(id),
             Err(e) => {
                 warn!(self.log, "can't connect"; "to" => %self.config.discovery, "error" => %e);
@@ -215,7 +216,7 @@
 
     /// Discovery has moved. The old watch stays in use until the new one is answered.
     pub(super) fn move_watch(&mut self) {
-        let new = self.watch.anew();
+        let new = self.watch.successor();
         let watch = std::mem::replace(&mut self.watch, new);
         self.watch_answered = false;
         if let Some(id) = self.watch_id.take() {
@@ -235,7 +236,7 @@
     }
 
     fn close_watch(&mut self, id: usize, index: u64, why: &'static str) {
-        info!(self.log, "list"; "why" => why, "index" => index, "ms" => (self.net.now - self.net.since(id)) / MS);
+        info!(self.log, "list"; "why" => why, "index" => index, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
     }
 
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -5,16 +5,16 @@
 use super::*;
 
 /// The reason code for the end of an attempt.
-fn end_code(how: End) -> &'static str {
+fn end_code(how: CallOutcome) -> &'static str {
     match how {
-        End::Ok => "ok",
-        End::Error => "error",
-        End::Full => "turned-away",
-        End::TimedOut => "timed-out",
-        End::NoConnection => "no-connection",
-        End::Reset => "connection-reset",
-        End::Withdrawn => "withdrawn",
-        End::NotSent => "not-sent",
+        CallOutcome::Ok => "ok",
+        CallOutcome::Error => "error",
+        CallOutcome::Full => "turned-away",
+        CallOutcome::TimedOut => "timed-out",
+        CallOutcome::NoConnection => "no-connection",
+        CallOutcome::Reset => "connection-reset",
+        CallOutcome::Withdrawn => "withdrawn",
+        CallOutcome::NotSent => "not-sent",
     }
 }
 
@@ -26,23 +26,23 @@
     /// Logs the start of an attempt if it is a retry, and every one during a shutdown.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if attempt.nth == 0 && !self.is_shutting_down() {
+        if attempt.number == 0 && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.nth, "to" => address_text(address),
-            "limit_ms" => attempt.until.saturating_sub(attempt.sent) / MS, "repeat" => attempt.nth > 0);
+        info!(self.log, "attempt"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.number, "to" => address_text(address),
+            "limit_ms" => attempt.deadline.saturating_sub(attempt.requested_at) / MS, "repeat" => attempt.number > 0);
     }
 
     /// Logs the end of an attempt unless it succeeded, and every one during a shutdown.
-    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: End) {
+    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: CallOutcome) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if how == End::Ok && !self.is_shutting_down() {
+        if how == CallOutcome::Ok && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt ended"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.nth, "to" => address_text(address),
-            "how" => end_code(how), "ms" => (self.net.now - attempt.sent) / MS);
+        info!(self.log, "attempt ended"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.number, "to" => address_text(address),
+            "how" => end_code(how), "ms" => (self.net.now - attempt.requested_at) / MS);
     }
 
     /// Logs the final answer to an RPC; `why` distinguishes answers of the gateway itself from
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -10,9 +10,9 @@
         let now = self.net.now;
         loop {
             let at = self.servers.by_number.get_mut(&server)?;
-            let Some((id, since)) = at.idle.pop() else { break };
+            let Some((id, since)) = at.idle_connections.pop() else { break };
             let rested = now - since;
-            if rested >= self.idle_timeout || !self.servers.reuses.allows(now, rested) {
+            if rested >= self.idle_timeout || !self.servers.reuse_history.allows(now, rested) {
                 self.close_server_connection(id, "idle");
                 continue;
             }
@@ -21,12 +21,12 @@
             // read per attempt.
             self.net.read(id, false);
             let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-            match unasked.or(self.net.ended(id).map(Ending::reason)) {
+            match unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
                 Some(why) => self.close_server_connection(id, why),
                 None => {
                     self.server_connections
                         .entry(id)
-                        .and_modify(|connection| connection.rested = Some(rested));
+                        .and_modify(|connection| connection.idle_for = Some(rested));
                     return Some(id);
                 }
             }
@@ -34,12 +34,12 @@
         if self.server_connections.len() >= self.max_server_connections && !self.evict_server_connection() {
             return None;
         }
-        let Server { address, came_up, .. } = *self.servers.by_number.get(&server)?;
+        let Server { address, started_at: came_up, .. } = *self.servers.by_number.get(&server)?;
         let id = self.connect(address, Peer::Server, MAX_MESSAGE);
         let id = id.map_err(|e| warn!(self.log, "can't connect"; "to" => %address, "error" => %e)).ok()?;
-        self.server_connections.insert(id, Link::new(server, came_up));
+        self.server_connections.insert(id, ServerConnection::new(server, came_up));
         if let Some(at) = self.servers.by_number.get_mut(&server) {
-            at.open += 1;
+            at.open_connections += 1;
         }
         self.timers.set(now + self.connect_timeout, TimerEvent::ConnectTimeout(id));
         Some(id)
@@ -49,7 +49,9 @@
     /// requested still do. An attempt of which no byte was written has provably not run and may go
     /// to another server; the connection is kept.
     pub(super) fn write_attempt(&mut self, id: usize) {
-        let Some(Link { stage: Stage::Asked(attempt), server, .. }) = self.server_connections.get(&id) else {
+        let Some(ServerConnection { stage: Stage::Requested(attempt), server, .. }) =
+            self.server_connections.get(&id)
+        else {
             return;
         };
         let (attempt, server) = (*attempt, *server);
@@ -58,13 +60,13 @@
         // read per attempt.
         self.net.read(id, false);
         let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-        if let Some(why) = unasked.or(self.net.ended(id).map(Ending::reason)) {
+        if let Some(why) = unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
             return self.abandon_connection(id, self.unwritten_end(id), why);
         }
         if let Err(obstacle) = self.may_send(id, &attempt) {
-            info!(self.log, "not written"; "why" => obstacle.reason(), "rpc" => attempt.rpc, "attempt" => attempt.nth,
-                "ms" => (self.net.now - attempt.sent) / MS);
-            self.end_attempt(server, attempt, End::NotSent, 0.0, Vec::new());
+            info!(self.log, "not written"; "why" => obstacle.reason(), "rpc" => attempt.rpc, "attempt" => attempt.number,
+                "ms" => (self.net.now - attempt.requested_at) / MS);
+            self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
             return self.return_to_pool(id);
         }
         let PolicyHost { net, server_connections, rpcs, .. } = self;
@@ -73,17 +75,17 @@
             return;
         };
         rpc.written = true;
-        let wait = attempt.until.min(rpc.deadline).saturating_sub(net.now);
-        if let Some((message, out)) = net.input_and_out(rpc.client, id) {
-            connection.write(out, attempt, &rpc.message, message, wait);
+        let wait = attempt.deadline.min(rpc.deadline).saturating_sub(net.now);
+        if let Some((message, out)) = net.input_and_output(rpc.client, id) {
+            connection.write_attempt(out, attempt, &rpc.message, message, wait);
         }
     }
 
     /// How an attempt ended of which nothing was written. If an idle connection was closed, that
     /// says nothing about the server.
-    fn unwritten_end(&self, id: usize) -> End {
-        let rested = self.server_connections.get(&id).is_some_and(|connection| connection.rested.is_some());
-        if rested { End::NotSent } else { End::NoConnection }
+    fn unwritten_end(&self, id: usize) -> CallOutcome {
+        let rested = self.server_connections.get(&id).is_some_and(|connection| connection.idle_for.is_some());
+        if rested { CallOutcome::NotSent } else { CallOutcome::NoConnection }
     }
 
     /// Asks the guard whether an attempt may be written on this connection.
@@ -94,8 +96,8 @@
         let send = guard::SendCheck {
             now: self.net.now,
             client_present: rpc.is_some(),
-            answer_by: attempt.until,
-            write_by: attempt.before,
+            answer_by: attempt.deadline,
+            write_by: attempt.write_by,
             retry_safety: rpc.map_or(RetrySafety::AtMostOnce, |rpc| rpc.retry_safety),
             first_run: rpc.and_then(|rpc| rpc.first_run),
             server: self.server_status(id, connection),
@@ -106,9 +108,9 @@
     }
 
     /// The current listed state of the server that a connection leads to.
-    fn server_status(&self, id: usize, connection: &Link) -> ServerStatus {
+    fn server_status(&self, id: usize, connection: &ServerConnection) -> ServerStatus {
         let listed =
-            self.servers.by_number.get(&connection.server).filter(|server| server.listed && server.ready);
+            self.servers.by_number.get(&connection.server).filter(|server| server.is_listed && server.ready);
         match listed {
             None => ServerStatus::Unavailable,
             Some(server) if self.leads_to_current(id, connection, server) => ServerStatus::Ready,
@@ -117,37 +119,41 @@
     }
 
     /// Whether the connection leads to the current address and incarnation of the server.
-    fn leads_to_current(&self, id: usize, connection: &Link, server: &Server) -> bool {
-        self.net.address(id) == Some(server.address) && connection.came_up == server.came_up
+    fn leads_to_current(&self, id: usize, connection: &ServerConnection, server: &Server) -> bool {
+        self.net.address(id) == Some(server.address) && connection.server_started_at == server.started_at
     }
 
     pub(super) fn read_server(&mut self, id: usize) {
         let PolicyHost { net, server_connections, .. } = self;
         let Some(connection) = server_connections.get_mut(&id) else { return };
-        let ended = net.ended(id);
-        let Stage::Out(call) = connection.stage else {
+        let ended = net.connection_end(id);
+        let Stage::InFlight(call) = connection.stage else {
             // Nothing was written, so any input or close makes the connection unusable.
             let unasked = (!net.input(id).is_empty()).then_some("answer-without-call-out");
-            if let Some(why) = ended.map(Ending::reason).or(unasked) {
+            if let Some(why) = ended.map(ConnectionEnd::reason).or(unasked) {
                 self.abandon_connection(id, self.unwritten_end(id), why);
             }
             return;
         };
-        match connection.look(net.input(id), ended) {
+        match connection.parse_response(net.input(id), ended) {
             Ok(Some(answer)) => {
                 let server = connection.server;
-                if let Some(rested) = connection.rested {
-                    self.servers.reuses.ended(net.now, rested, false);
+                if let Some(rested) = connection.idle_for {
+                    self.servers.reuse_history.record(net.now, rested, false);
                 }
-                let load = answer.load.clone().map_or(&[][..], |load| &net.input(id)[load]);
-                let load = if load.is_empty() { Vec::new() } else { servers::load(load, &self.load_columns) };
-                if answer.how == End::Ok {
+                let load = answer.load_report.clone().map_or(&[][..], |load| &net.input(id)[load]);
+                let load = if load.is_empty() {
+                    Vec::new()
+                } else {
+                    servers::parse_load_report(load, &self.load_columns)
+                };
+                if answer.end == CallOutcome::Ok {
                     self.forward_answer(id, call.rpc, &answer);
                 }
-                let unasked = self.net.input(id).len() > answer.length;
-                self.net.used(id, answer.length);
-                self.end_attempt(server, call, answer.how, answer.settled, load);
-                if answer.reusable && !unasked && self.net.is_sent(id) {
+                let unasked = self.net.input(id).len() > answer.message_length;
+                self.net.consume(id, answer.message_length);
+                self.end_attempt(server, call, answer.end, answer.settled, load);
+                if answer.reusable && !unasked && self.net.is_flushed(id) {
                     self.return_to_pool(id);
                 } else {
                     self.close_server_connection(
@@ -162,15 +168,15 @@
     }
 
     /// Forwards a server's 200 answer to the client, with its body unchanged.
-    pub(super) fn forward_answer(&mut self, connection: usize, id: u32, answer: &Answer) {
+    pub(super) fn forward_answer(&mut self, connection: usize, id: u32, answer: &Response) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes_after(rpc));
-        if let Some((input, out)) = self.net.input_and_out(connection, client) {
+        if let Some((input, out)) = self.net.input_and_output(connection, client) {
             let body = match &answer.body {
-                Body::Read(range) => &input[range.clone()],
-                Body::Joined(bytes) => bytes,
+                Body::Buffered(range) => &input[range.clone()],
+                Body::Decoded(bytes) => bytes,
             };
-            clients::write_head(out, 200, body.len(), &input[answer.head.clone()], 0, close);
+            clients::write_response_head(out, 200, body.len(), &input[answer.header_lines.clone()], 0, close);
             out.extend_from_slice(body);
         }
         self.log_answer(id, 200, "served");
@@ -183,9 +189,9 @@
         let (number, now) = (connection.server, self.net.now);
         let (connection, server) = (&self.server_connections[&id], self.servers.by_number.get(&number));
         let kept =
-            server.is_some_and(|server| server.listed && self.leads_to_current(id, connection, server));
+            server.is_some_and(|server| server.is_listed && self.leads_to_current(id, connection, server));
         match self.servers.by_number.get_mut(&number).filter(|_| kept) {
-            Some(server) => server.idle.push((id, now)),
+            Some(server) => server.idle_connections.push((id, now)),
             None => self.close_server_connection(id, "server-gone"),
         }
     }
@@ -195,26 +201,26 @@
         let out = self
             .server_connections
             .get(&id)
-            .is_some_and(|connection| matches!(connection.stage, Stage::Out(_)));
-        out && self.net.is_sent(id)
+            .is_some_and(|connection| matches!(connection.stage, Stage::InFlight(_)));
+        out && self.net.is_flushed(id)
     }
 
     /// Handles a failed connection. How its attempt ended depends on whether the last byte had been
     /// written.
     pub(super) fn connection_failed(&mut self, id: usize, why: &'static str) {
-        let how = if self.may_have_run(id) { End::Reset } else { End::NoConnection };
+        let how = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
         if let Some(rested) = self
             .server_connections
             .get(&id)
-            .and_then(|connection| connection.rested)
+            .and_then(|connection| connection.idle_for)
             .filter(|_| why == "reset")
         {
-            self.servers.reuses.ended(self.net.now, rested, true);
+            self.servers.reuse_history.record(self.net.now, rested, true);
         }
         self.abandon_connection(id, how, why);
     }
 
-    pub(super) fn abandon_connection(&mut self, id: usize, how: End, why: &'static str) {
+    pub(super) fn abandon_connection(&mut self, id: usize, how: CallOutcome, why: &'static str) {
         let Some(connection) = self.server_connections.get(&id) else { return };
         if let Some(attempt) = connection.attempt() {
             self.end_attempt(connection.server, attempt, how, 0.0, Vec::new());
@@ -225,23 +231,31 @@
     /// The time of an attempt is over.
     pub(super) fn attempt_timed_out(&mut self, id: usize, rpc: u32, nth: u16) {
         if self.server_connections.get(&id).is_some_and(|connection| connection.carries(rpc, nth)) {
-            let how = if self.may_have_run(id) { End::TimedOut } else { End::NoConnection };
+            let how = if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
             self.abandon_connection(id, how, "call-out-timed-out");
         }
     }
 
     pub(super) fn connect_timed_out(&mut self, id: usize) {
-        if self.server_connections.get(&id).is_some_and(|connection| !connection.up) {
-            self.abandon_connection(id, End::NoConnection, "never-came-up");
+        if self.server_connections.get(&id).is_some_and(|connection| !connection.is_connected) {
+            self.abandon_connection(id, CallOutcome::NoConnection, "never-came-up");
         }
     }
 
-    pub(super) fn end_attempt(&mut self, server: u32, call: Attempt, how: End, settled: f64, load: Vec<f64>) {
+    pub(super) fn end_attempt(
+        &mut self,
+        server: u32,
+        call: Attempt,
+        how: CallOutcome,
+        settled: f64,
+        load: Vec<f64>,
+    ) {
         self.log_attempt_end(&call, server, how);
         let Some(rpc) = self.rpcs.get_mut(&call.rpc) else { return };
         rpc.attempt_in_flight = false;
-        if !matches!(how, End::NoConnection | End::NotSent | End::Full) {
-            rpc.first_run = Some(rpc.first_run.map_or(call.sent, |first| first.min(call.sent)));
+        if !matches!(how, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
+            rpc.first_run =
+                Some(rpc.first_run.map_or(call.requested_at, |first| first.min(call.requested_at)));
         }
         let closed = rpc.state == RpcState::Answered;
         if closed {
@@ -249,25 +263,34 @@
         } else {
             self.set_rpc_state(call.rpc, RpcState::Pending);
         }
-        let took = self.net.now - call.sent;
-        let (rpc, nth) = (call.rpc, call.nth);
-        self.ended_attempts.push_back(Ended { rpc, server, nth, how, took, closed, settled, load });
+        let took = self.net.now - call.requested_at;
+        let (rpc, nth) = (call.rpc, call.number);
+        self.ended_attempts.push_back(AttemptResult {
+            rpc,
+            server,
+            attempt: nth,
+            outcome: how,
+            duration: took,
+            rpc_answered: closed,
+            settled_units: settled,
+            load_report: load,
+        });
     }
 
     pub(super) fn close_server_connection(&mut self, id: usize, why: &'static str) {
         let Some(connection) = self.server_connections.remove(&id) else { return };
         if let Some(server) = self.servers.by_number.get_mut(&connection.server) {
-            server.idle.retain(|idle| idle.0 != id);
-            server.open -= 1;
+            server.idle_connections.retain(|idle| idle.0 != id);
+            server.open_connections -= 1;
         }
-        info!(self.log, "server"; "why" => why, "to" => address_text(self.net.address(id)), "call_outs" => connection.used,
-            "ms" => (self.net.now - self.net.since(id)) / MS);
+        info!(self.log, "server"; "why" => why, "to" => address_text(self.net.address(id)), "call_outs" => connection.attempts,
+            "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
     }
 
     /// Closes the connection to a server that has been idle for longest; false if none is idle.
     pub(super) fn evict_server_connection(&mut self) -> bool {
-        let oldest = self.connected_servers().filter_map(|server| server.idle.first());
+        let oldest = self.connected_servers().filter_map(|server| server.idle_connections.first());
         let Some(id) = oldest.min_by_key(|idle| idle.1).map(|idle| idle.0) else { return false };
         self.close_server_connection(id, "made-room");
         true
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -6,8 +6,8 @@
 use crate::config::Method;
 use crate::entry::Entry;
 use crate::services::Services;
-use agreement::lease::Content;
-use agreement::lists::{Announcement, ListedServer, Lists};
+use agreement::lease::ContentId;
+use agreement::lists::{ListTracker, ListedServer, RemovalAnnouncement};
 use agreement::message::{LeaseMessage, ListNotice};
 use agreement::rules::objections;
 use agreement::state::{Agreement, Decision, Mode, Offer, Receipt};
@@ -37,7 +37,7 @@
     ahead_count: u64,
     ahead_logged: Nanos,
     number: Option<u32>,
-    lists: Lists,
+    lists: ListTracker,
     /// Servers by key, as this gateway's own list last reported them.
     entries: BTreeMap<u64, Entry>,
     next_list_notice_at: Nanos,
@@ -49,7 +49,7 @@
     }
 }
 
-fn short(content: Content) -> String {
+fn short(content: ContentId) -> String {
     format!("{:016x}", content.digest >> 64)
 }
 
@@ -65,8 +65,8 @@
             told.listen
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
-        let (all, clock_offset) = (told.all, told.clock_off);
-        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), told.version.content());
+        let (all, clock_offset) = (told.peers, told.clock_offset);
+        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), told.version.content_id());
         let mut state =
             Agreement::new(told.terms, number, host.rng.u32(..), now, content, told.version.start);
         if told.fresh {
@@ -79,7 +79,7 @@
             services: host.config.services.clone(),
         };
         let acting = Decision { content, mode: Mode::Fallback };
-        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.terms().bound() / MS);
+        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
         self.agreement = Some(AgreementLink {
             state,
             held,
@@ -91,7 +91,7 @@
             ahead_count: 0,
             ahead_logged: 0,
             number,
-            lists: Lists::default(),
+            lists: ListTracker::default(),
             entries: BTreeMap::new(),
             next_list_notice_at: 0,
         });
@@ -102,9 +102,9 @@
     /// Makes the module act on this version and mode from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
-        if agreement.held.version.content() != acting.content
+        if agreement.held.version.content_id() != acting.content
             && let Some(new) =
-                agreement.scheduled.take_if(|scheduled| scheduled.version.content() == acting.content)
+                agreement.scheduled.take_if(|scheduled| scheduled.version.content_id() == acting.content)
         {
             agreement.held = new;
             self.host.config.methods = std::mem::take(&mut agreement.held.methods);
@@ -120,8 +120,8 @@
         let now = self.host.net.now;
         info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
-        self.host.config.settle(settings.clone());
-        self.brain.settle(now, settings);
+        self.host.config.apply_settings(settings.clone());
+        self.brain.update_settings(now, settings);
     }
 
     /// Evaluates which settings may be acted on, before anything else is decided, and sends due
@@ -130,13 +130,13 @@
         let Some(agreement) = &mut self.agreement else { return };
         let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
         let messages = agreement.state.poll_messages(now);
-        messages.iter().for_each(|message| self.host.net.tell(agreement.all, &message.encode()));
+        messages.iter().for_each(|message| self.host.net.send_datagram(agreement.all, &message.encode()));
         if agreement.state.is_voter() && now >= agreement.next_list_notice_at {
-            agreement.next_list_notice_at = now + agreement.state.terms().renewal_interval();
-            if let (Some(Announcement { index, removed }), Some(gateway)) =
+            agreement.next_list_notice_at = now + agreement.state.config().renewal_interval();
+            if let (Some(RemovalAnnouncement { index, removed }), Some(gateway)) =
                 (agreement.lists.announcement(now), agreement.number)
             {
-                self.host.net.tell(agreement.all, &ListNotice { gateway, index, removed }.encode());
+                self.host.net.send_datagram(agreement.all, &ListNotice { gateway, index, removed }.encode());
             }
         }
         let (was, acting) = (agreement.acting, agreement.state.evaluate(now));
@@ -188,7 +188,7 @@
     /// nothing new from this gateway if the list held here is older.
     fn receive_list_notice(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
-        if !agreement.state.terms().voters.contains(&notice.gateway) {
+        if !agreement.state.config().voters.contains(&notice.gateway) {
             return;
         }
         let held = agreement.lists.index();
@@ -200,24 +200,24 @@
         let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
         info!(self.host.log, "list"; "why" => "late", "index" => held, "newer" => notice.index, "held_back" => names.join(","));
         let entries = entries.into_iter().map(|entry| Entry { ready: false, ..entry }).collect();
-        self.queue_filtered_list(Told { index: held, entries, ..Told::default() });
+        self.queue_filtered_list(ListUpdate { index: held, entries, ..ListUpdate::default() });
     }
 
     /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
     /// it. `None` if the list is ignored.
-    pub(super) fn filter_list(&mut self, told: &mut Told) -> Option<Told> {
-        let mut more = Told { index: told.index, ..Told::default() };
+    pub(super) fn filter_list(&mut self, told: &mut ListUpdate) -> Option<ListUpdate> {
+        let mut more = ListUpdate { index: told.index, ..ListUpdate::default() };
         let Some(agreement) = &mut self.agreement else { return Some(more) };
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
-            since: entry.since_ms.saturating_mul(MS),
+            started_at: entry.started_ms.saturating_mul(MS),
         };
         let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
-        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.whole, &list);
+        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.is_snapshot, &list);
         let count = verdict.held_back.len();
-        if verdict.is_empty || verdict.is_older || count > 0 {
-            let why = if verdict.is_empty {
+        if verdict.leaves_none_ready || verdict.is_older || count > 0 {
+            let why = if verdict.leaves_none_ready {
                 "empty"
             } else if verdict.is_older {
                 "went-back"
@@ -226,7 +226,7 @@
             };
             warn!(self.host.log, "list"; "why" => why, "index" => told.index, "held" => agreement.lists.index(), "held_back" => count);
         }
-        if verdict.is_empty {
+        if verdict.leaves_none_ready {
             return None;
         }
         let held_back: HashSet<u64> = verdict.held_back.into_iter().collect();
@@ -235,10 +235,10 @@
             entry.ready &= !held_back.contains(&seen.key);
         }
         // An older list does not remove the servers that it lacks; only its changes are applied.
-        told.whole &= !verdict.is_older;
+        told.is_snapshot &= !verdict.is_older;
         more.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
-        if told.whole && agreement.entries.len() > 2 * list.len().max(64) {
+        if told.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
             let named: HashSet<u64> = list.iter().map(|seen| seen.key).collect();
             agreement.entries.retain(|key, _| named.contains(key));
         }
@@ -255,7 +255,7 @@
     ) {
         let Some(agreement) = &mut self.agreement else { return };
         let (now, content) =
-            (self.host.net.now.saturating_add_signed(agreement.clock_offset), version.content());
+            (self.host.net.now.saturating_add_signed(agreement.clock_offset), version.content_id());
         let (log, number) = (&self.host.log, content.version);
         // Versions that are not newer than the held ones are judged by the state machine.
         let newer = [Some(&agreement.held), agreement.scheduled.as_ref()]
@@ -272,7 +272,7 @@
         }
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
-                let start = agreement.state.waiting().map_or(0, |scheduled| scheduled.start);
+                let start = agreement.state.scheduled().map_or(0, |scheduled| scheduled.start);
                 info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short(content),
                     "starts_in_ms" => start.saturating_sub(now) / MS);
                 agreement.scheduled = Some(HeldVersion { version, methods, plans, services });
@@ -281,7 +281,7 @@
                 info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short(content))
             }
             Err(refused) => {
-                if agreement.state.waiting().is_none() {
+                if agreement.state.scheduled().is_none() {
                     agreement.scheduled = None;
                 }
                 warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short(content),
@@ -303,7 +303,7 @@
         let acts_on = if mode == Mode::Confirmed { "version" } else { "ground" };
         let scheduled = agreement
             .state
-            .waiting()
+            .scheduled()
             .map_or(String::new(), |scheduled| format!(", waits={}", scheduled.content.version));
         format!(
             "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{scheduled}\n",
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -12,7 +12,7 @@
             return;
         }
         // The signal may have been pending for as long as a message that is read now.
-        let signalled_at = self.host.net.now.saturating_sub(self.host.net.late);
+        let signalled_at = self.host.net.now.saturating_sub(self.host.net.input_delay);
         let shutdown = Shutdown::new(signalled_at, self.host.longest_deadline());
         info!(self.host.log, "stopping"; "held" => self.host.unanswered_rpcs, "clients" => self.host.clients.len(),
             "answer_within_ms" => shutdown.answer_by.saturating_sub(self.host.net.now) / MS);
@@ -43,12 +43,13 @@
         }
         for (id, connection) in &mut host.server_connections {
             if let Some(attempt) = connection.attempt_mut() {
-                attempt.until = attempt.until.min(answer_by);
-                host.timers.set(attempt.until, TimerEvent::AttemptTimeout(*id, attempt.rpc, attempt.nth));
+                attempt.deadline = attempt.deadline.min(answer_by);
+                host.timers
+                    .set(attempt.deadline, TimerEvent::AttemptTimeout(*id, attempt.rpc, attempt.number));
             }
         }
         let now = host.net.now;
-        self.brain.end_by(&mut self.host, now, answer_by);
+        self.brain.shut_down_by(&mut self.host, now, answer_by);
     }
 
     /// Exits the process. RPCs that should have been answered earlier are answered, and pending
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -21,7 +21,7 @@
         self.sweep_clients();
         self.sweep_server_connections();
         if let Some(id) =
-            self.watch_id.filter(|_| !self.is_updating_list() && self.watch.is_silent(self.net.now))
+            self.watch_id.filter(|_| !self.is_updating_list() && self.watch.is_unresponsive(self.net.now))
         {
             self.watch_lost(id, "silent");
         }
@@ -37,7 +37,7 @@
                 // Input received by now, possibly the end of the message, is processed first, but
                 // not again and again.
                 Overstay::SlowMessage
-                    if self.net.now <= self.begun(id) + clients::SLOW_MESSAGE + 2 * SWEEP_INTERVAL
+                    if self.net.now <= self.begun(id) + clients::MESSAGE_TIMEOUT + 2 * SWEEP_INTERVAL
                         && !self.is_drained(id) => {}
                 Overstay::SlowMessage => self.reject_message(id, 408, SLOW_MESSAGE_REASON),
                 Overstay::SaidNothing => self.half_close_client(id, "said-nothing"),
@@ -50,36 +50,38 @@
 
     fn overstay(&self, id: usize, client: &Client) -> Option<Overstay> {
         let now = self.net.now;
-        let age = now.saturating_sub(client.since);
+        let age = now.saturating_sub(client.state_since);
         let (most, overstay) = match client.phase {
             Phase::AwaitingAnswer { .. } => return None,
             Phase::HalfClosed { .. } => (LINGER_TIMEOUT, Overstay::Lingered),
             Phase::WritingAnswer { close_reason: Some(_), .. } => {
-                (clients::SLOW_MESSAGE, Overstay::ReadsNothing)
+                (clients::MESSAGE_TIMEOUT, Overstay::ReadsNothing)
+            }
+            Phase::WritingAnswer { close_reason: None, .. } => {
+                (clients::IDLE_TIMEOUT, Overstay::ReadsNothing)
             }
-            Phase::WritingAnswer { close_reason: None, .. } => (clients::IDLE, Overstay::ReadsNothing),
             // Limits connections that are opened to send nothing, or that never complete a message.
             // The cost: a connection opened long before its first message has to be opened again.
             Phase::Reading if client.served == 0 => {
-                let silent = now > self.net.since(id) + clients::SLOW_MESSAGE;
+                let silent = now > self.net.opened_at(id) + clients::MESSAGE_TIMEOUT;
                 let overstay = if client.partial { Overstay::SlowMessage } else { Overstay::SaidNothing };
                 return silent.then_some(overstay);
             }
-            Phase::Reading if client.partial => (clients::SLOW_MESSAGE, Overstay::SlowMessage),
-            Phase::Reading => (clients::IDLE, Overstay::Idle),
+            Phase::Reading if client.partial => (clients::MESSAGE_TIMEOUT, Overstay::SlowMessage),
+            Phase::Reading => (clients::IDLE_TIMEOUT, Overstay::Idle),
         };
         (age > most).then_some(overstay)
     }
 
     /// Since when the message of a client is awaited.
     fn begun(&self, id: usize) -> Nanos {
-        let begun = self.clients.get(&id).filter(|client| client.served > 0).map(|client| client.since);
-        begun.unwrap_or(self.net.since(id))
+        let begun = self.clients.get(&id).filter(|client| client.served > 0).map(|client| client.state_since);
+        begun.unwrap_or(self.net.opened_at(id))
     }
 
     fn sweep_server_connections(&mut self) {
         let now = self.net.now;
-        let idle = self.connected_servers().flat_map(|server| &server.idle);
+        let idle = self.connected_servers().flat_map(|server| &server.idle_connections);
         let idle: Vec<usize> =
             idle.filter(|idle| now >= idle.1 + self.idle_timeout).map(|idle| idle.0).collect();
         idle.into_iter().for_each(|id| self.close_server_connection(id, "idle"));
@@ -87,19 +89,21 @@
 
     fn sweep_counter_connections(&mut self) {
         let now = self.net.now;
-        for at in 0..self.counter_conns.len() {
+        for at in 0..self.counter_connections.len() {
             let Some(id) = self.counter_ids[at] else { continue };
-            let used = at / counter::LINES == self.active_counter_set / counter::LINES;
-            let line = &mut self.counter_conns[at];
-            if !used && (line.is_done() || now > self.counter_moved_at + counter::MOVES_WITHIN) {
+            let used = at / counter::CONNECTIONS == self.active_counter_set / counter::CONNECTIONS;
+            let line = &mut self.counter_connections[at];
+            if !used && (line.is_drained() || now > self.counter_moved_at + counter::DRAIN_TIMEOUT) {
                 self.counter_connection_lost(at, "moved");
-            } else if line.is_dead(now) || !line.up && now > line.heard + counter::DEAD_AFTER {
+            } else if line.is_unresponsive(now)
+                || !line.is_connected && now > line.last_reply + counter::REPLY_TIMEOUT
+            {
                 self.counter_connection_lost(at, "silent");
-            } else if line.up
-                && now > line.wrote + counter::PING_EVERY
-                && let Some(out) = self.net.out(id)
+            } else if line.is_connected
+                && now > line.last_write + counter::PING_INTERVAL
+                && let Some(out) = self.net.output(id)
             {
-                line.ping(out, now);
+                line.send_ping(out, now);
             }
         }
     }
--- a/crates/gateway/src/list_update.rs
+++ b/crates/gateway/src/list_diff.rs
@@ -1,11 +1,11 @@
 //! Applies a list from discovery incrementally: finds what changed and hands it on in batches of
 //! bounded work, so that a list of any length never blocks the event loop for a whole turn.
 
-use crate::directory::Directory;
 use crate::entry::Entry;
-use crate::list::Told;
+use crate::list::ListUpdate;
+use crate::name_ids::NameIds;
 use crate::servers::Servers;
-use martenramp::host::Listed;
+use martenramp::host::DiscoveredServer;
 use martenramp::subsetting;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 /// A server whose listed state has changed.
 #[derive(Debug)]
 pub struct ServerChange {
-    pub listed: Listed,
+    pub listed: DiscoveredServer,
     /// `None` for a server that was removed.
     pub address: Option<SocketAddr>,
 }
@@ -43,7 +43,7 @@
 
 /// A list that is being applied.
 #[derive(Debug)]
-pub struct ListUpdate {
+pub struct ListDiff {
     index: u64,
     /// The list is a full snapshot, and servers that it does not name are still to be found.
     scan_pending: bool,
@@ -63,11 +63,11 @@
     turns: usize,
 }
 
-impl ListUpdate {
-    pub fn new(told: Told) -> Self {
-        ListUpdate {
+impl ListDiff {
+    pub fn new(told: ListUpdate) -> Self {
+        ListDiff {
             index: told.index,
-            scan_pending: told.whole,
+            scan_pending: told.is_snapshot,
             seen_keys: HashSet::with_capacity(told.entries.len()),
             entries: told.entries,
             scanned_to: 0,
@@ -106,7 +106,7 @@
     pub fn next_batch(
         &mut self,
         servers: &Servers,
-        directory: &mut Directory,
+        directory: &mut NameIds,
         work: &mut usize,
     ) -> Option<Batch> {
         if !self.compared {
@@ -140,7 +140,7 @@
     }
 
     /// Compares entries with the servers held; unchanged ones are skipped.
-    fn compare(&mut self, servers: &Servers, directory: &mut Directory, work: &mut usize) {
+    fn compare(&mut self, servers: &Servers, directory: &mut NameIds, work: &mut usize) {
         while *work > 0
             && let Some(entry) = self.entries.pop()
         {
@@ -152,12 +152,12 @@
             if !self.seen_keys.insert(key) {
                 continue;
             }
-            let listed = directory.listed(key, &entry);
+            let listed = directory.to_listed(key, &entry);
             let address = (!entry.gone).then_some(entry.address);
-            let held = servers.held(key);
+            let held = servers.by_key(key);
             let unchanged = match address {
                 Some(address) => held.is_some_and(|held| held.is_listed_as(&listed, address)),
-                None => held.is_none_or(|held| !held.listed),
+                None => held.is_none_or(|held| !held.is_listed),
             };
             match (unchanged, listed.ready) {
                 (true, _) => {}
@@ -177,8 +177,8 @@
             let mut scanned = 0;
             for (number, server) in servers.by_number.range(self.scanned_to..).take(SCANNED_PER_WORK) {
                 (self.scanned_to, scanned) = (number + 1, scanned + 1);
-                if server.listed && !self.seen_keys.contains(&server.told.key) {
-                    self.unavailable.push(ServerChange { listed: server.told.clone(), address: None });
+                if server.is_listed && !self.seen_keys.contains(&server.last_listed.key) {
+                    self.unavailable.push(ServerChange { listed: server.last_listed.clone(), address: None });
                 }
             }
             if scanned < SCANNED_PER_WORK {
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -8,9 +8,9 @@
 use crate::measure::{Operation, Traffic};
 use crate::player::{Asked, counter_answer};
 use crate::replica::Replica;
-use gateway::counter::{Call, Line};
+use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
-use martenramp::host::{Arrival, End, Ended, Nanos};
+use martenramp::host::{Arrival, AttemptResult, CallOutcome, Nanos};
 use std::collections::HashMap;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -149,24 +149,24 @@
         asked.now = now;
         match event {
             Event::Arrives => {}
-            Event::Woke(token) => replica.brain.woke(asked, now, token),
+            Event::Woke(token) => replica.brain.on_timer(asked, now, token),
             Event::Counted { name, total } => {
-                replica.brain.counted(asked, now, name, End::Ok, f64::from_bits(total));
+                replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::Answered { rpc, server, attempt, sent } => {
-                let (how, took) = (End::Ok, now - sent);
-                let ended = Ended {
+                let (how, took) = (CallOutcome::Ok, now - sent);
+                let ended = AttemptResult {
                     rpc,
                     server,
-                    nth: attempt,
-                    how,
-                    took,
-                    closed: true,
-                    settled: 0.0,
-                    load: Vec::new(),
+                    attempt,
+                    outcome: how,
+                    duration: took,
+                    rpc_answered: true,
+                    settled_units: 0.0,
+                    load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.brain.ended(asked, now, &ended);
+                replica.brain.on_attempt_end(asked, now, &ended);
             }
         }
         self.carry_out(now, gateway);
@@ -185,12 +185,12 @@
             customer: TENANT,
             deadline: now + PATIENCE,
             units: 1.0,
-            width: self.members.len() as u32,
+            gateway_count: self.members.len() as u32,
             ..Arrival::default()
         };
         let Member { replica, asked } = &mut self.members[gateway];
         asked.now = now;
-        replica.brain.rpc(asked, now, &arrival);
+        replica.brain.on_arrival(asked, now, &arrival);
         self.carry_out(now, gateway);
     }
 
@@ -209,7 +209,7 @@
         }
         for (name, add, forget) in asked.counts.drain(..) {
             self.calls += 1;
-            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, forget }));
+            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, ttl: forget }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
             self.traffic.received.add(counter_answer(*total).len());
@@ -220,9 +220,9 @@
 
 /// The bytes of a call, as the gateway's line to the counter writes it.
 fn call_bytes(call: Call) -> usize {
-    let mut line = Line::default();
+    let mut line = CounterConnection::default();
     let mut written = Vec::new();
-    line.opened(&mut written, 0);
-    line.call(&mut written, 0, call);
+    line.connected(&mut written, 0);
+    line.send_call(&mut written, 0, call);
     written.len()
 }
