--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -12,10 +12,10 @@
         // Accounts for messages that were in the socket buffer for longer than the last turn,
         // because the connection was not accepted yet or the process had no processor time. The
         // cost: one system call per message.
-        let begins = client.read_times.is_empty() && length > 0;
-        let unread_for = if begins { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
-        let came = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
-        client.record_read(length, came);
+        let is_new_message = client.read_times.is_empty() && length > 0;
+        let unread_for = if is_new_message { self.host.net.last_input_age(id).unwrap_or(0) } else { 0 };
+        let received_at = self.host.net.now.saturating_sub(self.host.net.input_delay.max(unread_for));
+        client.record_read(length, received_at);
         if client.phase.is_closing() {
             let length = self.host.net.input(id).len();
             self.host.net.consume(id, length);
@@ -33,11 +33,11 @@
         {
             // The previous answer is fully written, so a client that does not read its answers
             // can't fill the output buffer.
-            let found = client.parse_message(&self.host.config, came, self.host.net.input(id));
-            if matches!(found, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
+            let parsed = client.parse_message(&self.host.config, received_at, self.host.net.input(id));
+            if matches!(parsed, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
                 self.host.claim_client_place(id);
             }
-            match found {
+            match parsed {
                 // Limits the memory for many long messages at once; buffers for servers have a
                 // separate share. The cost: a long message is rejected that might have been
                 // accepted a little later.
@@ -72,22 +72,22 @@
     }
 
     pub(super) fn admit(&mut self, client: usize, message: clients::RpcRequest) {
-        let (now, end) = (self.host.net.now, message.body.end);
+        let (now, message_length) = (self.host.net.now, message.body.end);
         let txn: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
-        let spare = self.host.clients.get(&client).is_some_and(|client| client.over_limit);
+        let over_limit = self.host.clients.get(&client).is_some_and(|client| client.over_limit);
         if self.host.unanswered_rpcs >= self.host.max_unanswered_rpcs
-            || spare
+            || over_limit
             || self.host.net.client_buffer_bytes > self.host.max_client_memory
         {
             // At the limit: an RPC that is rejected here never reached the module.
             self.host.log_direct_answer(&txn, 503, "no-room");
-            self.host.answer_directly(client, 503, end, "");
+            self.host.answer_directly(client, 503, message_length, "");
             return;
         }
-        let came = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
-        let asked = (came + message.remaining_ms * MS).saturating_sub(DEADLINE_MARGIN);
-        if !self.host.may_admit(&txn, asked) {
-            return self.host.answer_directly(client, 503, end, "");
+        let received_at = self.host.clients.get(&client).map_or(now, |client| client.message_received_at);
+        let requested_deadline = (received_at + message.remaining_ms * MS).saturating_sub(DEADLINE_MARGIN);
+        if !self.host.may_admit(&txn, requested_deadline) {
+            return self.host.answer_directly(client, 503, message_length, "");
         }
         if !self.host.active_txns.insert(txn.clone()) {
             // Two RPCs with the same transaction id could get each other's answer. Clients are not
@@ -95,9 +95,9 @@
             return self.host.reject_message(client, 409, "duplicate-id");
         }
         let (id, method) = (self.host.next_rpc_id(), message.method);
-        let Some(at) = self.host.clients.get_mut(&client) else { return };
-        at.set_phase(Phase::AwaitingAnswer { rpc: id, message_length: end }, now);
-        let deadline = self.host.cap_deadline(asked).max(now);
+        let Some(state) = self.host.clients.get_mut(&client) else { return };
+        state.set_phase(Phase::AwaitingAnswer { rpc: id, message_length }, now);
+        let deadline = self.host.cap_deadline(requested_deadline).max(now);
         let arrival = Arrival {
             id,
             method: message.method,
@@ -190,9 +190,9 @@
 
     /// Whether the connection closes after the answer to an RPC.
     pub(super) fn closes_after(&self, rpc: &Rpc) -> bool {
-        let floods = self.clients.get(&rpc.client).is_some_and(|client| client.sent_excess);
+        let sent_excess = self.clients.get(&rpc.client).is_some_and(|client| client.sent_excess);
         rpc.message.close
-            || floods
+            || sent_excess
             || self.closes_for_shutdown(rpc.client, rpc.message.body.end)
             || self.yields_place(rpc.client, rpc.message.body.end)
     }
@@ -203,69 +203,69 @@
         let rpc = self.rpcs.get(&id).map(|rpc| (rpc.txn.clone(), rpc.deadline));
         let (txn, deadline) = rpc.unzip();
         self.set_rpc_state(id, RpcState::Answered);
-        let (now, stopping) = (self.net.now, self.is_shutting_down());
-        let Some(at) = self.clients.get_mut(&client) else { return };
-        let length = at.phase.pending_rpc().map_or(0, |rpc| rpc.1);
-        let last = close.then_some(match at.sent_excess {
-            _ if stopping => "stopping",
+        let (now, shutting_down) = (self.net.now, self.is_shutting_down());
+        let Some(state) = self.clients.get_mut(&client) else { return };
+        let length = state.phase.pending_rpc().map_or(0, |rpc| rpc.1);
+        let close_reason = close.then_some(match state.sent_excess {
+            _ if shutting_down => "stopping",
             true => "sends-on-before-its-answer",
             false => "last-answer",
         });
-        at.set_phase(
+        state.set_phase(
             Phase::WritingAnswer {
                 answer: UnsentAnswer { txn: txn.unwrap_or_default(), deadline },
-                close_reason: last,
+                close_reason,
             },
             now,
         );
-        self.served_clients += usize::from(at.served == 0);
-        at.served += 1;
-        at.consume(length);
+        self.served_clients += usize::from(state.served == 0);
+        state.served += 1;
+        state.consume(length);
         self.net.consume(client, length);
     }
 
     /// Called when output for a client was written; once its answer is fully written, it is no
     /// longer owed.
     pub(super) fn after_client_write(&mut self, id: usize) {
-        let (now, sent) = (self.net.now, self.net.is_flushed(id));
+        let (now, flushed) = (self.net.now, self.net.is_flushed(id));
         let Some(client) = self.clients.get_mut(&id) else { return };
-        match client.phase.after_answer().filter(|_| sent) {
+        match client.phase.after_answer().filter(|_| flushed) {
             None => {
                 client.state_since =
                     if client.phase.unsent_answer().is_some() { now } else { client.state_since }
             }
             Some(next) => {
-                let owed = client.phase.unsent_answer().cloned().unwrap_or_default();
-                let ends = next.is_closing();
+                let answer = client.phase.unsent_answer().cloned().unwrap_or_default();
+                let closes = next.is_closing();
                 client.set_phase(next, now);
-                self.check_answer(&owed);
-                if ends {
+                self.check_answer(&answer);
+                if closes {
                     self.net.shutdown_write(id);
                 }
             }
         }
-        let reads = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
-        if reads && !self.net.input(id).is_empty() {
+        let can_read = self.clients.get(&id).is_some_and(|client| client.phase.pending_rpc().is_none());
+        if can_read && !self.net.input(id).is_empty() {
             self.clients_to_read.push_back(id);
         }
     }
 
     /// Answers a message that did not reach the module; `lines` are additional header lines.
     pub(super) fn answer_directly(&mut self, client: usize, status: u16, length: usize, lines: &str) {
-        let spare = self.clients.get(&client).is_some_and(|client| client.over_limit);
-        let (now, stopping) = (self.net.now, self.is_shutting_down());
-        let close = spare || self.closes_for_shutdown(client, length);
+        let over_limit = self.clients.get(&client).is_some_and(|client| client.over_limit);
+        let (now, shutting_down) = (self.net.now, self.is_shutting_down());
+        let close = over_limit || self.closes_for_shutdown(client, length);
         if let Some(out) = self.net.output(client) {
             clients::write_response_with_headers(out, status, lines, 0, close);
         }
         self.net.consume(client, length);
-        if let Some(at) = self.clients.get_mut(&client) {
-            let last = close.then_some(if stopping { "stopping" } else { "too-many-clients" });
-            at.set_phase(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: last }, now);
-            at.partial = false;
-            at.consume(length);
-            self.served_clients += usize::from(at.served == 0);
-            at.served += 1;
+        if let Some(state) = self.clients.get_mut(&client) {
+            let close_reason = close.then_some(if shutting_down { "stopping" } else { "too-many-clients" });
+            state.set_phase(Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason }, now);
+            state.partial = false;
+            state.consume(length);
+            self.served_clients += usize::from(state.served == 0);
+            state.served += 1;
         }
     }
 
@@ -276,8 +276,8 @@
         }
         self.net.discard_input(client);
         let now = self.net.now;
-        if let Some(at) = self.clients.get_mut(&client) {
-            at.set_phase(
+        if let Some(state) = self.clients.get_mut(&client) {
+            state.set_phase(
                 Phase::WritingAnswer { answer: UnsentAnswer::default(), close_reason: Some(why) },
                 now,
             );
@@ -287,16 +287,16 @@
     /// Closes a client's connection; this is the only place where that is done. While an answer is
     /// owed, only the client's own close or the write timeout ends the connection; otherwise it
     /// stays open and the result is false.
-    pub(super) fn close_client(&mut self, id: usize, end: CloseCause) -> bool {
+    pub(super) fn close_client(&mut self, id: usize, cause: CloseCause) -> bool {
         let Some(client) = self.clients.get(&id) else { return false };
-        if !client.phase.permits_close(end) {
-            self.withhold_close(id, end);
+        if !client.phase.permits_close(cause) {
+            self.withhold_close(id, cause);
             return false;
         }
-        self.check_client_close(id, end);
+        self.check_client_close(id, cause);
         let Some(client) = self.clients.remove(&id) else { return false };
         self.served_clients -= usize::from(client.served > 0);
-        let why = client.phase.close_reason().unwrap_or(end.reason());
+        let why = client.phase.close_reason().unwrap_or(cause.reason());
         info!(self.log, "client"; "why" => why, "from" => address_text(self.net.address(id)), "answers" => client.served,
             "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
@@ -307,14 +307,14 @@
     /// arrived. Input received by now is served. Anything later crosses the close; it was not read
     /// and is never forwarded.
     pub(super) fn is_drained(&mut self, id: usize) -> bool {
-        let inside = self.clients.get(&id).filter(|client| client.partial);
-        let before = inside.map_or(0, |client| client.parsed_bytes);
+        let mid_message = self.clients.get(&id).filter(|client| client.partial);
+        let before = mid_message.map_or(0, |client| client.parsed_bytes);
         self.net.read(id, false);
-        let rests = self.net.input(id).len() == before && self.net.connection_end(id).is_none();
-        if !rests {
+        let drained = self.net.input(id).len() == before && self.net.connection_end(id).is_none();
+        if !drained {
             self.clients_to_read.push_back(id);
         }
-        rests
+        drained
     }
 
     /// Shuts down sending to an idle client. Its further input is discarded until it closes as
@@ -333,14 +333,15 @@
     /// During a shutdown: shuts down sending to idle clients. Connections that have sent nothing,
     /// and those within a message, stay open until reading stops; then an incomplete message is
     /// rejected, as it never reached the module.
-    pub(super) fn half_close_clients(&mut self, last: bool) {
+    pub(super) fn half_close_clients(&mut self, reading_stops: bool) {
         let open = self.clients.iter().filter(|(_, client)| client.phase.is_reading());
         let ids: Vec<usize> = open.map(|(id, _)| *id).collect();
         for id in ids {
-            let (partial, served) = self.clients.get(&id).map_or((false, 0), |one| (one.partial, one.served));
+            let (partial, served) =
+                self.clients.get(&id).map_or((false, 0), |client| (client.partial, client.served));
             match () {
-                _ if partial && last => self.reject_message(id, 503, "stopping"),
-                _ if partial || served == 0 && !last => {}
+                _ if partial && reading_stops => self.reject_message(id, 503, "stopping"),
+                _ if partial || served == 0 && !reading_stops => {}
                 _ => self.half_close_client(id, "stopping"),
             }
         }
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -32,9 +32,9 @@
     /// moment may be evicted first.
     pub(super) fn silent_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
-        let Some(accept_behind_since) = self.accept_behind_since else { return now };
+        let Some(behind_since) = self.accept_behind_since else { return now };
         let unread_for = self.net.last_input_age(id).unwrap_or(0);
-        now.saturating_sub(unread_for).max(accept_behind_since)
+        now.saturating_sub(unread_for).max(behind_since)
     }
 
     /// Schedules a retry of accepting for when the next silent connection can be evicted, or after
@@ -42,10 +42,10 @@
     pub(super) fn schedule_accept(&mut self) {
         let now = self.net.now;
         self.accept_behind_since.get_or_insert(now);
-        let again = now + ACCEPT_RETRY_DELAY;
+        let latest = now + ACCEPT_RETRY_DELAY;
         let silent = eviction::next_silent_eviction(self.clients.values().filter_map(Client::idle_state));
-        let at = silent.map_or(again, |at| at.clamp(now + MIN_ACCEPT_DELAY, again));
-        if self.accept_retry_at.is_none_or(|awaited| at < awaited) {
+        let at = silent.map_or(latest, |at| at.clamp(now + MIN_ACCEPT_DELAY, latest));
+        if self.accept_retry_at.is_none_or(|scheduled| at < scheduled) {
             self.accept_retry_at = Some(at);
             self.timers.set(at, TimerEvent::RetryAccept);
         }
@@ -62,9 +62,9 @@
         if !self.clients.get(&id).is_some_and(|client| client.over_limit) {
             return;
         }
-        let is_left = self.clients.len() <= self.max_clients;
-        let overheld = eviction::exceeds_served_share(self.served_clients, self.max_clients);
-        if is_left || overheld && self.evict_client(EvictFor::Required) {
+        let has_free_place = self.clients.len() <= self.max_clients;
+        let served_exceed_share = eviction::exceeds_served_share(self.served_clients, self.max_clients);
+        if has_free_place || served_exceed_share && self.evict_client(EvictFor::Required) {
             self.clients.entry(id).and_modify(|client| client.over_limit = false);
         }
     }
@@ -77,33 +77,33 @@
     /// Evicts the next client that can be evicted. Input received by now is served first: any byte
     /// from an idle client, more of the message from one within a message. After a failure this is
     /// not retried for a moment, as it scans all clients.
-    fn evict_client(&mut self, to: EvictFor) -> bool {
+    fn evict_client(&mut self, purpose: EvictFor) -> bool {
         let now = self.net.now;
-        let none_until = &mut self.no_eviction_until[to as usize];
-        if now < *none_until {
+        let retry_at = &mut self.no_eviction_until[purpose as usize];
+        if now < *retry_at {
             return false;
         }
-        *none_until = now + MIN_ACCEPT_DELAY;
+        *retry_at = now + MIN_ACCEPT_DELAY;
         let idle = || self.clients.iter().filter_map(|(id, client)| Some((*id, client.idle_state()?)));
-        let in_turn = eviction::eviction_order(idle(), now, to);
+        let candidates = eviction::eviction_order(idle(), now, purpose);
         self.has_silent_client = idle().any(|(_, idle)| matches!(idle, IdleState::Silent(_)));
-        let mut tried = in_turn.into_iter().take(MAX_EVICTION_TRIES);
-        let gave_way =
+        let mut tried = candidates.into_iter().take(MAX_EVICTION_TRIES);
+        let evicted =
             tried.any(|id| self.has_no_pending_input(id) && self.close_client(id, CloseCause::Evicted));
-        if gave_way {
-            self.no_eviction_until[to as usize] = 0;
+        if evicted {
+            self.no_eviction_until[purpose as usize] = 0;
         }
-        gave_way
+        evicted
     }
 
     /// Whether a connection has no unread input that is still to be served. Input after this side
     /// shut down sending is not.
     fn has_no_pending_input(&mut self, id: usize) -> bool {
-        let ending = self.clients.get(&id).is_some_and(|client| client.phase.is_closing());
-        if ending {
+        let closing = self.clients.get(&id).is_some_and(|client| client.phase.is_closing());
+        if closing {
             self.net.read(id, false);
         }
-        ending || self.is_drained(id)
+        closing || self.is_drained(id)
     }
 
     /// Whether a connection closes after its answer so that waiting clients get their share of
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -5,10 +5,10 @@
 impl PolicyHost {
     pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
-        let fed = self.counter_connections[slot].feed(self.net.now, self.net.input(id), &mut ended);
-        self.net.consume(id, fed.unwrap_or(0));
+        let consumed = self.counter_connections[slot].feed(self.net.now, self.net.input(id), &mut ended);
+        self.net.consume(id, consumed.unwrap_or(0));
         self.ended_counter_calls.extend(ended);
-        if let Some(why) = fed.err().or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+        if let Some(why) = consumed.err().or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.counter_connection_lost(slot, why);
         }
     }
@@ -16,16 +16,16 @@
     /// The connection for a call: the one with another call for the same name in flight, otherwise
     /// the one with the fewest calls.
     pub(super) fn counter_connection_for(&mut self, name: u64) -> Option<usize> {
-        let carries = self.counter_connections.iter().position(|slot| slot.has_call_for(name));
+        let in_use = self.counter_connections.iter().position(|connection| connection.has_call_for(name));
         let now = self.net.now;
         let usable = |slot: &usize| self.counter_ids[*slot].is_some() || now >= self.counter_retry_at[*slot];
-        let least = |slot: &usize| {
+        let load = |slot: &usize| {
             self.counter_connections[*slot].in_flight.len() + self.counter_connections[*slot].waiting.len()
         };
-        let slot = carries.or_else(|| {
+        let slot = in_use.or_else(|| {
             (self.active_counter_set..self.active_counter_set + counter::CONNECTIONS)
                 .filter(usable)
-                .min_by_key(least)
+                .min_by_key(load)
         })?;
         if self.counter_ids[slot].is_none() {
             let address = self.config.counter?;
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -21,8 +21,8 @@
             Some((old, watch)) if *old == id => watch,
             _ => watch,
         };
-        let fed = watch.feed(net.now, net.input(id), &mut told);
-        net.consume(id, fed.unwrap_or(0));
+        let consumed = watch.feed(net.now, net.input(id), &mut told);
+        net.consume(id, consumed.unwrap_or(0));
         if self.host.watch_id == Some(id)
             && self.host.watch.head_read
             && !std::mem::replace(&mut self.host.watch_answered, true)
@@ -33,7 +33,7 @@
             self.host.close_previous_watch("moved");
         }
         told.into_iter().for_each(|told| self.receive_list(told));
-        if let Some(why) = fed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
+        if let Some(why) = consumed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.host.watch_lost(id, why);
         }
     }
@@ -52,8 +52,8 @@
     /// received lists that are not filtered yet, since filtering them takes it into account.
     pub(super) fn queue_filtered_list(&mut self, told: ListUpdate) {
         let pending = &mut self.host.pending_lists;
-        let told_at = pending.iter().position(|waits| matches!(waits, PendingList::Received(_)));
-        pending.insert(told_at.unwrap_or(pending.len()), PendingList::Filtered(told));
+        let first_received = pending.iter().position(|list| matches!(list, PendingList::Received(_)));
+        pending.insert(first_received.unwrap_or(pending.len()), PendingList::Filtered(told));
         self.apply_pending_lists();
     }
 
@@ -108,9 +108,9 @@
                 None => return false,
                 Some(PendingList::Filtered(told)) => break told,
                 Some(PendingList::Received(mut told)) => {
-                    let Some(more) = self.filter_list(&mut told) else { continue };
-                    if !more.entries.is_empty() {
-                        self.host.pending_lists.push_front(PendingList::Filtered(more));
+                    let Some(follow_up) = self.filter_list(&mut told) else { continue };
+                    if !follow_up.entries.is_empty() {
+                        self.host.pending_lists.push_front(PendingList::Filtered(follow_up));
                     }
                     break told;
                 }
@@ -158,7 +158,7 @@
         let Some(due) = self.brain.subset_work_due() else { return };
         // Timers are checked once per turn, so work that is due now is done in the next turn.
         let at = due.max(self.host.net.now + 1);
-        if self.host.subset_timer_at.is_none_or(|awaited| at < awaited) {
+        if self.host.subset_timer_at.is_none_or(|scheduled| at < scheduled) {
             self.host.subset_timer_at = Some(at);
             self.host.timers.set(at, TimerEvent::SubsetWork);
         }
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -22,38 +22,38 @@
     /// Counts the verdict of the guard on an attempt that is about to be written.
     pub(super) fn count_send_check(&mut self, verdict: Result<(), Denial>) {
         match verdict {
-            Err(obstacle) => self.invariant_counts.record_withheld(obstacle.invariant()),
+            Err(denial) => self.invariant_counts.record_withheld(denial.invariant()),
             Ok(()) => {
-                let looked_at = [
+                let checked = [
                     Invariant::ClientPresent,
                     Invariant::TimeLeft,
                     Invariant::RepeatAllowed,
                     Invariant::ServerListed,
                 ];
-                looked_at.into_iter().for_each(|invariant| self.invariant_counts.record_held(invariant));
+                checked.into_iter().for_each(|invariant| self.invariant_counts.record_held(invariant));
             }
         }
     }
 
     /// Asks the guard whether an RPC that was just read may be admitted.
     pub(super) fn may_admit(&mut self, txn: &[u8], deadline: Nanos) -> bool {
-        let lasted = self.elapsed_in_turn();
-        let begin = guard::AdmissionCheck {
-            now: self.net.now + lasted,
+        let elapsed = self.elapsed_in_turn();
+        let check = guard::AdmissionCheck {
+            now: self.net.now + elapsed,
             deadline,
             last_turn: self.last_turn,
-            this_turn: lasted + self.time_advanced,
+            this_turn: elapsed + self.time_advanced,
             max_turn: self.max_turn,
             shutdown: self.shutdown,
         };
-        match guard::may_admit(&begin) {
+        match guard::may_admit(&check) {
             Ok(()) => {
                 self.invariant_counts.record_held(Invariant::AdmittedInTime);
                 true
             }
-            Err(obstacle) => {
-                self.invariant_counts.record_withheld(obstacle.invariant());
-                self.log_direct_answer(txn, 503, obstacle.reason());
+            Err(denial) => {
+                self.invariant_counts.record_withheld(denial.invariant());
+                self.log_direct_answer(txn, 503, denial.reason());
                 false
             }
         }
@@ -74,34 +74,34 @@
     }
 
     /// Checks an answer once it is fully written.
-    pub(super) fn check_answer(&mut self, owed: &UnsentAnswer) {
-        let Some(deadline) = owed.deadline else { return };
+    pub(super) fn check_answer(&mut self, answer: &UnsentAnswer) {
+        let Some(deadline) = answer.deadline else { return };
         let now = self.net.now + self.elapsed_in_turn();
         let in_time = now <= deadline + ANSWER_SLACK;
-        let in_life = self.shutdown.is_none_or(|shutdown| now <= shutdown.exit_at);
-        self.check(Invariant::AnswerInTime, in_time && in_life, &owed.txn);
-        self.check(Invariant::OneAnswer, true, &owed.txn);
+        let before_exit = self.shutdown.is_none_or(|shutdown| now <= shutdown.exit_at);
+        self.check(Invariant::AnswerInTime, in_time && before_exit, &answer.txn);
+        self.check(Invariant::OneAnswer, true, &answer.txn);
     }
 
     /// Checks a client's connection when it is closed. A connection that the client closed, or that
     /// it does not read from, owes no answer.
-    pub(super) fn check_client_close(&mut self, id: usize, end: CloseCause) {
+    pub(super) fn check_client_close(&mut self, id: usize, cause: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
-        if let Some(owed) = client.phase.unsent_answer() {
-            self.log_unwritten(&owed.txn, end.reason(), self.net.unsent_bytes(id));
+        if let Some(answer) = client.phase.unsent_answer() {
+            self.log_unwritten(&answer.txn, cause.reason(), self.net.unsent_bytes(id));
         }
-        let owes = client.phase.pending_rpc().is_some() || client.phase.unsent_answer().is_some();
-        let excused = matches!(end, CloseCause::ClientClosed(_) | CloseCause::WriteTimeout);
+        let owes_answer = client.phase.pending_rpc().is_some() || client.phase.unsent_answer().is_some();
+        let excused = matches!(cause, CloseCause::ClientClosed(_) | CloseCause::WriteTimeout);
         let txn = self.txn_on(client);
-        self.check(Invariant::OneAnswer, excused || !owes, &txn);
+        self.check(Invariant::OneAnswer, excused || !owes_answer, &txn);
     }
 
     /// Records that a close was withheld because it would have lost an answer.
-    pub(super) fn withhold_close(&mut self, id: usize, end: CloseCause) {
+    pub(super) fn withhold_close(&mut self, id: usize, cause: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         let txn = self.txn_on(client);
         self.invariant_counts.record_withheld(Invariant::OneAnswer);
-        warn!(self.log, "end withheld"; "why" => end.reason(), "txn" => %String::from_utf8_lossy(&txn));
+        warn!(self.log, "end withheld"; "why" => cause.reason(), "txn" => %String::from_utf8_lossy(&txn));
     }
 
     /// Checks what is left when the process exits: RPCs without an answer, and answers that were
@@ -110,8 +110,8 @@
         let clients: Vec<usize> = self.clients.keys().copied().collect();
         for id in clients {
             let Some(client) = self.clients.get(&id) else { continue };
-            if let Some(owed) = client.phase.unsent_answer() {
-                self.log_unwritten(&owed.txn, "process-ends", self.net.unsent_bytes(id));
+            if let Some(answer) = client.phase.unsent_answer() {
+                self.log_unwritten(&answer.txn, "process-ends", self.net.unsent_bytes(id));
             }
             let answered = client.phase.pending_rpc().is_none();
             let txn = self.txn_on(client);
@@ -124,7 +124,7 @@
     fn txn_on(&self, client: &Client) -> Box<[u8]> {
         let waiting =
             client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.txn.clone());
-        let answering = || client.phase.unsent_answer().map(|owed| owed.txn.clone());
+        let answering = || client.phase.unsent_answer().map(|answer| answer.txn.clone());
         waiting.or_else(answering).unwrap_or_default()
     }
 
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -9,8 +9,8 @@
     pub(super) fn connection_to(&mut self, server: u32) -> Option<usize> {
         let now = self.net.now;
         loop {
-            let at = self.servers.by_number.get_mut(&server)?;
-            let Some((id, since)) = at.idle_connections.pop() else { break };
+            let entry = self.servers.by_number.get_mut(&server)?;
+            let Some((id, since)) = entry.idle_connections.pop() else { break };
             let rested = now - since;
             if rested >= self.idle_timeout || !self.servers.reuse_history.allows(now, rested) {
                 self.close_server_connection(id, "idle");
@@ -20,8 +20,8 @@
             // taken for the next answer; either may have arrived since the last poll. The cost: one
             // read per attempt.
             self.net.read(id, false);
-            let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-            match unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+            let unsolicited = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
+            match unsolicited.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
                 Some(why) => self.close_server_connection(id, why),
                 None => {
                     self.server_connections
@@ -38,8 +38,8 @@
         let id = self.connect(address, Peer::Server, MAX_MESSAGE);
         let id = id.map_err(|e| warn!(self.log, "can't connect"; "to" => %address, "error" => %e)).ok()?;
         self.server_connections.insert(id, ServerConnection::new(server, came_up));
-        if let Some(at) = self.servers.by_number.get_mut(&server) {
-            at.open_connections += 1;
+        if let Some(entry) = self.servers.by_number.get_mut(&server) {
+            entry.open_connections += 1;
         }
         self.timers.set(now + self.connect_timeout, TimerEvent::ConnectTimeout(id));
         Some(id)
@@ -59,12 +59,12 @@
         // server has closed; either may have arrived since the connection was chosen. The cost: one
         // read per attempt.
         self.net.read(id, false);
-        let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-        if let Some(why) = unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+        let unsolicited = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
+        if let Some(why) = unsolicited.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
             return self.abandon_connection(id, self.unwritten_end(id), why);
         }
-        if let Err(obstacle) = self.may_send(id, &attempt) {
-            info!(self.log, "not written"; "why" => obstacle.reason(), "rpc" => attempt.rpc, "attempt" => attempt.number,
+        if let Err(denial) = self.may_send(id, &attempt) {
+            info!(self.log, "not written"; "why" => denial.reason(), "rpc" => attempt.rpc, "attempt" => attempt.number,
                 "ms" => (self.net.now - attempt.requested_at) / MS);
             self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
             return self.return_to_pool(id);
@@ -91,8 +91,9 @@
     /// Asks the guard whether an attempt may be written on this connection.
     fn may_send(&mut self, id: usize, attempt: &Attempt) -> Result<(), Denial> {
         let Some(connection) = self.server_connections.get(&id) else { return Err(Denial::ServerMoved) };
-        let there = |rpc: &&Rpc| rpc.state != RpcState::Answered && self.clients.contains_key(&rpc.client);
-        let rpc = self.rpcs.get(&attempt.rpc).filter(there);
+        let is_active =
+            |rpc: &&Rpc| rpc.state != RpcState::Answered && self.clients.contains_key(&rpc.client);
+        let rpc = self.rpcs.get(&attempt.rpc).filter(is_active);
         let send = guard::SendCheck {
             now: self.net.now,
             client_present: rpc.is_some(),
@@ -127,10 +128,10 @@
         let PolicyHost { net, server_connections, .. } = self;
         let Some(connection) = server_connections.get_mut(&id) else { return };
         let ended = net.connection_end(id);
-        let Stage::InFlight(call) = connection.stage else {
+        let Stage::InFlight(attempt) = connection.stage else {
             // Nothing was written, so any input or close makes the connection unusable.
-            let unasked = (!net.input(id).is_empty()).then_some("answer-without-call-out");
-            if let Some(why) = ended.map(ConnectionEnd::reason).or(unasked) {
+            let unsolicited = (!net.input(id).is_empty()).then_some("answer-without-call-out");
+            if let Some(why) = ended.map(ConnectionEnd::reason).or(unsolicited) {
                 self.abandon_connection(id, self.unwritten_end(id), why);
             }
             return;
@@ -148,17 +149,17 @@
                     servers::parse_load_report(load, &self.load_columns)
                 };
                 if answer.end == CallOutcome::Ok {
-                    self.forward_answer(id, call.rpc, &answer);
+                    self.forward_answer(id, attempt.rpc, &answer);
                 }
-                let unasked = self.net.input(id).len() > answer.message_length;
+                let unsolicited = self.net.input(id).len() > answer.message_length;
                 self.net.consume(id, answer.message_length);
-                self.end_attempt(server, call, answer.end, answer.settled, load);
-                if answer.reusable && !unasked && self.net.is_flushed(id) {
+                self.end_attempt(server, attempt, answer.end, answer.settled, load);
+                if answer.reusable && !unsolicited && self.net.is_flushed(id) {
                     self.return_to_pool(id);
                 } else {
                     self.close_server_connection(
                         id,
-                        if unasked { "answer-without-call-out" } else { "server-closes" },
+                        if unsolicited { "answer-without-call-out" } else { "server-closes" },
                     );
                 }
             }
@@ -198,11 +199,11 @@
 
     /// Whether the attempt on this connection may have run: its last byte was written.
     fn may_have_run(&self, id: usize) -> bool {
-        let out = self
+        let is_written = self
             .server_connections
             .get(&id)
             .is_some_and(|connection| matches!(connection.stage, Stage::InFlight(_)));
-        out && self.net.is_flushed(id)
+        is_written && self.net.is_flushed(id)
     }
 
     /// Handles a failed connection. How its attempt ended depends on whether the last byte had been
@@ -245,26 +246,26 @@
     pub(super) fn end_attempt(
         &mut self,
         server: u32,
-        call: Attempt,
+        attempt: Attempt,
         how: CallOutcome,
         settled: f64,
         load: Vec<f64>,
     ) {
-        self.log_attempt_end(&call, server, how);
-        let Some(rpc) = self.rpcs.get_mut(&call.rpc) else { return };
+        self.log_attempt_end(&attempt, server, how);
+        let Some(rpc) = self.rpcs.get_mut(&attempt.rpc) else { return };
         rpc.attempt_in_flight = false;
         if !matches!(how, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
             rpc.first_run =
-                Some(rpc.first_run.map_or(call.requested_at, |first| first.min(call.requested_at)));
+                Some(rpc.first_run.map_or(attempt.requested_at, |first| first.min(attempt.requested_at)));
         }
         let closed = rpc.state == RpcState::Answered;
         if closed {
-            self.remove_rpc(call.rpc);
+            self.remove_rpc(attempt.rpc);
         } else {
-            self.set_rpc_state(call.rpc, RpcState::Pending);
+            self.set_rpc_state(attempt.rpc, RpcState::Pending);
         }
-        let took = self.net.now - call.requested_at;
-        let (rpc, nth) = (call.rpc, call.number);
+        let took = self.net.now - attempt.requested_at;
+        let (rpc, nth) = (attempt.rpc, attempt.number);
         self.ended_attempts.push_back(AttemptResult {
             rpc,
             server,
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn short(content: ContentId) -> String {
+fn short_digest(content: ContentId) -> String {
     format!("{:016x}", content.digest >> 64)
 }
 
@@ -60,7 +60,7 @@
         let Some(told) = host.config.agreement.take() else { return };
         // Without datagrams nothing is ever confirmed, so this gateway stays on its fallback
         // settings.
-        let heard_at = host.net.open_datagrams(told.listen).unwrap_or_else(|e| {
+        let bound_to = host.net.open_datagrams(told.listen).unwrap_or_else(|e| {
             warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %told.listen, "error" => %e);
             told.listen
         });
@@ -79,7 +79,7 @@
             services: host.config.services.clone(),
         };
         let acting = Decision { content, mode: Mode::Fallback };
-        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
+        info!(host.log, "agreeing"; "peers" => %bound_to, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
         self.agreement = Some(AgreementLink {
             state,
             held,
@@ -118,7 +118,7 @@
             Mode::Fallback => version.fallback_settings(),
         };
         let now = self.host.net.now;
-        info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short(acting.content),
+        info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short_digest(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
         self.host.config.apply_settings(settings.clone());
         self.brain.update_settings(now, settings);
@@ -139,9 +139,9 @@
                 self.host.net.send_datagram(agreement.all, &ListNotice { gateway, index, removed }.encode());
             }
         }
-        let (was, acting) = (agreement.acting, agreement.state.evaluate(now));
-        if acting != was {
-            let why = match (acting.content == was.content, acting.mode) {
+        let (previous, acting) = (agreement.acting, agreement.state.evaluate(now));
+        if acting != previous {
+            let why = match (acting.content == previous.content, acting.mode) {
                 (_, Mode::Fallback) => "not-confirmed",
                 (true, Mode::Confirmed) => "confirmed",
                 (false, Mode::Confirmed) => "new-version",
@@ -170,7 +170,7 @@
             Receipt::TwoContents => {
                 agreement.scheduled = None;
                 let content = message.lease.content;
-                warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short(content));
+                warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short_digest(content));
             }
             Receipt::SentAhead => {
                 agreement.ahead_count += 1;
@@ -206,8 +206,8 @@
     /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
     /// it. `None` if the list is ignored.
     pub(super) fn filter_list(&mut self, told: &mut ListUpdate) -> Option<ListUpdate> {
-        let mut more = ListUpdate { index: told.index, ..ListUpdate::default() };
-        let Some(agreement) = &mut self.agreement else { return Some(more) };
+        let mut follow_up = ListUpdate { index: told.index, ..ListUpdate::default() };
+        let Some(agreement) = &mut self.agreement else { return Some(follow_up) };
         let seen = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
@@ -236,13 +236,13 @@
         }
         // An older list does not remove the servers that it lacks; only its changes are applied.
         told.is_snapshot &= !verdict.is_older;
-        more.entries =
+        follow_up.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
         if told.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
             let named: HashSet<u64> = list.iter().map(|seen| seen.key).collect();
             agreement.entries.retain(|key, _| named.contains(key));
         }
-        Some(more)
+        Some(follow_up)
     }
 
     /// Offers the version of a reloaded file to the state machine.
@@ -273,18 +273,18 @@
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
                 let start = agreement.state.scheduled().map_or(0, |scheduled| scheduled.start);
-                info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short(content),
+                info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short_digest(content),
                     "starts_in_ms" => start.saturating_sub(now) / MS);
                 agreement.scheduled = Some(HeldVersion { version, methods, plans, services });
             }
             Ok(Offer::Known) => {
-                info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short(content))
+                info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short_digest(content))
             }
             Err(refused) => {
                 if agreement.state.scheduled().is_none() {
                     agreement.scheduled = None;
                 }
-                warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short(content),
+                warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short_digest(content),
                     "held" => agreement.held.version.number);
             }
         }
@@ -308,7 +308,7 @@
         format!(
             "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{scheduled}\n",
             content.version,
-            short(content)
+            short_digest(content)
         )
     }
 }
