--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,6 @@
-//! Connects the decision module to clients, servers, discovery and the counter: passes their events
-//! to the module and carries out what it asks for. It makes no decisions of its own.
+//! Connects the admission controller to clients, servers, discovery and the counter: passes their
+//! events to the admission controller and carries out what it asks for. It makes no decisions of
+//! its own.
 
 use crate::clients::{self, Client, Parsed};
 use crate::config::Config;
@@ -40,7 +41,8 @@
 /// An RPC's deadline is set this much earlier than its client states, for the time in transit and a
 /// turn of the event loop.
 const DEADLINE_MARGIN: Nanos = 5 * MS;
-/// An RPC without an answer this long after its deadline is answered without the module.
+/// An RPC without an answer this long after its deadline is answered without the admission
+/// controller.
 const OVERDUE_GRACE: Nanos = 2 * MS;
 /// Interval of the sweep for idle, silent and slow connections.
 const SWEEP_INTERVAL: Nanos = 250 * MS;
@@ -93,12 +95,12 @@
     EvaluateAgreement,
     /// The next batch of a list update is to be applied.
     ContinueListUpdate,
-    /// There is work on the subsets of the module.
+    /// There is work on the subsets of the admission controller.
     SubsetWork,
 }
 
-/// The state of an RPC: with the module, at a server, or answered. An answered RPC may still have
-/// an attempt in flight.
+/// The state of an RPC: with the admission controller, at a server, or answered. An answered RPC
+/// may still have an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RpcState {
     Pending,
@@ -114,6 +116,7 @@
     Filtered(ListUpdate),
 }
 
+/// An RPC that has no answer yet, or still has an attempt in flight.
 struct Rpc {
     state: RpcState,
     /// The client whose input buffer holds the message, for as long as it is connected.
@@ -134,19 +137,20 @@
     txn: Box<[u8]>,
 }
 
-/// Reads the configuration again.
+/// Reads the configuration again from its source.
 pub type ConfigReader = Box<dyn Fn() -> Result<Config, String>>;
 
+/// The gateway: the admission controller and the host that connects it to its peers.
 pub struct Gateway {
-    brain: AdmissionController,
+    controller: AdmissionController,
     /// Reads the configuration again on SIGHUP.
     reread_config: ConfigReader,
     host: PolicyHost,
     /// Present if the settings have a version.
-    agreement: Option<settings_agreement::AgreementLink>,
+    agreement: Option<settings_agreement::AgreementHandler>,
 }
 
-/// The [`Host`] of the module: everything but the module itself.
+/// The [`Host`] of the admission controller: everything else that the gateway holds.
 struct PolicyHost {
     config: Config,
     net: Net,
@@ -168,15 +172,15 @@
     watch_id: Option<usize>,
     /// The current watch was answered.
     watch_answered: bool,
-    /// The watch at the address in the previous configuration, used until the one at the new
-    /// address is answered.
+    /// The watch at the previous address of discovery, used until the one at the new address is
+    /// answered.
     previous_watch: Option<(usize, Watch)>,
     /// Received objects of the list that are not applied yet, and the update that is being applied.
     pending_lists: VecDeque<PendingList>,
     list_diff: Option<ListDiff>,
     /// A timer is set for the next batch of the update.
     update_scheduled: bool,
-    /// When the first timer for work on subsets is due.
+    /// When the earliest timer for work on subsets is due.
     subset_timer_at: Option<Nanos>,
     /// Two sets of connections to the counter, and by the same index their ids while open and when
     /// they may be opened again. The set that starts at `active_counter_set` is in use; connections
@@ -189,9 +193,9 @@
     last_counter_call: u64,
     /// How often each invariant was checked, upheld by the guard and violated.
     invariant_counts: Counts,
-    /// Ended attempts that are not yet reported to the module.
+    /// Ended attempts that are not yet reported to the admission controller.
     ended_attempts: VecDeque<AttemptResult>,
-    /// Ended calls to the counter that are not yet reported to the module.
+    /// Ended calls to the counter that are not yet reported to the admission controller.
     ended_counter_calls: VecDeque<(Call, CallOutcome, f64)>,
     /// Clients whose input buffer may hold another message.
     clients_to_read: VecDeque<usize>,
@@ -225,7 +229,7 @@
     connect_timeout: Nanos,
     idle_timeout: Nanos,
     counter_timeout: Nanos,
-    directory: NameIds,
+    name_ids: NameIds,
     load_columns: Vec<String>,
     /// Whether discovery pushes its lists, so that a request costs it nothing.
     lists_are_pushed: bool,
@@ -240,8 +244,8 @@
     /// up.
     last_turn: Nanos,
     max_turn: Nanos,
-    /// Random numbers for delays that must not be in step with those of other gateways; the module
-    /// has its own source.
+    /// Random numbers for delays that must not be in step with those of other gateways; the
+    /// admission controller has its own source.
     rng: fastrand::Rng,
 }
 
@@ -263,7 +267,7 @@
             max_unanswered_rpcs: config
                 .positive_setting("ceilings.maxOpen")
                 .map_or(usize::MAX, |most| most as usize),
-            directory: NameIds::new(config.setting_list("localities"), config.setting_list("shapes")),
+            name_ids: NameIds::new(config.setting_list("localities"), config.setting_list("shapes")),
             load_columns: config.setting_list("reporting.columns"),
             max_clients,
             spare_places,
@@ -322,8 +326,8 @@
             accept_behind_since: None,
             config,
         };
-        let brain = AdmissionController::new(host.config.seed, host.config.settings.clone());
-        Gateway { brain, reread_config, host, agreement: None }
+        let controller = AdmissionController::new(host.config.seed, host.config.settings.clone());
+        Gateway { controller, reread_config, host, agreement: None }
     }
 }
 
@@ -344,8 +348,8 @@
             .initial_list
             .take()
             .and_then(|stored| list::parse(&stored, &self.host.config.services));
-        if let Some(told) = stored.filter(|told| !told.entries.is_empty()) {
-            self.receive_list(told);
+        if let Some(list) = stored.filter(|list| !list.entries.is_empty()) {
+            self.receive_list(list);
         }
         if self.host.has_list {
             self.host.watch.last_received = now;
@@ -363,8 +367,8 @@
     fn next_timer(&mut self) -> Option<Nanos> {
         let PolicyHost { timers, server_connections, rpcs, counter_connections, .. } = &mut self.host;
         timers.discard_stale(|event| match event {
-            TimerEvent::AttemptTimeout(id, rpc, nth) => {
-                !server_connections.get(id).is_some_and(|connection| connection.carries(*rpc, *nth))
+            TimerEvent::AttemptTimeout(id, rpc, attempt) => {
+                !server_connections.get(id).is_some_and(|connection| connection.carries(*rpc, *attempt))
             }
             TimerEvent::ConnectTimeout(id) => {
                 server_connections.get(id).is_none_or(|connection| connection.is_connected)
@@ -530,13 +534,13 @@
         let now = self.host.net.now;
         while let Some(event) = self.host.timers.pop_due(now) {
             match event {
-                TimerEvent::Wake(token) => self.brain.on_timer(&mut self.host, now, token),
-                TimerEvent::AttemptTimeout(id, rpc, nth) => self.host.attempt_timed_out(id, rpc, nth),
+                TimerEvent::Wake(token) => self.controller.on_timer(&mut self.host, now, token),
+                TimerEvent::AttemptTimeout(id, rpc, attempt) => self.host.attempt_timed_out(id, rpc, attempt),
                 TimerEvent::ConnectTimeout(id) => self.host.connect_timed_out(id),
                 TimerEvent::WriteAttempt(id) => self.host.connections_to_write.push_back(id),
                 TimerEvent::CounterTimeout(slot, serial) => {
-                    if let Some((call, how)) = self.host.counter_connections[slot].time_out_call(serial) {
-                        self.host.ended_counter_calls.push_back((call, how, 0.0));
+                    if let Some((call, outcome)) = self.host.counter_connections[slot].time_out_call(serial) {
+                        self.host.ended_counter_calls.push_back((call, outcome, 0.0));
                     }
                 }
                 TimerEvent::RpcOverdue(id) => self.answer_overdue(id),
@@ -571,15 +575,15 @@
         }
     }
 
-    /// Reports all ended attempts and counter calls to the module and reads the remaining clients,
-    /// until nothing is left.
+    /// Reports all ended attempts and counter calls to the admission controller and reads the
+    /// remaining clients, until nothing is left.
     fn process_pending(&mut self) {
         let now = self.host.net.now;
         loop {
             if let Some(ended) = self.host.ended_attempts.pop_front() {
-                self.brain.on_attempt_end(&mut self.host, now, &ended);
-            } else if let Some((call, how, total)) = self.host.ended_counter_calls.pop_front() {
-                self.brain.on_counter_reply(&mut self.host, now, call.name, how, total);
+                self.controller.on_attempt_end(&mut self.host, now, &ended);
+            } else if let Some((call, outcome, total)) = self.host.ended_counter_calls.pop_front() {
+                self.controller.on_counter_reply(&mut self.host, now, call.name, outcome, total);
             } else if let Some(id) = self.host.clients_to_read.pop_front() {
                 self.read_client(id);
             } else {
@@ -599,16 +603,15 @@
 }
 
 impl Host for PolicyHost {
-    fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, before: Nanos) {
+    fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, write_by: Nanos) {
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let until = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
-        let attempt =
-            Attempt { rpc: id, number: rpc.attempts, requested_at: now, deadline: until, write_by: before };
+        let deadline = if limit == 0 { rpc.deadline } else { (now + limit).min(rpc.deadline) };
+        let attempt = Attempt { rpc: id, number: rpc.attempts, requested_at: now, deadline, write_by };
         rpc.attempts += 1;
         self.log_attempt(&attempt, server);
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        if rpc.state == RpcState::Answered || until <= now {
+        if rpc.state == RpcState::Answered || deadline <= now {
             return self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
         }
         let Some(connection_id) = self.connection_to(server) else {
@@ -625,12 +628,12 @@
         if connection.is_connected {
             self.connections_to_write.push_back(connection_id);
         }
-        self.timers.set(until, TimerEvent::AttemptTimeout(connection_id, id, attempt.number));
+        self.timers.set(deadline, TimerEvent::AttemptTimeout(connection_id, id, attempt.number));
     }
 
-    fn reject(&mut self, id: u32, come_back: Nanos) {
+    fn reject(&mut self, id: u32, retry_after: Nanos) {
         if self.rejection_is_harmless(id) {
-            self.answer(id, if come_back > 0 { 429 } else { 503 }, come_back, "refused");
+            self.answer(id, if retry_after > 0 { 429 } else { 503 }, retry_after, "refused");
         } else {
             self.abort(id);
         }
@@ -650,9 +653,9 @@
         self.timers.set(self.net.now.saturating_add(after), TimerEvent::Wake(token));
     }
 
-    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
+    fn add_to_counter(&mut self, name: u64, add: f64, ttl: Nanos) {
         self.last_counter_call += 1;
-        let call = Call { serial: self.last_counter_call, name, add, ttl: forget };
+        let call = Call { serial: self.last_counter_call, name, add, ttl };
         let Some(slot) = self.counter_connection_for(name) else {
             return self.ended_counter_calls.push_back((call, CallOutcome::NoConnection, 0.0));
         };
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -1,4 +1,5 @@
-//! Handles client connections: passes RPCs to the module and writes the one answer to each.
+//! Handles client connections: passes RPCs to the admission controller and writes the one answer to
+//! each.
 
 use super::*;
 
@@ -6,6 +7,7 @@
 pub(super) const LEFT_BEFORE_ANSWER: &str = "left-before-answer";
 
 impl Gateway {
+    /// Processes input from a client, or the end of its connection.
     pub(super) fn read_client(&mut self, id: usize) {
         let Some(client) = self.host.clients.get_mut(&id) else { return };
         let length = self.host.net.input(id).len();
@@ -71,6 +73,7 @@
         }
     }
 
+    /// Passes an RPC to the admission controller, unless a limit or the guard rejects it first.
     pub(super) fn admit(&mut self, client: usize, message: clients::RpcRequest) {
         let (now, message_length) = (self.host.net.now, message.body.end);
         let txn: Box<[u8]> = self.host.net.input(client)[message.txn.clone()].into();
@@ -79,7 +82,7 @@
             || over_limit
             || self.host.net.client_buffer_bytes > self.host.max_client_memory
         {
-            // At the limit: an RPC that is rejected here never reached the module.
+            // At the limit: an RPC that is rejected here never reached the admission controller.
             self.host.log_direct_answer(&txn, 503, "no-room");
             self.host.answer_directly(client, 503, message_length, "");
             return;
@@ -125,17 +128,17 @@
         self.host.rpcs.insert(id, rpc);
         self.host.unanswered_rpcs += 1;
         self.host.timers.set(deadline + OVERDUE_GRACE, TimerEvent::RpcOverdue(id));
-        self.brain.on_arrival(&mut self.host, now, &arrival);
+        self.controller.on_arrival(&mut self.host, now, &arrival);
     }
 
-    /// Answers an RPC that neither the module nor a timeout has ended. This is not expected to
-    /// happen.
+    /// Answers an RPC that neither the admission controller nor a timeout has ended. This is not
+    /// expected to happen.
     pub(super) fn answer_overdue(&mut self, id: u32) {
         if self.host.rpcs.get(&id).is_some_and(|rpc| rpc.state != RpcState::Answered) {
             warn!(self.host.log, "overdue"; "rpc" => id);
             let harmless = self.host.rpcs.get(&id).is_some_and(|rpc| !rpc.written);
             self.host.answer(id, if harmless { 503 } else { 504 }, 0, "overdue");
-            self.brain.on_client_left(id);
+            self.controller.on_client_left(id);
         }
     }
 
@@ -171,18 +174,18 @@
         if let Some(rpc) = rpc {
             self.host.log_abandoned(rpc);
             self.host.set_rpc_state(rpc, RpcState::Answered);
-            self.brain.on_client_left(rpc);
+            self.controller.on_client_left(rpc);
         }
     }
 }
 
 impl PolicyHost {
     /// Gives an RPC its final answer from the gateway itself.
-    pub(super) fn answer(&mut self, id: u32, status: u16, come_back: Nanos, why: &'static str) {
+    pub(super) fn answer(&mut self, id: u32, status: u16, retry_after: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
         let (client, close) = (rpc.client, self.closes_after(rpc));
         if let Some(out) = self.net.output(client) {
-            clients::write_response(out, status, come_back, close);
+            clients::write_response(out, status, retry_after, close);
         }
         self.log_answer(id, status, why);
         self.answer_queued(id, client, close);
@@ -250,7 +253,8 @@
         }
     }
 
-    /// Answers a message that did not reach the module; `lines` are additional header lines.
+    /// Answers a message that did not reach the admission controller; `lines` are additional header
+    /// lines.
     pub(super) fn answer_directly(&mut self, client: usize, status: u16, length: usize, lines: &str) {
         let over_limit = self.clients.get(&client).is_some_and(|client| client.over_limit);
         let (now, shutting_down) = (self.net.now, self.is_shutting_down());
@@ -332,7 +336,7 @@
 
     /// During a shutdown: shuts down sending to idle clients. Connections that have sent nothing,
     /// and those within a message, stay open until reading stops; then an incomplete message is
-    /// rejected, as it never reached the module.
+    /// rejected, as it never reached the admission controller.
     pub(super) fn half_close_clients(&mut self, reading_stops: bool) {
         let open = self.clients.iter().filter(|(_, client)| client.phase.is_reading());
         let ids: Vec<usize> = open.map(|(id, _)| *id).collect();
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl PolicyHost {
+    /// Processes replies from the counter, or the end of a connection to it.
     pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
         let consumed = self.counter_connections[slot].feed(self.net.now, self.net.input(id), &mut ended);
@@ -54,12 +55,13 @@
         }
     }
 
+    /// Closes a connection to the counter and ends its calls.
     pub(super) fn counter_connection_lost(&mut self, slot: usize, why: &'static str) {
         let Some(id) = self.counter_ids[slot].take() else { return };
         info!(self.log, "counter"; "why" => why, "line" => slot, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.counter_retry_at[slot] = self.net.now + counter::RECONNECT_DELAY;
         let ended = self.counter_connections[slot].disconnect();
-        self.ended_counter_calls.extend(ended.into_iter().map(|(call, how)| (call, how, 0.0)));
+        self.ended_counter_calls.extend(ended.into_iter().map(|(call, outcome)| (call, outcome, 0.0)));
         self.net.close(id);
     }
 }
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -1,5 +1,5 @@
-//! Handles discovery: keeps the watch open, and applies its lists to the module and the connection
-//! pools.
+//! Handles discovery: keeps the watch open, and applies its lists to the admission controller and
+//! the connection pools.
 
 use super::*;
 use crate::start_times;
@@ -15,13 +15,13 @@
         if self.host.is_updating_list() {
             return;
         }
-        let mut told = Vec::new();
+        let mut lists = Vec::new();
         let PolicyHost { net, watch, previous_watch, .. } = &mut self.host;
         let watch = match previous_watch {
             Some((old, watch)) if *old == id => watch,
             _ => watch,
         };
-        let consumed = watch.feed(net.now, net.input(id), &mut told);
+        let consumed = watch.feed(net.now, net.input(id), &mut lists);
         net.consume(id, consumed.unwrap_or(0));
         if self.host.watch_id == Some(id)
             && self.host.watch.head_read
@@ -32,28 +32,28 @@
         if self.host.watch_id == Some(id) && self.host.watch.head_read {
             self.host.close_previous_watch("moved");
         }
-        told.into_iter().for_each(|told| self.receive_list(told));
+        lists.into_iter().for_each(|list| self.receive_list(list));
         if let Some(why) = consumed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
             self.host.watch_lost(id, why);
         }
     }
 
     /// Receives a list from discovery, or the one stored from an earlier run.
-    pub(super) fn receive_list(&mut self, told: ListUpdate) {
-        self.host.watch.index = told.index;
-        if let Some(name) = &told.first_without_service {
-            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.without_service);
+    pub(super) fn receive_list(&mut self, list: ListUpdate) {
+        self.host.watch.index = list.index;
+        if let Some(name) = &list.first_without_service {
+            warn!(self.host.log, "list"; "why" => "no-service", "index" => list.index, "server" => &**name, "entries" => list.without_service);
         }
-        self.host.pending_lists.push_back(PendingList::Received(told));
+        self.host.pending_lists.push_back(PendingList::Received(list));
         self.apply_pending_lists();
     }
 
     /// Queues a change that did not come from this gateway's own discovery. It is placed before the
     /// received lists that are not filtered yet, since filtering them takes it into account.
-    pub(super) fn queue_filtered_list(&mut self, told: ListUpdate) {
+    pub(super) fn queue_filtered_list(&mut self, list: ListUpdate) {
         let pending = &mut self.host.pending_lists;
         let first_received = pending.iter().position(|list| matches!(list, PendingList::Received(_)));
-        pending.insert(first_received.unwrap_or(pending.len()), PendingList::Filtered(told));
+        pending.insert(first_received.unwrap_or(pending.len()), PendingList::Filtered(list));
         self.apply_pending_lists();
     }
 
@@ -84,14 +84,14 @@
             if self.host.list_diff.is_none() && !self.start_next_update() {
                 return;
             }
-            let PolicyHost { list_diff, servers, directory, .. } = &mut self.host;
-            let Some(update) = list_diff else { return };
-            let Some(batch) = update.next_batch(servers, directory, &mut work) else { break };
-            let done = update.is_done().then(|| self.host.list_diff.take()).flatten();
+            let PolicyHost { list_diff, servers, name_ids, .. } = &mut self.host;
+            let Some(diff) = list_diff else { return };
+            let Some(batch) = diff.next_batch(servers, name_ids, &mut work) else { break };
+            let done = diff.is_done().then(|| self.host.list_diff.take()).flatten();
             self.apply_batch(batch);
             if let Some(done) = done {
                 self.host.has_list = true;
-                self.host.log_update(&done);
+                self.host.log_applied_list(&done);
             }
         }
         self.host.list_diff.iter_mut().for_each(ListDiff::defer_to_next_turn);
@@ -103,24 +103,24 @@
     /// list that is older than what is known here, or that would leave no servers, is only applied
     /// in part.
     fn start_next_update(&mut self) -> bool {
-        let told = loop {
+        let list = loop {
             match self.host.pending_lists.pop_front() {
                 None => return false,
-                Some(PendingList::Filtered(told)) => break told,
-                Some(PendingList::Received(mut told)) => {
-                    let Some(follow_up) = self.filter_list(&mut told) else { continue };
+                Some(PendingList::Filtered(list)) => break list,
+                Some(PendingList::Received(mut list)) => {
+                    let Some(follow_up) = self.filter_list(&mut list) else { continue };
                     if !follow_up.entries.is_empty() {
                         self.host.pending_lists.push_front(PendingList::Filtered(follow_up));
                     }
-                    break told;
+                    break list;
                 }
             }
         };
-        self.host.list_diff = Some(ListDiff::new(told));
+        self.host.list_diff = Some(ListDiff::new(list));
         true
     }
 
-    /// Applies a batch to the module and the connection pools.
+    /// Applies a batch to the admission controller and the connection pools.
     fn apply_batch(&mut self, batch: Batch) {
         let host = &mut self.host;
         let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
@@ -132,30 +132,30 @@
                 }
                 continue;
             };
-            let came_up = host.started_at(&listed);
-            let (server, stale) = host.servers.upsert_with_start(&listed, address, came_up);
+            let started_at = host.started_at(&listed);
+            let (server, stale) = host.servers.upsert_with_start(&listed, address, started_at);
             stale.into_iter().for_each(|id| host.close_server_connection(id, "server-moved"));
-            list.push(DiscoveredServer { server, started_at: came_up, ..listed });
+            list.push(DiscoveredServer { server, started_at, ..listed });
         }
         if host.has_list {
-            self.brain.on_server_list_deferred(host.net.now, &list);
+            self.controller.on_server_list_deferred(host.net.now, &list);
         } else {
-            self.brain.on_server_list(host.net.now, false, &list);
+            self.controller.on_server_list(host.net.now, false, &list);
         }
         host.servers.remove_unused();
         self.schedule_subset_work();
     }
 
-    /// Does this turn's share of the work on the subsets of the module.
+    /// Does this turn's share of the work on the subsets of the admission controller.
     pub(super) fn do_subset_work(&mut self) {
         self.host.subset_timer_at = None;
-        self.brain.work_on_subsets(self.host.net.now, SUBSET_WORK_PER_TURN);
+        self.controller.work_on_subsets(self.host.net.now, SUBSET_WORK_PER_TURN);
         self.schedule_subset_work();
     }
 
     /// Sets a timer for the next work on subsets.
     fn schedule_subset_work(&mut self) {
-        let Some(due) = self.brain.subset_work_due() else { return };
+        let Some(due) = self.controller.subset_work_due() else { return };
         // Timers are checked once per turn, so work that is due now is done in the next turn.
         let at = due.max(self.host.net.now + 1);
         if self.host.subset_timer_at.is_none_or(|scheduled| at < scheduled) {
@@ -184,7 +184,7 @@
     }
 
     /// Logs a list whose application took more than one turn.
-    fn log_update(&self, done: &ListDiff) {
+    fn log_applied_list(&self, done: &ListDiff) {
         if done.turn_count() > 1 {
             info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
@@ -193,11 +193,16 @@
 
     /// Opens the watch after a delay that differs between gateways.
     pub(super) fn schedule_watch(&mut self) {
-        let (now, told) = (self.net.now, self.stop_within);
-        let rest =
-            self.watch.retry_delay(now, self.lists_are_pushed, self.gateway_count, told, &mut self.rng);
-        let rest = rest.max(self.watch.invalid_list_delay(&mut self.rng));
-        self.timers.set(now + rest, TimerEvent::OpenWatch);
+        let (now, stop_within) = (self.net.now, self.stop_within);
+        let delay = self.watch.retry_delay(
+            now,
+            self.lists_are_pushed,
+            self.gateway_count,
+            stop_within,
+            &mut self.rng,
+        );
+        let delay = delay.max(self.watch.invalid_list_delay(&mut self.rng));
+        self.timers.set(now + delay, TimerEvent::OpenWatch);
     }
 
     pub(super) fn connect_watch(&mut self) {
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Asks the guard whether the module may reject an RPC, which tells the client that retrying is
-    /// harmless. If the guard withholds the rejection, the RPC is answered as failed.
+    /// Asks the guard whether the admission controller may reject an RPC, which tells the client
+    /// that retrying is harmless. If the guard withholds the rejection, the RPC is answered as
+    /// failed.
     pub(super) fn rejection_is_harmless(&mut self, id: u32) -> bool {
         let Some(rpc) = self.rpcs.get(&id) else { return true };
         let harmless = guard::may_reject(self.net.now, rpc.retry_safety, rpc.first_run);
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -5,8 +5,8 @@
 use super::*;
 
 /// The reason code for the end of an attempt.
-fn end_code(how: CallOutcome) -> &'static str {
-    match how {
+fn outcome_code(outcome: CallOutcome) -> &'static str {
+    match outcome {
         CallOutcome::Ok => "ok",
         CallOutcome::Error => "error",
         CallOutcome::Full => "turned-away",
@@ -18,8 +18,8 @@
     }
 }
 
-fn lossy_text(id: &[u8]) -> std::borrow::Cow<'_, str> {
-    String::from_utf8_lossy(id)
+fn lossy_text(txn: &[u8]) -> std::borrow::Cow<'_, str> {
+    String::from_utf8_lossy(txn)
 }
 
 impl PolicyHost {
@@ -35,14 +35,14 @@
     }
 
     /// Logs the end of an attempt unless it succeeded, and every one during a shutdown.
-    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: CallOutcome) {
+    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, outcome: CallOutcome) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if how == CallOutcome::Ok && !self.is_shutting_down() {
+        if outcome == CallOutcome::Ok && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
         info!(self.log, "attempt ended"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.number, "to" => address_text(address),
-            "how" => end_code(how), "ms" => (self.net.now - attempt.requested_at) / MS);
+            "how" => outcome_code(outcome), "ms" => (self.net.now - attempt.requested_at) / MS);
     }
 
     /// Logs the final answer to an RPC; `why` distinguishes answers of the gateway itself from
@@ -56,9 +56,9 @@
             "attempts" => rpc.attempts, "ms" => self.net.now.saturating_sub(rpc.received_at) / MS);
     }
 
-    /// Logs a message that was answered without the module.
-    pub(super) fn log_direct_answer(&self, id: &[u8], status: u16, why: &'static str) {
-        info!(self.log, "answer"; "txn" => %lossy_text(id), "status" => status, "why" => why, "attempts" => 0);
+    /// Logs a message that was answered without the admission controller.
+    pub(super) fn log_direct_answer(&self, txn: &[u8], status: u16, why: &'static str) {
+        info!(self.log, "answer"; "txn" => %lossy_text(txn), "status" => status, "why" => why, "attempts" => 0);
     }
 
     /// Logs an RPC that ended without an answer because its client left.
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -11,8 +11,8 @@
         loop {
             let entry = self.servers.by_number.get_mut(&server)?;
             let Some((id, since)) = entry.idle_connections.pop() else { break };
-            let rested = now - since;
-            if rested >= self.idle_timeout || !self.servers.reuse_history.allows(now, rested) {
+            let idle_for = now - since;
+            if idle_for >= self.idle_timeout || !self.servers.reuse_history.allows(now, idle_for) {
                 self.close_server_connection(id, "idle");
                 continue;
             }
@@ -26,7 +26,7 @@
                 None => {
                     self.server_connections
                         .entry(id)
-                        .and_modify(|connection| connection.idle_for = Some(rested));
+                        .and_modify(|connection| connection.idle_for = Some(idle_for));
                     return Some(id);
                 }
             }
@@ -34,10 +34,10 @@
         if self.server_connections.len() >= self.max_server_connections && !self.evict_server_connection() {
             return None;
         }
-        let Server { address, started_at: came_up, .. } = *self.servers.by_number.get(&server)?;
+        let Server { address, started_at, .. } = *self.servers.by_number.get(&server)?;
         let id = self.connect(address, Peer::Server, MAX_MESSAGE);
         let id = id.map_err(|e| warn!(self.log, "can't connect"; "to" => %address, "error" => %e)).ok()?;
-        self.server_connections.insert(id, ServerConnection::new(server, came_up));
+        self.server_connections.insert(id, ServerConnection::new(server, started_at));
         if let Some(entry) = self.servers.by_number.get_mut(&server) {
             entry.open_connections += 1;
         }
@@ -84,8 +84,9 @@
     /// How an attempt ended of which nothing was written. If an idle connection was closed, that
     /// says nothing about the server.
     fn unwritten_end(&self, id: usize) -> CallOutcome {
-        let rested = self.server_connections.get(&id).is_some_and(|connection| connection.idle_for.is_some());
-        if rested { CallOutcome::NotSent } else { CallOutcome::NoConnection }
+        let was_reused =
+            self.server_connections.get(&id).is_some_and(|connection| connection.idle_for.is_some());
+        if was_reused { CallOutcome::NotSent } else { CallOutcome::NoConnection }
     }
 
     /// Asks the guard whether an attempt may be written on this connection.
@@ -124,6 +125,7 @@
         self.net.address(id) == Some(server.address) && connection.server_started_at == server.started_at
     }
 
+    /// Processes input from a server, or the end of its connection.
     pub(super) fn read_server(&mut self, id: usize) {
         let PolicyHost { net, server_connections, .. } = self;
         let Some(connection) = server_connections.get_mut(&id) else { return };
@@ -139,8 +141,8 @@
         match connection.parse_response(net.input(id), ended) {
             Ok(Some(answer)) => {
                 let server = connection.server;
-                if let Some(rested) = connection.idle_for {
-                    self.servers.reuse_history.record(net.now, rested, false);
+                if let Some(idle_for) = connection.idle_for {
+                    self.servers.reuse_history.record(net.now, idle_for, false);
                 }
                 let load = answer.load_report.clone().map_or(&[][..], |load| &net.input(id)[load]);
                 let load = if load.is_empty() {
@@ -184,14 +186,15 @@
         self.answer_queued(id, client, close);
     }
 
+    /// Keeps a connection for reuse, or closes it if its server was delisted, moved or restarted.
     pub(super) fn return_to_pool(&mut self, id: usize) {
         let Some(connection) = self.server_connections.get_mut(&id) else { return };
         connection.stage = Stage::Idle;
         let (number, now) = (connection.server, self.net.now);
         let (connection, server) = (&self.server_connections[&id], self.servers.by_number.get(&number));
-        let kept =
+        let reusable =
             server.is_some_and(|server| server.is_listed && self.leads_to_current(id, connection, server));
-        match self.servers.by_number.get_mut(&number).filter(|_| kept) {
+        match self.servers.by_number.get_mut(&number).filter(|_| reusable) {
             Some(server) => server.idle_connections.push((id, now)),
             None => self.close_server_connection(id, "server-gone"),
         }
@@ -209,31 +212,33 @@
     /// Handles a failed connection. How its attempt ended depends on whether the last byte had been
     /// written.
     pub(super) fn connection_failed(&mut self, id: usize, why: &'static str) {
-        let how = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
-        if let Some(rested) = self
+        let outcome = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
+        if let Some(idle_for) = self
             .server_connections
             .get(&id)
             .and_then(|connection| connection.idle_for)
             .filter(|_| why == "reset")
         {
-            self.servers.reuse_history.record(self.net.now, rested, true);
+            self.servers.reuse_history.record(self.net.now, idle_for, true);
         }
-        self.abandon_connection(id, how, why);
+        self.abandon_connection(id, outcome, why);
     }
 
-    pub(super) fn abandon_connection(&mut self, id: usize, how: CallOutcome, why: &'static str) {
+    /// Ends the attempt on a connection with this outcome, and closes the connection.
+    pub(super) fn abandon_connection(&mut self, id: usize, outcome: CallOutcome, why: &'static str) {
         let Some(connection) = self.server_connections.get(&id) else { return };
         if let Some(attempt) = connection.attempt() {
-            self.end_attempt(connection.server, attempt, how, 0.0, Vec::new());
+            self.end_attempt(connection.server, attempt, outcome, 0.0, Vec::new());
         }
         self.close_server_connection(id, why);
     }
 
-    /// The time of an attempt is over.
-    pub(super) fn attempt_timed_out(&mut self, id: usize, rpc: u32, nth: u16) {
-        if self.server_connections.get(&id).is_some_and(|connection| connection.carries(rpc, nth)) {
-            let how = if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
-            self.abandon_connection(id, how, "call-out-timed-out");
+    /// Ends an attempt whose time limit is over.
+    pub(super) fn attempt_timed_out(&mut self, id: usize, rpc: u32, attempt: u16) {
+        if self.server_connections.get(&id).is_some_and(|connection| connection.carries(rpc, attempt)) {
+            let outcome =
+                if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
+            self.abandon_connection(id, outcome, "call-out-timed-out");
         }
     }
 
@@ -243,18 +248,19 @@
         }
     }
 
+    /// Records the end of an attempt and queues it for the admission controller.
     pub(super) fn end_attempt(
         &mut self,
         server: u32,
         attempt: Attempt,
-        how: CallOutcome,
+        outcome: CallOutcome,
         settled: f64,
         load: Vec<f64>,
     ) {
-        self.log_attempt_end(&attempt, server, how);
+        self.log_attempt_end(&attempt, server, outcome);
         let Some(rpc) = self.rpcs.get_mut(&attempt.rpc) else { return };
         rpc.attempt_in_flight = false;
-        if !matches!(how, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
+        if !matches!(outcome, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
             rpc.first_run =
                 Some(rpc.first_run.map_or(attempt.requested_at, |first| first.min(attempt.requested_at)));
         }
@@ -264,14 +270,14 @@
         } else {
             self.set_rpc_state(attempt.rpc, RpcState::Pending);
         }
-        let took = self.net.now - attempt.requested_at;
-        let (rpc, nth) = (attempt.rpc, attempt.number);
+        let duration = self.net.now - attempt.requested_at;
+        let (rpc, number) = (attempt.rpc, attempt.number);
         self.ended_attempts.push_back(AttemptResult {
             rpc,
             server,
-            attempt: nth,
-            outcome: how,
-            duration: took,
+            attempt: number,
+            outcome,
+            duration,
             rpc_answered: closed,
             settled_units: settled,
             load_report: load,
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -1,6 +1,6 @@
 //! The gateway's part in the agreement on settings: feeds its file and the datagrams of other
-//! gateways to the state machine, and gives the module either the confirmed settings or their
-//! fallback.
+//! gateways to the state machine, and gives the admission controller either the confirmed settings
+//! or their fallback.
 
 use super::*;
 use crate::config::Method;
@@ -21,34 +21,38 @@
     services: Rc<Services>,
 }
 
-pub(super) struct AgreementLink {
+/// The state machine of the agreement, and what the gateway keeps beside it.
+pub(super) struct AgreementHandler {
     state: Agreement,
     /// The version held, and the one scheduled for its start time.
     held: HeldVersion,
     scheduled: Option<HeldVersion>,
+    /// The version and mode that the admission controller acts on.
     acting: Decision,
-    all: SocketAddr,
+    /// Where messages for all other gateways are sent.
+    peers: SocketAddr,
     /// For drills: an offset that is added to the local clock, in nanoseconds.
     clock_offset: i64,
     /// When the timer for the next evaluation is due.
     evaluation_timer_at: Nanos,
     /// Messages that were ignored because this clock is behind or the sender's is ahead; logged at
     /// most once a second.
-    ahead_count: u64,
-    ahead_logged: Nanos,
-    number: Option<u32>,
+    clock_skew_count: u64,
+    clock_skew_logged_at: Nanos,
+    gateway_number: Option<u32>,
     lists: ListTracker,
     /// Servers by key, as this gateway's own list last reported them.
     entries: BTreeMap<u64, Entry>,
     next_list_notice_at: Nanos,
 }
 
-impl AgreementLink {
+impl AgreementHandler {
     pub(super) fn source_moved(&mut self) {
         self.lists.change_source();
     }
 }
 
+/// The upper 64 bits of the digest, in hexadecimal.
 fn short_digest(content: ContentId) -> String {
     format!("{:016x}", content.digest >> 64)
 }
@@ -57,40 +61,40 @@
     /// Starts with the fallback of the version in the file, until it is confirmed.
     pub(super) fn start_agreement(&mut self) {
         let host = &mut self.host;
-        let Some(told) = host.config.agreement.take() else { return };
+        let Some(config) = host.config.agreement.take() else { return };
         // Without datagrams nothing is ever confirmed, so this gateway stays on its fallback
         // settings.
-        let bound_to = host.net.open_datagrams(told.listen).unwrap_or_else(|e| {
-            warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %told.listen, "error" => %e);
-            told.listen
+        let bound_to = host.net.open_datagrams(config.listen).unwrap_or_else(|e| {
+            warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %config.listen, "error" => %e);
+            config.listen
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
-        let (all, clock_offset) = (told.peers, told.clock_offset);
-        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), told.version.content_id());
+        let (peers, clock_offset) = (config.peers, config.clock_offset);
+        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), config.version.content_id());
         let mut state =
-            Agreement::new(told.terms, number, host.rng.u32(..), now, content, told.version.start);
-        if told.fresh {
+            Agreement::new(config.terms, number, host.rng.u32(..), now, content, config.version.start);
+        if config.fresh {
             state.skip_recovery();
         }
         let held = HeldVersion {
-            version: told.version,
+            version: config.version,
             methods: Vec::new(),
             plans: Vec::new(),
             services: host.config.services.clone(),
         };
         let acting = Decision { content, mode: Mode::Fallback };
         info!(host.log, "agreeing"; "peers" => %bound_to, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
-        self.agreement = Some(AgreementLink {
+        self.agreement = Some(AgreementHandler {
             state,
             held,
             scheduled: None,
             acting,
-            all,
+            peers,
             clock_offset,
             evaluation_timer_at: 0,
-            ahead_count: 0,
-            ahead_logged: 0,
-            number,
+            clock_skew_count: 0,
+            clock_skew_logged_at: 0,
+            gateway_number: number,
             lists: ListTracker::default(),
             entries: BTreeMap::new(),
             next_list_notice_at: 0,
@@ -99,7 +103,7 @@
         self.evaluate_agreement();
     }
 
-    /// Makes the module act on this version and mode from now on.
+    /// Makes the admission controller act on this version and mode from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
         if agreement.held.version.content_id() != acting.content
@@ -121,7 +125,7 @@
         info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short_digest(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
         self.host.config.apply_settings(settings.clone());
-        self.brain.update_settings(now, settings);
+        self.controller.update_settings(now, settings);
     }
 
     /// Evaluates which settings may be acted on, before anything else is decided, and sends due
@@ -130,13 +134,15 @@
         let Some(agreement) = &mut self.agreement else { return };
         let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
         let messages = agreement.state.poll_messages(now);
-        messages.iter().for_each(|message| self.host.net.send_datagram(agreement.all, &message.encode()));
+        messages.iter().for_each(|message| self.host.net.send_datagram(agreement.peers, &message.encode()));
         if agreement.state.is_voter() && now >= agreement.next_list_notice_at {
             agreement.next_list_notice_at = now + agreement.state.config().renewal_interval();
             if let (Some(RemovalAnnouncement { index, removed }), Some(gateway)) =
-                (agreement.lists.announcement(now), agreement.number)
+                (agreement.lists.announcement(now), agreement.gateway_number)
             {
-                self.host.net.send_datagram(agreement.all, &ListNotice { gateway, index, removed }.encode());
+                self.host
+                    .net
+                    .send_datagram(agreement.peers, &ListNotice { gateway, index, removed }.encode());
             }
         }
         let (previous, acting) = (agreement.acting, agreement.state.evaluate(now));
@@ -173,10 +179,10 @@
                 warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short_digest(content));
             }
             Receipt::SentAhead => {
-                agreement.ahead_count += 1;
-                if now >= agreement.ahead_logged + 1000 * MS {
-                    agreement.ahead_logged = now;
-                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => message.gateway, "ahead_ms" => (message.sent - now) / MS, "words" => agreement.ahead_count);
+                agreement.clock_skew_count += 1;
+                if now >= agreement.clock_skew_logged_at + 1000 * MS {
+                    agreement.clock_skew_logged_at = now;
+                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => message.gateway, "ahead_ms" => (message.sent - now) / MS, "words" => agreement.clock_skew_count);
                 }
             }
             Receipt::Accepted | Receipt::Ignored => {}
@@ -184,8 +190,8 @@
         self.evaluate_agreement();
     }
 
-    /// A voter announced the list that it holds: servers that it lists as removed from work get
-    /// nothing new from this gateway if the list held here is older.
+    /// A voter announced the list that it holds. If the list held here is older, servers that the
+    /// voter lists as out of service get no new work from this gateway.
     fn receive_list_notice(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
         if !agreement.state.config().voters.contains(&notice.gateway) {
@@ -205,16 +211,16 @@
 
     /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
     /// it. `None` if the list is ignored.
-    pub(super) fn filter_list(&mut self, told: &mut ListUpdate) -> Option<ListUpdate> {
-        let mut follow_up = ListUpdate { index: told.index, ..ListUpdate::default() };
+    pub(super) fn filter_list(&mut self, update: &mut ListUpdate) -> Option<ListUpdate> {
+        let mut follow_up = ListUpdate { index: update.index, ..ListUpdate::default() };
         let Some(agreement) = &mut self.agreement else { return Some(follow_up) };
-        let seen = |entry: &Entry| ListedServer {
+        let listed_server = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
             started_at: entry.started_ms.saturating_mul(MS),
         };
-        let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
-        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.is_snapshot, &list);
+        let list: Vec<ListedServer> = update.entries.iter().map(listed_server).collect();
+        let verdict = agreement.lists.apply(self.host.net.now, update.index, update.is_snapshot, &list);
         let count = verdict.held_back.len();
         if verdict.leaves_none_ready || verdict.is_older || count > 0 {
             let why = if verdict.leaves_none_ready {
@@ -224,22 +230,22 @@
             } else {
                 "held-back"
             };
-            warn!(self.host.log, "list"; "why" => why, "index" => told.index, "held" => agreement.lists.index(), "held_back" => count);
+            warn!(self.host.log, "list"; "why" => why, "index" => update.index, "held" => agreement.lists.index(), "held_back" => count);
         }
         if verdict.leaves_none_ready {
             return None;
         }
         let held_back: HashSet<u64> = verdict.held_back.into_iter().collect();
-        for (entry, seen) in told.entries.iter_mut().zip(&list) {
-            agreement.entries.insert(seen.key, entry.clone());
-            entry.ready &= !held_back.contains(&seen.key);
+        for (entry, server) in update.entries.iter_mut().zip(&list) {
+            agreement.entries.insert(server.key, entry.clone());
+            entry.ready &= !held_back.contains(&server.key);
         }
         // An older list does not remove the servers that it lacks; only its changes are applied.
-        told.is_snapshot &= !verdict.is_older;
+        update.is_snapshot &= !verdict.is_older;
         follow_up.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
-        if told.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
-            let named: HashSet<u64> = list.iter().map(|seen| seen.key).collect();
+        if update.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
+            let named: HashSet<u64> = list.iter().map(|server| server.key).collect();
             agreement.entries.retain(|key, _| named.contains(key));
         }
         Some(follow_up)
@@ -263,12 +269,12 @@
             .flatten()
             .map(|held| &held.version);
         let newer = newer.filter(|held| number > held.number);
-        let why: Vec<String> = newer
+        let reasons: Vec<String> = newer
             .flat_map(|held| objections(held, &version))
             .map(|objection| objection.to_string())
             .collect();
-        if !why.is_empty() {
-            return warn!(log, "settings"; "why" => "not-admissible", "version" => number, "error" => why.join("; "));
+        if !reasons.is_empty() {
+            return warn!(log, "settings"; "why" => "not-admissible", "version" => number, "error" => reasons.join("; "));
         }
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -49,7 +49,7 @@
             }
         }
         let now = host.net.now;
-        self.brain.shut_down_by(&mut self.host, now, answer_by);
+        self.controller.shut_down_by(&mut self.host, now, answer_by);
     }
 
     /// Exits the process. RPCs that should have been answered earlier are answered, and pending
@@ -76,8 +76,8 @@
     /// The longest deadline in the settings in use or in the last reloaded file, whichever is
     /// shorter: the platform may go by either.
     fn longest_deadline(&self) -> Nanos {
-        let held = self.config.longest_deadline();
-        self.file_deadline.map_or(held, |told| held.min(told))
+        let in_use = self.config.longest_deadline();
+        self.file_deadline.map_or(in_use, |in_file| in_use.min(in_file))
     }
 
     pub(super) fn is_shutting_down(&self) -> bool {
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -4,11 +4,16 @@
 
 /// Which time limit a client's connection has exceeded.
 #[derive(Clone, Copy)]
-enum Overstay {
-    Lingered,
-    ReadsNothing,
-    SlowMessage,
-    SaidNothing,
+enum Timeout {
+    /// The client did not close after this side shut down sending.
+    Linger,
+    /// The client does not read its answer.
+    Write,
+    /// A message was not completed in time.
+    Message,
+    /// Nothing was received since the connection was opened.
+    FirstMessage,
+    /// Nothing was received since the last answer.
     Idle,
 }
 
@@ -30,53 +35,51 @@
 
     fn sweep_clients(&mut self) {
         let clients = self.clients.iter();
-        let over = clients.filter_map(|(id, client)| Some((*id, self.overstay(*id, client)?)));
-        let over: Vec<(usize, Overstay)> = over.collect();
-        for (id, overstay) in over {
-            match overstay {
+        let expired = clients.filter_map(|(id, client)| Some((*id, self.exceeded_timeout(*id, client)?)));
+        let expired: Vec<(usize, Timeout)> = expired.collect();
+        for (id, timeout) in expired {
+            match timeout {
                 // Input received by now, possibly the end of the message, is processed first, but
                 // not again and again.
-                Overstay::SlowMessage
-                    if self.net.now <= self.begun(id) + clients::MESSAGE_TIMEOUT + 2 * SWEEP_INTERVAL
+                Timeout::Message
+                    if self.net.now
+                        <= self.awaited_since(id) + clients::MESSAGE_TIMEOUT + 2 * SWEEP_INTERVAL
                         && !self.is_drained(id) => {}
-                Overstay::SlowMessage => self.reject_message(id, 408, SLOW_MESSAGE_REASON),
-                Overstay::SaidNothing => self.half_close_client(id, "said-nothing"),
-                Overstay::Idle => self.half_close_client(id, "idle"),
-                Overstay::Lingered => drop(self.close_client(id, CloseCause::LingerTimeout)),
-                Overstay::ReadsNothing => drop(self.close_client(id, CloseCause::WriteTimeout)),
+                Timeout::Message => self.reject_message(id, 408, SLOW_MESSAGE_REASON),
+                Timeout::FirstMessage => self.half_close_client(id, "said-nothing"),
+                Timeout::Idle => self.half_close_client(id, "idle"),
+                Timeout::Linger => drop(self.close_client(id, CloseCause::LingerTimeout)),
+                Timeout::Write => drop(self.close_client(id, CloseCause::WriteTimeout)),
             }
         }
     }
 
-    fn overstay(&self, id: usize, client: &Client) -> Option<Overstay> {
+    /// The time limit that a connection has exceeded, if any.
+    fn exceeded_timeout(&self, id: usize, client: &Client) -> Option<Timeout> {
         let now = self.net.now;
         let age = now.saturating_sub(client.state_since);
-        let (most, overstay) = match client.phase {
+        let (limit, timeout) = match client.phase {
             Phase::AwaitingAnswer { .. } => return None,
-            Phase::HalfClosed { .. } => (LINGER_TIMEOUT, Overstay::Lingered),
-            Phase::WritingAnswer { close_reason: Some(_), .. } => {
-                (clients::MESSAGE_TIMEOUT, Overstay::ReadsNothing)
-            }
-            Phase::WritingAnswer { close_reason: None, .. } => {
-                (clients::IDLE_TIMEOUT, Overstay::ReadsNothing)
-            }
+            Phase::HalfClosed { .. } => (LINGER_TIMEOUT, Timeout::Linger),
+            Phase::WritingAnswer { close_reason: Some(_), .. } => (clients::MESSAGE_TIMEOUT, Timeout::Write),
+            Phase::WritingAnswer { close_reason: None, .. } => (clients::IDLE_TIMEOUT, Timeout::Write),
             // Limits connections that are opened to send nothing, or that never complete a message.
             // The cost: a connection opened long before its first message has to be opened again.
             Phase::Reading if client.served == 0 => {
                 let silent = now > self.net.opened_at(id) + clients::MESSAGE_TIMEOUT;
-                let overstay = if client.partial { Overstay::SlowMessage } else { Overstay::SaidNothing };
-                return silent.then_some(overstay);
+                let timeout = if client.partial { Timeout::Message } else { Timeout::FirstMessage };
+                return silent.then_some(timeout);
             }
-            Phase::Reading if client.partial => (clients::MESSAGE_TIMEOUT, Overstay::SlowMessage),
-            Phase::Reading => (clients::IDLE_TIMEOUT, Overstay::Idle),
+            Phase::Reading if client.partial => (clients::MESSAGE_TIMEOUT, Timeout::Message),
+            Phase::Reading => (clients::IDLE_TIMEOUT, Timeout::Idle),
         };
-        (age > most).then_some(overstay)
+        (age > limit).then_some(timeout)
     }
 
     /// Since when the message of a client is awaited.
-    fn begun(&self, id: usize) -> Nanos {
-        let begun = self.clients.get(&id).filter(|client| client.served > 0).map(|client| client.state_since);
-        begun.unwrap_or(self.net.opened_at(id))
+    fn awaited_since(&self, id: usize) -> Nanos {
+        let since = self.clients.get(&id).filter(|client| client.served > 0).map(|client| client.state_since);
+        since.unwrap_or(self.net.opened_at(id))
     }
 
     fn sweep_server_connections(&mut self) {
@@ -89,21 +92,21 @@
 
     fn sweep_counter_connections(&mut self) {
         let now = self.net.now;
-        for at in 0..self.counter_connections.len() {
-            let Some(id) = self.counter_ids[at] else { continue };
-            let used = at / counter::CONNECTIONS == self.active_counter_set / counter::CONNECTIONS;
-            let line = &mut self.counter_connections[at];
-            if !used && (line.is_drained() || now > self.counter_moved_at + counter::DRAIN_TIMEOUT) {
-                self.counter_connection_lost(at, "moved");
-            } else if line.is_unresponsive(now)
-                || !line.is_connected && now > line.last_reply + counter::REPLY_TIMEOUT
+        for slot in 0..self.counter_connections.len() {
+            let Some(id) = self.counter_ids[slot] else { continue };
+            let active = slot / counter::CONNECTIONS == self.active_counter_set / counter::CONNECTIONS;
+            let connection = &mut self.counter_connections[slot];
+            if !active && (connection.is_drained() || now > self.counter_moved_at + counter::DRAIN_TIMEOUT) {
+                self.counter_connection_lost(slot, "moved");
+            } else if connection.is_unresponsive(now)
+                || !connection.is_connected && now > connection.last_reply + counter::REPLY_TIMEOUT
             {
-                self.counter_connection_lost(at, "silent");
-            } else if line.is_connected
-                && now > line.last_write + counter::PING_INTERVAL
+                self.counter_connection_lost(slot, "silent");
+            } else if connection.is_connected
+                && now > connection.last_write + counter::PING_INTERVAL
                 && let Some(out) = self.net.output(id)
             {
-                line.send_ping(out, now);
+                connection.send_ping(out, now);
             }
         }
     }
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -1,7 +1,7 @@
 //! Final checks before each action that can't be undone: writing an attempt, retrying one,
-//! rejecting an RPC, and handing an RPC to the decision module. The guard makes no load decisions;
-//! it compares the state at this moment with what must hold ([`Invariant`]), whatever was true when
-//! the module asked.
+//! rejecting an RPC, and handing an RPC to the admission controller. The guard makes no load
+//! decisions; it compares the state at this moment with what must hold ([`Invariant`]), whatever
+//! was true when the admission controller asked.
 
 use crate::invariants::Invariant;
 use crate::shutdown::Shutdown;
@@ -81,7 +81,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
     Ready,
+    /// Draining, or not listed any more.
     Unavailable,
+    /// At another address, or restarted since the connection was opened.
     Moved,
 }
 
@@ -90,7 +92,8 @@
 pub struct SendCheck {
     pub now: Nanos,
     pub client_present: bool,
-    /// By when it has to be answered, and before when it has to be written, as the module asked.
+    /// By when it has to be answered, and before when it has to be written, as the admission
+    /// controller asked.
     pub answer_by: Nanos,
     pub write_by: Nanos,
     pub retry_safety: RetrySafety,
--- a/crates/gateway/src/list_diff.rs
+++ b/crates/gateway/src/list_diff.rs
@@ -1,4 +1,4 @@
-//! Applies a list from discovery incrementally: finds what changed and hands it on in batches of
+//! Compares a list from discovery with the servers held and hands on the changes in batches of
 //! bounded work, so that a list of any length never blocks the event loop for a whole turn.
 
 use crate::entry::Entry;
@@ -35,13 +35,13 @@
 /// Changes that are applied together. New work stops immediately for the unavailable servers.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Servers that drain or were removed.
+    /// Servers that are draining or were removed.
     pub unavailable: Vec<ServerChange>,
     /// Servers that are ready and are new or have changed.
     pub available: Vec<ServerChange>,
 }
 
-/// A list that is being applied.
+/// The difference between a list and the servers held, computed and handed on step by step.
 #[derive(Debug)]
 pub struct ListDiff {
     index: u64,
@@ -64,12 +64,12 @@
 }
 
 impl ListDiff {
-    pub fn new(told: ListUpdate) -> Self {
+    pub fn new(list: ListUpdate) -> Self {
         ListDiff {
-            index: told.index,
-            scan_pending: told.is_snapshot,
-            seen_keys: HashSet::with_capacity(told.entries.len()),
-            entries: told.entries,
+            index: list.index,
+            scan_pending: list.is_snapshot,
+            seen_keys: HashSet::with_capacity(list.entries.len()),
+            entries: list.entries,
             scanned_to: 0,
             unavailable: Vec::new(),
             available: Vec::new(),
