--- a/crates/gateway/src/eviction.rs
+++ b/crates/gateway/src/eviction.rs
@@ -13,8 +13,8 @@
 const KEEP_ALIVE_LIMIT: Nanos = 1_000 * MS;
 /// How long a client may pause within a message.
 const MID_MESSAGE_LIMIT: Nanos = 2_000 * MS;
-/// The share of all places, in quarters, that connections which were served before keep while
-/// others wait for one.
+/// The share of all slots, in quarters, that connections which were served before keep while others
+/// wait for one.
 const SERVED_QUARTERS: usize = 3;
 
 /// What a connection without an unsent answer is doing, and since when.
@@ -73,7 +73,7 @@
     silent.map(|idle| idle.evictable_at(EvictFor::NewConnection).1).min()
 }
 
-/// Whether connections that were served before hold more than their share of the places.
-pub fn exceeds_served_share(served: usize, places: usize) -> bool {
-    4 * served > SERVED_QUARTERS * places
+/// Whether connections that were served before hold more than their share of the slots.
+pub fn exceeds_served_share(served: usize, slots: usize) -> bool {
+    4 * served > SERVED_QUARTERS * slots
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -52,9 +52,9 @@
 /// Descriptors for everything but clients and servers (poll, signals, logs, list, counter), and
 /// some spare.
 const OTHER_DESCRIPTORS: usize = 24;
-/// Divisor of the share of all descriptors that is reserved for connections accepted only to reject
-/// what they send.
-const SPARE_DIVISOR: usize = 32;
+/// Divisor of the share of all descriptors that is reserved for clients over the limit, which are
+/// accepted only to reject what they send.
+const OVER_LIMIT_DIVISOR: usize = 32;
 /// The clients' share of the remaining descriptors, in tenths.
 const CLIENT_TENTHS: usize = 6;
 /// Limit of the input buffer of a connection to the counter.
@@ -73,7 +73,8 @@
 const MIN_TURN: Nanos = 10 * MS;
 /// How often a client that keeps sending is read before an attempt is written for it.
 const MAX_CLIENT_READS: usize = 16;
-const MAX_MESSAGE: usize = MAX_HEAD_LEN + MAX_BODY_LEN + 1024;
+/// Limit of the input buffer of a connection to a client or a server.
+const MAX_MESSAGE_LEN: usize = MAX_HEAD_LEN + MAX_BODY_LEN + 1024;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -145,13 +146,13 @@
     controller: AdmissionController,
     /// Reads the configuration again on SIGHUP.
     reread_config: ConfigReader,
-    host: PolicyHost,
+    host: AdmissionHost,
     /// Present if the settings have a version.
     agreement: Option<settings_agreement::AgreementHandler>,
 }
 
 /// The [`Host`] of the admission controller: everything else that the gateway holds.
-struct PolicyHost {
+struct AdmissionHost {
     config: Config,
     net: Net,
     log: Logger,
@@ -210,7 +211,7 @@
     accept_again: bool,
     /// When accepting is retried, if it is scheduled.
     accept_retry_at: Option<Nanos>,
-    /// When a new client last found no place.
+    /// When a new client last found all slots taken.
     last_full_at: Option<Nanos>,
     /// Whether the last scan of all clients found a new connection that has sent nothing and can be
     /// evicted soon; until when eviction is not retried, by purpose; and how many connections were
@@ -218,10 +219,11 @@
     has_silent_client: bool,
     no_eviction_until: [Nanos; 2],
     served_clients: usize,
-    /// Since when more connections wait to be accepted than there are places.
+    /// Since when more connections wait to be accepted than there are slots.
     accept_behind_since: Option<Nanos>,
     max_clients: usize,
-    spare_places: usize,
+    /// How many clients beyond `max_clients` are accepted only to reject what they send.
+    max_over_limit: usize,
     max_server_connections: usize,
     /// Limit of the total size of clients' buffers; beyond it nothing more is admitted.
     max_client_memory: usize,
@@ -237,7 +239,8 @@
     gateway_count: u32,
     /// New work to a server must stop this long after its drain was announced.
     stop_within: Nanos,
-    /// When this turn began, and how far [`PolicyHost::advance_time`] has advanced its time since.
+    /// When this turn began, and how far [`AdmissionHost::advance_time`] has advanced its time
+    /// since.
     turn_started_at: Instant,
     time_advanced: Nanos,
     /// Duration of the previous turn, and the longest that a turn may take while the process keeps
@@ -253,27 +256,27 @@
     pub fn new(config: Config, reread_config: ConfigReader, net: Net, log: Logger) -> Gateway {
         let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = config.descriptor_limit.min(limit.map_or(usize::MAX, |limit| limit as usize));
-        let spare_places = (sockets / SPARE_DIVISOR).max(2);
-        let shared = sockets.saturating_sub(OTHER_DESCRIPTORS + spare_places).max(8);
+        let max_over_limit = (sockets / OVER_LIMIT_DIVISOR).max(2);
+        let shared = sockets.saturating_sub(OTHER_DESCRIPTORS + max_over_limit).max(8);
         let max_clients = shared * CLIENT_TENTHS / 10;
         let duration =
             |name: &str, default| config.positive_setting(name).map_or(default, |secs| (secs * 1e9) as Nanos);
         let idle =
             duration("ceilings.connIdle", servers::DEFAULT_IDLE_TIMEOUT) as f64 * servers::IDLE_TIMEOUT_SHARE;
-        let host = PolicyHost {
+        let host = AdmissionHost {
             connect_timeout: duration("ceilings.dialTimeout", servers::DEFAULT_CONNECT_TIMEOUT),
             idle_timeout: idle as Nanos,
             counter_timeout: duration("extra.countWait", counter::DEFAULT_CALL_TIMEOUT),
             max_unanswered_rpcs: config
                 .positive_setting("ceilings.maxOpen")
-                .map_or(usize::MAX, |most| most as usize),
+                .map_or(usize::MAX, |limit| limit as usize),
             name_ids: NameIds::new(config.setting_list("localities"), config.setting_list("shapes")),
             load_columns: config.setting_list("reporting.columns"),
             max_clients,
-            spare_places,
+            max_over_limit,
             max_client_memory: config.memory_limit / CLIENT_MEMORY_DIVISOR,
             max_server_connections: (shared - max_clients)
-                .min(config.memory_limit / SERVER_MEMORY_DIVISOR / (2 * MAX_MESSAGE))
+                .min(config.memory_limit / SERVER_MEMORY_DIVISOR / (2 * MAX_MESSAGE_LEN))
                 .max(2),
             net,
             log,
@@ -365,7 +368,7 @@
     /// The time of the next turn. Timers that no longer apply are discarded when they reach the
     /// front, so that they cause no wakeup.
     fn next_timer(&mut self) -> Option<Nanos> {
-        let PolicyHost { timers, server_connections, rpcs, counter_connections, .. } = &mut self.host;
+        let AdmissionHost { timers, server_connections, rpcs, counter_connections, .. } = &mut self.host;
         timers.discard_stale(|event| match event {
             TimerEvent::AttemptTimeout(id, rpc, attempt) => {
                 !server_connections.get(id).is_some_and(|connection| connection.carries(*rpc, *attempt))
@@ -448,7 +451,7 @@
     }
 
     fn max_client_input(&self) -> usize {
-        MAX_MESSAGE
+        MAX_MESSAGE_LEN
     }
 
     fn accepted(&mut self, id: usize) {
@@ -482,7 +485,7 @@
 
     /// A connection opened by the gateway is established.
     fn connected(&mut self, id: usize) {
-        let PolicyHost {
+        let AdmissionHost {
             net,
             server_connections,
             connections_to_write,
@@ -602,7 +605,7 @@
     address.map_or_else(String::new, |address| address.to_string())
 }
 
-impl Host for PolicyHost {
+impl Host for AdmissionHost {
     fn send_attempt(&mut self, id: u32, server: u32, limit: Nanos, write_by: Nanos) {
         let now = self.net.now;
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
@@ -659,7 +662,7 @@
         let Some(slot) = self.counter_connection_for(name) else {
             return self.ended_counter_calls.push_back((call, CallOutcome::NoConnection, 0.0));
         };
-        let PolicyHost { net, counter_connections, counter_ids, .. } = self;
+        let AdmissionHost { net, counter_connections, counter_ids, .. } = self;
         let now = net.now;
         if let Some(out) = counter_ids[slot].and_then(|id| net.output(id)) {
             counter_connections[slot].send_call(out, now, call);
@@ -668,7 +671,7 @@
     }
 }
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Advances the time of the turn to the current time. Otherwise a server could be given more
     /// time than is left, and attempts could be written whose time ran out during the turn. The
     /// cost: one clock read per attempt.
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -37,7 +37,7 @@
             // can't fill the output buffer.
             let parsed = client.parse_message(&self.host.config, received_at, self.host.net.input(id));
             if matches!(parsed, Ok(Parsed::Rpc(_) | Parsed::Ready(_) | Parsed::Healthy(_))) {
-                self.host.claim_client_place(id);
+                self.host.claim_slot(id);
             }
             match parsed {
                 // Limits the memory for many long messages at once; buffers for servers have a
@@ -179,7 +179,7 @@
     }
 }
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Gives an RPC its final answer from the gateway itself.
     pub(super) fn answer(&mut self, id: u32, status: u16, retry_after: Nanos, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
@@ -197,7 +197,7 @@
         rpc.message.close
             || sent_excess
             || self.closes_for_shutdown(rpc.client, rpc.message.body.end)
-            || self.yields_place(rpc.client, rpc.message.body.end)
+            || self.yields_slot(rpc.client, rpc.message.body.end)
     }
 
     /// Called when the answer to an RPC is in the client's output buffer; it is owed until it is
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -4,7 +4,8 @@
 use super::*;
 use crate::eviction::{EvictFor, IdleState};
 
-/// For this long after a new client found no place, others are assumed to be waiting for one.
+/// For this long after a new client found all slots taken, others are assumed to be waiting for
+/// one.
 const CROWDED_PERIOD: Nanos = 1_000 * MS;
 /// Minimum delay before accepting is retried, and before eviction is retried after it found
 /// nothing.
@@ -13,7 +14,7 @@
 /// evicted.
 const MAX_EVICTION_TRIES: usize = 8;
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Whether one more client can be accepted, if necessary only to reject what it sends.
     pub(super) fn can_accept_client(&mut self) -> bool {
         let taken = self.clients.len();
@@ -21,14 +22,14 @@
             return true;
         }
         self.last_full_at = Some(self.net.now);
-        // If a place becomes free in a moment, it is better for the new client to wait than to be
+        // If a slot becomes free in a moment, it is better for the new client to wait than to be
         // rejected now.
-        !self.has_silent_client && taken < self.max_clients + self.spare_places
+        !self.has_silent_client && taken < self.max_clients + self.max_over_limit
     }
 
     /// Since when a connection that is accepted now counts as silent. If accepting was behind, that
     /// is since it was established or last sent data. Otherwise each of a crowd that has waited far
-    /// longer would hold its place for another 10 ms. The cost: a client that sends at this very
+    /// longer would hold its slot for another 10 ms. The cost: a client that sends at this very
     /// moment may be evicted first.
     pub(super) fn silent_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
@@ -56,15 +57,15 @@
         self.accept_retry_at.take_if(|at| *at <= self.net.now).is_some()
     }
 
-    /// A client in a spare place has sent a message. It gets a regular place if one is free by now,
-    /// or if connections that were served before hold more than their share.
-    pub(super) fn claim_client_place(&mut self, id: usize) {
+    /// A client that was accepted over the limit has sent a message. It gets a regular slot if one
+    /// is free by now, or if connections that were served before hold more than their share.
+    pub(super) fn claim_slot(&mut self, id: usize) {
         if !self.clients.get(&id).is_some_and(|client| client.over_limit) {
             return;
         }
-        let has_free_place = self.clients.len() <= self.max_clients;
+        let has_free_slot = self.clients.len() <= self.max_clients;
         let served_exceed_share = eviction::exceeds_served_share(self.served_clients, self.max_clients);
-        if has_free_place || served_exceed_share && self.evict_client(EvictFor::Required) {
+        if has_free_slot || served_exceed_share && self.evict_client(EvictFor::Required) {
             self.clients.entry(id).and_modify(|client| client.over_limit = false);
         }
     }
@@ -107,9 +108,9 @@
     }
 
     /// Whether a connection closes after its answer so that waiting clients get their share of
-    /// places. Otherwise connections that were served before would never make room for a crowd, or
+    /// slots. Otherwise connections that were served before would never make room for a crowd, or
     /// would be closed during their next request. The cost: such a client has to reconnect.
-    pub(super) fn yields_place(&self, client: usize, length: usize) -> bool {
+    pub(super) fn yields_slot(&self, client: usize, length: usize) -> bool {
         let crowded = self.last_full_at.is_some_and(|at| self.net.now < at + CROWDED_PERIOD);
         crowded
             && eviction::exceeds_served_share(self.served_clients, self.max_clients)
--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Processes replies from the counter, or the end of a connection to it.
     pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -16,7 +16,7 @@
             return;
         }
         let mut lists = Vec::new();
-        let PolicyHost { net, watch, previous_watch, .. } = &mut self.host;
+        let AdmissionHost { net, watch, previous_watch, .. } = &mut self.host;
         let watch = match previous_watch {
             Some((old, watch)) if *old == id => watch,
             _ => watch,
@@ -84,7 +84,7 @@
             if self.host.list_diff.is_none() && !self.start_next_update() {
                 return;
             }
-            let PolicyHost { list_diff, servers, name_ids, .. } = &mut self.host;
+            let AdmissionHost { list_diff, servers, name_ids, .. } = &mut self.host;
             let Some(diff) = list_diff else { return };
             let Some(batch) = diff.next_batch(servers, name_ids, &mut work) else { break };
             let done = diff.is_done().then(|| self.host.list_diff.take()).flatten();
@@ -165,7 +165,7 @@
     }
 }
 
-impl PolicyHost {
+impl AdmissionHost {
     /// The start time of a listed server, by this process's clock.
     fn started_at(&self, listed: &DiscoveredServer) -> Nanos {
         let stamp = listed.started_at;
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -8,7 +8,7 @@
 /// a later one counts as a lost RPC (the operators' standing test).
 const ANSWER_SLACK: Nanos = 500 * MS;
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Counts the result of a check and logs a violation.
     fn check(&mut self, invariant: Invariant, holds: bool, txn: &[u8]) {
         if holds {
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -22,7 +22,7 @@
     String::from_utf8_lossy(txn)
 }
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Logs the start of an attempt if it is a retry, and every one during a shutdown.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::guard::Denial;
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Takes the most recently used idle connection to a server, or opens a new one.
     pub(super) fn connection_to(&mut self, server: u32) -> Option<usize> {
         let now = self.net.now;
@@ -35,7 +35,7 @@
             return None;
         }
         let Server { address, started_at, .. } = *self.servers.by_number.get(&server)?;
-        let id = self.connect(address, Peer::Server, MAX_MESSAGE);
+        let id = self.connect(address, Peer::Server, MAX_MESSAGE_LEN);
         let id = id.map_err(|e| warn!(self.log, "can't connect"; "to" => %address, "error" => %e)).ok()?;
         self.server_connections.insert(id, ServerConnection::new(server, started_at));
         if let Some(entry) = self.servers.by_number.get_mut(&server) {
@@ -69,7 +69,7 @@
             self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
             return self.return_to_pool(id);
         }
-        let PolicyHost { net, server_connections, rpcs, .. } = self;
+        let AdmissionHost { net, server_connections, rpcs, .. } = self;
         let (Some(rpc), Some(connection)) = (rpcs.get_mut(&attempt.rpc), server_connections.get_mut(&id))
         else {
             return;
@@ -127,7 +127,7 @@
 
     /// Processes input from a server, or the end of its connection.
     pub(super) fn read_server(&mut self, id: usize) {
-        let PolicyHost { net, server_connections, .. } = self;
+        let AdmissionHost { net, server_connections, .. } = self;
         let Some(connection) = server_connections.get_mut(&id) else { return };
         let ended = net.connection_end(id);
         let Stage::InFlight(attempt) = connection.stage else {
--- a/crates/gateway/src/gateway/shutdown_handler.rs
+++ b/crates/gateway/src/gateway/shutdown_handler.rs
@@ -72,7 +72,7 @@
     }
 }
 
-impl PolicyHost {
+impl AdmissionHost {
     /// The longest deadline in the settings in use or in the last reloaded file, whichever is
     /// shorter: the platform may go by either.
     fn longest_deadline(&self) -> Nanos {
--- a/crates/gateway/src/gateway/sweep.rs
+++ b/crates/gateway/src/gateway/sweep.rs
@@ -19,7 +19,7 @@
 
 const SLOW_MESSAGE_REASON: &str = "slow-message";
 
-impl PolicyHost {
+impl AdmissionHost {
     /// Checks all connections.
     pub(super) fn sweep(&mut self) {
         self.timers.set(self.net.now + SWEEP_INTERVAL, TimerEvent::Sweep);
