--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -568,7 +568,7 @@
     fn write_attempts(&mut self) {
         while let Some(id) = self.host.connections_to_write.pop_front() {
             self.host.advance_time();
-            if self.client_is_present(id) {
+            if self.drain_client_of(id) {
                 self.host.write_attempt(id);
             } else {
                 // Timers are checked once per turn, so this one is due in the next turn.
--- a/crates/gateway/src/gateway/client_handler.rs
+++ b/crates/gateway/src/gateway/client_handler.rs
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Reads from the client of the attempt that is about to be written on this connection; true if
-    /// the client is still connected and all that it has sent was read. Finds a close that is still
-    /// unread because it arrived during the turn, after the input of other clients, or after more
-    /// data of the same client. Covers busy turns, small CPU shares and floods. The cost: one read
-    /// per attempt; the attempt of a client that never stops sending is deferred until its time is
-    /// over.
-    pub(super) fn client_is_present(&mut self, connection: usize) -> bool {
+    /// Reads everything that the client of the attempt about to be written on this connection has
+    /// sent by now, so that its close is noticed; false if the client keeps sending. A close may
+    /// still be unread because it arrived during the turn, after the input of other clients, or
+    /// after more data of the same client. Covers busy turns, small CPU shares and floods. The
+    /// cost: one read per attempt; the attempt of a client that never stops sending is deferred
+    /// until its time is over.
+    pub(super) fn drain_client_of(&mut self, connection: usize) -> bool {
         let attempt = self.host.server_connections.get(&connection).and_then(ServerConnection::attempt);
         let Some(rpc) = attempt.and_then(|attempt| self.host.rpcs.get(&attempt.rpc)) else { return true };
         let client = rpc.client;
--- a/crates/gateway/src/gateway/connection_limits.rs
+++ b/crates/gateway/src/gateway/connection_limits.rs
@@ -10,8 +10,8 @@
 /// Minimum delay before accepting is retried, and before eviction is retried after it found
 /// nothing.
 const MIN_ACCEPT_DELAY: Nanos = MS;
-/// How many candidates are tried per eviction: where all of a crowd are sending, none can be
-/// evicted.
+/// How many candidates are tried per eviction: if all clients of a crowd are sending, none of them
+/// can be evicted.
 const MAX_EVICTION_TRIES: usize = 8;
 
 impl AdmissionHost {
@@ -28,9 +28,9 @@
     }
 
     /// Since when a connection that is accepted now counts as silent. If accepting was behind, that
-    /// is since it was established or last sent data. Otherwise each of a crowd that has waited far
-    /// longer would hold its slot for another 10 ms. The cost: a client that sends at this very
-    /// moment may be evicted first.
+    /// is since it was established or last sent data. Otherwise each of many waiting connections
+    /// would hold its slot for another 10 ms although it has been silent for far longer. The cost:
+    /// a client that sends at this very moment may be evicted first.
     pub(super) fn silent_since(&self, id: usize) -> Nanos {
         let now = self.net.now;
         let Some(behind_since) = self.accept_behind_since else { return now };
@@ -108,8 +108,9 @@
     }
 
     /// Whether a connection closes after its answer so that waiting clients get their share of
-    /// slots. Otherwise connections that were served before would never make room for a crowd, or
-    /// would be closed during their next request. The cost: such a client has to reconnect.
+    /// slots. Otherwise connections that were served before would never make room for any of the
+    /// waiting clients, or would be closed during their next request. The cost: such a client has
+    /// to reconnect.
     pub(super) fn yields_slot(&self, client: usize, length: usize) -> bool {
         let crowded = self.last_full_at.is_some_and(|at| self.net.now < at + CROWDED_PERIOD);
         crowded
