--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -100,8 +100,8 @@
     }
 
     /// Starts the next pending update; false if there is none. Where gateways agree on lists, a
-    /// list that is older than what is known here, or that would leave no servers, is only applied
-    /// in part.
+    /// list that is older than what is known here is only applied in part, and one that would leave
+    /// no servers is ignored.
     fn start_next_update(&mut self) -> bool {
         let list = loop {
             match self.host.pending_lists.pop_front() {
