--- a/crates/gateway/src/gateway/counter_handler.rs
+++ b/crates/gateway/src/gateway/counter_handler.rs
@@ -1,58 +1,67 @@
-//! The gateway's side of the counter: a connection for each call.
+//! Handles the connections to the counter and assigns calls to them.
 
 use super::*;
 
-impl PolicyHost {
-    pub(super) fn counter_came(&mut self, line: usize, id: usize) {
+impl AdmissionHost {
+    /// Processes replies from the counter, or the end of a connection to it.
+    pub(super) fn read_counter(&mut self, slot: usize, id: usize) {
         let mut ended = Vec::new();
-        let fed = self.lines[line].feed(self.net.now, self.net.input(id), &mut ended);
-        self.net.consume(id, fed.unwrap_or(0));
-        self.counted.extend(ended);
-        if let Some(why) = fed.err().or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
-            self.line_broke(line, why);
+        let consumed = self.counter_connections[slot].feed(self.net.now, self.net.input(id), &mut ended);
+        self.net.consume(id, consumed.unwrap_or(0));
+        self.ended_counter_calls.extend(ended);
+        if let Some(why) = consumed.err().or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+            self.counter_connection_lost(slot, why);
         }
     }
 
-    /// The connection for a call: where its name is out, else the one with the least out.
-    pub(super) fn line_for(&mut self, name: u64) -> Option<usize> {
-        let carries = self.lines.iter().position(|line| line.has_call_for(name));
+    /// The connection for a call: the one with another call for the same name in flight, otherwise
+    /// the one with the fewest calls.
+    pub(super) fn counter_connection_for(&mut self, name: u64) -> Option<usize> {
+        let in_use = self.counter_connections.iter().position(|connection| connection.has_call_for(name));
         let now = self.net.now;
-        let usable = |line: &usize| self.lines_on[*line].is_some() || now >= self.lines_again[*line];
-        let least = |line: &usize| self.lines[*line].in_flight.len() + self.lines[*line].waiting.len();
-        let line = carries.or_else(|| {
-            (self.lines_from..self.lines_from + counter::CONNECTIONS).filter(usable).min_by_key(least)
+        let usable = |slot: &usize| self.counter_ids[*slot].is_some() || now >= self.counter_retry_at[*slot];
+        let load = |slot: &usize| {
+            self.counter_connections[*slot].in_flight.len() + self.counter_connections[*slot].waiting.len()
+        };
+        let slot = in_use.or_else(|| {
+            (self.active_counter_set..self.active_counter_set + counter::CONNECTIONS)
+                .filter(usable)
+                .min_by_key(load)
         })?;
-        if self.lines_on[line].is_none() {
+        if self.counter_ids[slot].is_none() {
             let address = self.config.counter?;
-            self.lines[line].last_reply = now;
-            match self.connect(address, Peer::Counter(line), OTHER_INPUT) {
-                Ok(id) => self.lines_on[line] = Some(id),
+            self.counter_connections[slot].last_reply = now;
+            match self.connect(address, Peer::Counter(slot), MAX_COUNTER_INPUT) {
+                Ok(id) => self.counter_ids[slot] = Some(id),
                 Err(e) => {
                     warn!(self.log, "can't connect"; "to" => %address, "error" => %e);
-                    self.lines_again[line] = now + counter::RECONNECT_DELAY;
+                    self.counter_retry_at[slot] = now + counter::RECONNECT_DELAY;
                     return None;
                 }
             }
         }
-        Some(line)
+        Some(slot)
     }
 
-    /// The counter is elsewhere now. Calls go there; those that are out end where they are, and a name stays there for
-    /// as long as one of its calls is out, so that its answers keep their order.
-    pub(super) fn move_lines(&mut self) {
-        (self.lines_from, self.moved_at) = (counter::CONNECTIONS - self.lines_from, self.net.now);
-        for line in self.lines_from..self.lines_from + counter::CONNECTIONS {
-            self.line_broke(line, "moved"); // left from the time before
-            self.lines_again[line] = 0;
+    /// The counter has moved. New calls go to the new address; calls in flight finish at the old
+    /// one, and a name stays there for as long as one of its calls is in flight, so that its
+    /// answers keep their order.
+    pub(super) fn move_counter(&mut self) {
+        (self.active_counter_set, self.counter_moved_at) =
+            (counter::CONNECTIONS - self.active_counter_set, self.net.now);
+        for slot in self.active_counter_set..self.active_counter_set + counter::CONNECTIONS {
+            self.counter_connection_lost(slot, "moved"); // from before the previous move
+            self.counter_retry_at[slot] = 0;
         }
     }
 
-    pub(super) fn line_broke(&mut self, line: usize, why: &'static str) {
-        let Some(id) = self.lines_on[line].take() else { return };
-        info!(self.log, "counter"; "why" => why, "line" => line, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
-        self.lines_again[line] = self.net.now + counter::RECONNECT_DELAY;
-        let ended = self.lines[line].disconnect();
-        self.counted.extend(ended.into_iter().map(|(call, how)| (call, how, 0.0)));
+    /// Closes a connection to the counter and ends its calls.
+    pub(super) fn counter_connection_lost(&mut self, slot: usize, why: &'static str) {
+        let Some(id) = self.counter_ids[slot].take() else { return };
+        info!(self.log, "counter"; "why" => why, "line" => slot, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
+        self.counter_retry_at[slot] = self.net.now + counter::RECONNECT_DELAY;
+        let ended = self.counter_connections[slot].disconnect();
+        self.ended_counter_calls.extend(ended.into_iter().map(|(call, outcome)| (call, outcome, 0.0)));
         self.net.close(id);
     }
 }
--- a/crates/gateway/src/gateway/discovery_handler.rs
+++ b/crates/gateway/src/gateway/discovery_handler.rs
@@ -1,248 +1,258 @@
-//! The gateway's side of discovery: the watch is kept up, and the module and the pools hear what it tells.
+//! Handles discovery: keeps the watch open, and applies its lists to the admission controller and
+//! the connection pools.
 
 use super::*;
 use crate::start_times;
 use martenramp::host::DiscoveredServer;
 
-/// The part of a subset's work that one turn does: about a quarter of a millisecond.
-const SUBSET_UNITS_A_TURN: usize = 50_000;
+/// Work on subsets per turn: about a quarter of a millisecond.
+const SUBSET_WORK_PER_TURN: usize = 50_000;
 
 impl Gateway {
-    /// Bytes of a watch. While a list is brought into force no more is read: what comes waits at discovery's side.
-    pub(super) fn list_came(&mut self, id: usize) {
-        if self.host.takes_list() {
+    /// Reads from a watch. While a list is being applied nothing more is read, and further data
+    /// waits at discovery.
+    pub(super) fn read_watch(&mut self, id: usize) {
+        if self.host.is_updating_list() {
             return;
         }
-        let mut told = Vec::new();
-        let PolicyHost { net, watch, old_watch, .. } = &mut self.host;
-        let watch = match old_watch {
+        let mut lists = Vec::new();
+        let AdmissionHost { net, watch, previous_watch, .. } = &mut self.host;
+        let watch = match previous_watch {
             Some((old, watch)) if *old == id => watch,
             _ => watch,
         };
-        let fed = watch.feed(net.now, net.input(id), &mut told);
-        net.consume(id, fed.unwrap_or(0));
-        if self.host.watch_on == Some(id)
+        let consumed = watch.feed(net.now, net.input(id), &mut lists);
+        net.consume(id, consumed.unwrap_or(0));
+        if self.host.watch_id == Some(id)
             && self.host.watch.head_read
-            && !std::mem::replace(&mut self.host.watching, true)
+            && !std::mem::replace(&mut self.host.watch_answered, true)
         {
             info!(self.host.log, "watching"; "index" => self.host.watch.index, "ms" => (self.host.net.now - self.host.net.opened_at(id)) / MS);
         }
-        if self.host.watch_on == Some(id) && self.host.watch.head_read {
-            self.host.end_old_watch("moved");
+        if self.host.watch_id == Some(id) && self.host.watch.head_read {
+            self.host.close_previous_watch("moved");
         }
-        told.into_iter().for_each(|told| self.told(told));
-        if let Some(why) = fed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
-            self.host.watch_broke(id, why);
+        lists.into_iter().for_each(|list| self.receive_list(list));
+        if let Some(why) = consumed.err().or(self.host.net.connection_end(id).map(ConnectionEnd::reason)) {
+            self.host.watch_lost(id, why);
         }
     }
 
-    /// The list told by discovery, or held from before.
-    pub(super) fn told(&mut self, told: ListUpdate) {
-        self.host.watch.index = told.index;
-        if let Some(name) = &told.first_without_service {
-            warn!(self.host.log, "list"; "why" => "no-service", "index" => told.index, "server" => &**name, "entries" => told.without_service);
+    /// Receives a list from discovery, or the one stored from an earlier run.
+    pub(super) fn receive_list(&mut self, list: ListUpdate) {
+        self.host.watch.index = list.index;
+        if let Some(name) = &list.first_without_service {
+            warn!(self.host.log, "list"; "why" => "no-service", "index" => list.index, "server" => &**name, "entries" => list.without_service);
         }
-        self.host.pending.push_back(Pending::Told(told));
-        self.bring_into_force();
+        self.host.pending_lists.push_back(PendingList::Received(list));
+        self.apply_pending_lists();
     }
 
-    /// A change that was not told by the own discovery. It goes before what that told in the meantime and is yet to be
-    /// judged, since it is looked at then.
-    pub(super) fn list(&mut self, told: ListUpdate) {
-        let pending = &mut self.host.pending;
-        let told_at = pending.iter().position(|waits| matches!(waits, Pending::Told(_)));
-        pending.insert(told_at.unwrap_or(pending.len()), Pending::Judged(told));
-        self.bring_into_force();
+    /// Queues a change that did not come from this gateway's own discovery. It is placed before the
+    /// received lists that are not filtered yet, since filtering them takes it into account.
+    pub(super) fn queue_filtered_list(&mut self, list: ListUpdate) {
+        let pending = &mut self.host.pending_lists;
+        let first_received = pending.iter().position(|list| matches!(list, PendingList::Received(_)));
+        pending.insert(first_received.unwrap_or(pending.len()), PendingList::Filtered(list));
+        self.apply_pending_lists();
     }
 
-    /// The next batch is due, and once all is in force, what the watch said in the meantime.
-    pub(super) fn go_on_with_list(&mut self) {
-        self.host.goes_on = false;
-        self.bring_into_force();
-        if self.host.takes_list() {
+    /// Applies the next batch, and once the update is complete, reads what the watch received in
+    /// the meantime.
+    pub(super) fn continue_list_update(&mut self) {
+        self.host.update_scheduled = false;
+        self.apply_pending_lists();
+        if self.host.is_updating_list() {
             return;
         }
-        let old = self.host.old_watch.as_ref().map(|old| old.0);
-        for id in [old, self.host.watch_on].into_iter().flatten() {
+        let old = self.host.previous_watch.as_ref().map(|old| old.0);
+        for id in [old, self.host.watch_id].into_iter().flatten() {
             if !self.host.net.input(id).is_empty() || self.host.net.connection_end(id).is_some() {
-                self.list_came(id);
+                self.read_watch(id);
             }
         }
     }
 
-    /// Brings what waits into force, as far as the work of one turn goes. The first list is taken at once: without one
-    /// nothing can be sent anywhere.
-    fn bring_into_force(&mut self) {
-        if self.host.goes_on {
+    /// Applies pending lists, as far as the work limit of one turn allows. The first list is
+    /// applied at once: without a list nothing can be sent to any server.
+    fn apply_pending_lists(&mut self) {
+        if self.host.update_scheduled {
             return;
         }
         let mut work = if self.host.has_list { WORK_PER_TURN } else { usize::MAX };
         loop {
-            if self.host.changes.is_none() && !self.begin_changes() {
+            if self.host.list_diff.is_none() && !self.start_next_update() {
                 return;
             }
-            let PolicyHost { changes, servers, directory, .. } = &mut self.host;
-            let Some(at_hand) = changes else { return };
-            let Some(batch) = at_hand.next_batch(servers, directory, &mut work) else { break };
-            let done = at_hand.is_done().then(|| self.host.changes.take()).flatten();
-            self.apply(batch);
+            let AdmissionHost { list_diff, servers, name_ids, .. } = &mut self.host;
+            let Some(diff) = list_diff else { return };
+            let Some(batch) = diff.next_batch(servers, name_ids, &mut work) else { break };
+            let done = diff.is_done().then(|| self.host.list_diff.take()).flatten();
+            self.apply_batch(batch);
             if let Some(done) = done {
                 self.host.has_list = true;
-                self.host.log_turns(&done);
+                self.host.log_applied_list(&done);
             }
         }
-        self.host.changes.iter_mut().for_each(ListDiff::defer_to_next_turn);
-        self.host.goes_on = true;
-        self.host.timers.set(self.host.net.now + 1, TimerEvent::Changes);
+        self.host.list_diff.iter_mut().for_each(ListDiff::defer_to_next_turn);
+        self.host.update_scheduled = true;
+        self.host.timers.set(self.host.net.now + 1, TimerEvent::ContinueListUpdate);
     }
 
-    /// Takes up the next object that waits; false if there is none. Where the fleet agrees, what is older than what is
-    /// known here, or would leave nothing, changes only what it may.
-    fn begin_changes(&mut self) -> bool {
-        let told = loop {
-            match self.host.pending.pop_front() {
+    /// Starts the next pending update; false if there is none. Where gateways agree on lists, a
+    /// list that is older than what is known here is only applied in part, and one that would leave
+    /// no servers is ignored.
+    fn start_next_update(&mut self) -> bool {
+        let list = loop {
+            match self.host.pending_lists.pop_front() {
                 None => return false,
-                Some(Pending::Judged(told)) => break told,
-                Some(Pending::Told(mut told)) => {
-                    let Some(more) = self.judge_list(&mut told) else { continue };
-                    if !more.entries.is_empty() {
-                        self.host.pending.push_front(Pending::Judged(more));
+                Some(PendingList::Filtered(list)) => break list,
+                Some(PendingList::Received(mut list)) => {
+                    let Some(follow_up) = self.filter_list(&mut list) else { continue };
+                    if !follow_up.entries.is_empty() {
+                        self.host.pending_lists.push_front(PendingList::Filtered(follow_up));
                     }
-                    break told;
+                    break list;
                 }
             }
         };
-        self.host.changes = Some(ListDiff::new(told));
+        self.host.list_diff = Some(ListDiff::new(list));
         true
     }
 
-    /// Tells the module and the pools of a batch.
-    fn apply(&mut self, batch: Batch) {
+    /// Applies a batch to the admission controller and the connection pools.
+    fn apply_batch(&mut self, batch: Batch) {
         let host = &mut self.host;
         let mut list = Vec::with_capacity(batch.unavailable.len() + batch.available.len());
         for ServerChange { listed, address } in batch.unavailable.into_iter().chain(batch.available) {
             let Some(address) = address else {
                 if let Some((listed, idle)) = host.servers.delist(listed.key) {
-                    idle.into_iter().for_each(|id| host.end_link(id, "server-gone"));
+                    idle.into_iter().for_each(|id| host.close_server_connection(id, "server-gone"));
                     list.push(listed);
                 }
                 continue;
             };
-            let came_up = host.started_at(&listed);
-            let (server, stale) = host.servers.upsert_with_start(&listed, address, came_up);
-            stale.into_iter().for_each(|id| host.end_link(id, "server-moved"));
-            list.push(DiscoveredServer { server, started_at: came_up, ..listed });
+            let started_at = host.started_at(&listed);
+            let (server, stale) = host.servers.upsert_with_start(&listed, address, started_at);
+            stale.into_iter().for_each(|id| host.close_server_connection(id, "server-moved"));
+            list.push(DiscoveredServer { server, started_at, ..listed });
         }
         if host.has_list {
-            self.brain.on_server_list_deferred(host.net.now, &list);
+            self.controller.on_server_list_deferred(host.net.now, &list);
         } else {
-            self.brain.on_server_list(host.net.now, false, &list);
+            self.controller.on_server_list(host.net.now, false, &list);
         }
         host.servers.remove_unused();
-        self.await_subsets();
+        self.schedule_subset_work();
     }
 
-    /// Goes on with the module's subsets for this turn's part of the work.
-    pub(super) fn work_on_subsets(&mut self) {
-        self.host.subsets_awaited = None;
-        self.brain.work_on_subsets(self.host.net.now, SUBSET_UNITS_A_TURN);
-        self.await_subsets();
+    /// Does this turn's share of the work on the subsets of the admission controller.
+    pub(super) fn do_subset_work(&mut self) {
+        self.host.subset_timer_at = None;
+        self.controller.work_on_subsets(self.host.net.now, SUBSET_WORK_PER_TURN);
+        self.schedule_subset_work();
     }
 
-    /// Sets a timer for when there is work on subsets.
-    fn await_subsets(&mut self) {
-        let Some(due) = self.brain.subset_work_due() else { return };
-        // Timers are looked at once a turn, so what is due now is for the next one.
+    /// Sets a timer for the next work on subsets.
+    fn schedule_subset_work(&mut self) {
+        let Some(due) = self.controller.subset_work_due() else { return };
+        // Timers are checked once per turn, so work that is due now is done in the next turn.
         let at = due.max(self.host.net.now + 1);
-        if self.host.subsets_awaited.is_none_or(|awaited| at < awaited) {
-            self.host.subsets_awaited = Some(at);
-            self.host.timers.set(at, TimerEvent::Subsets);
+        if self.host.subset_timer_at.is_none_or(|scheduled| at < scheduled) {
+            self.host.subset_timer_at = Some(at);
+            self.host.timers.set(at, TimerEvent::SubsetWork);
         }
     }
 }
 
-impl PolicyHost {
-    /// When a server started that the list names.
+impl AdmissionHost {
+    /// The start time of a listed server, by this process's clock.
     fn started_at(&self, listed: &DiscoveredServer) -> Nanos {
         let stamp = listed.started_at;
         match self.servers.by_key(listed.key).filter(|held| held.listed_start == stamp) {
             Some(held) => held.started_at,
             None => {
-                let now = self.net.now + self.turn_lasted();
+                let now = self.net.now + self.elapsed_in_turn();
                 start_times::started_at(stamp, now, self.has_list, start_times::is_wall_stepped(now))
             }
         }
     }
 
-    /// Whether an object of the list has come and is not yet in force.
-    pub(super) fn takes_list(&self) -> bool {
-        self.changes.is_some() || !self.pending.is_empty()
+    /// Whether a received list is not fully applied yet.
+    pub(super) fn is_updating_list(&self) -> bool {
+        self.list_diff.is_some() || !self.pending_lists.is_empty()
     }
 
-    /// A list that took more than one turn leaves a line.
-    fn log_turns(&self, done: &ListDiff) {
+    /// Logs a list whose application took more than one turn.
+    fn log_applied_list(&self, done: &ListDiff) {
         if done.turn_count() > 1 {
             info!(self.log, "list in force"; "index" => done.index(), "changed" => done.changed_count(), "turns" => done.turn_count(),
                 "servers" => self.servers.by_number.len());
         }
     }
 
-    /// The watch is asked for after a rest of this gateway's own.
-    pub(super) fn watch_later(&mut self) {
-        let (now, told) = (self.net.now, self.stop_within);
-        let rest = self.watch.retry_delay(now, self.pushed, self.fleet, told, &mut self.chance);
-        let rest = rest.max(self.watch.invalid_list_delay(&mut self.chance));
-        self.timers.set(now + rest, TimerEvent::Watch);
+    /// Opens the watch after a delay that differs between gateways.
+    pub(super) fn schedule_watch(&mut self) {
+        let (now, stop_within) = (self.net.now, self.stop_within);
+        let delay = self.watch.retry_delay(
+            now,
+            self.lists_are_pushed,
+            self.gateway_count,
+            stop_within,
+            &mut self.rng,
+        );
+        let delay = delay.max(self.watch.invalid_list_delay(&mut self.rng));
+        self.timers.set(now + delay, TimerEvent::OpenWatch);
     }
 
-    pub(super) fn dial_watch(&mut self) {
-        if self.watch_on.is_some() {
+    pub(super) fn connect_watch(&mut self) {
+        if self.watch_id.is_some() {
             return;
         }
         self.watch.last_received = self.net.now;
-        match self.connect(self.config.discovery, Peer::Discovery, LIST_INPUT) {
-            Ok(id) => self.watch_on = Some(id),
+        match self.connect(self.config.discovery, Peer::Discovery, MAX_WATCH_INPUT) {
+            Ok(id) => self.watch_id = Some(id),
             Err(e) => {
                 warn!(self.log, "can't connect"; "to" => %self.config.discovery, "error" => %e);
-                self.watch_later();
+                self.schedule_watch();
             }
         }
     }
 
-    /// Discovery is elsewhere now. What the old watch tells until the new one speaks still counts.
+    /// Discovery has moved. The old watch stays in use until the new one is answered.
     pub(super) fn move_watch(&mut self) {
         let new = self.watch.successor();
         let watch = std::mem::replace(&mut self.watch, new);
-        self.watching = false;
-        if let Some(id) = self.watch_on.take() {
-            if self.old_watch.is_some() || !watch.head_read {
-                self.end_watch(id, watch.index, "moved");
+        self.watch_answered = false;
+        if let Some(id) = self.watch_id.take() {
+            if self.previous_watch.is_some() || !watch.head_read {
+                self.close_watch(id, watch.index, "moved");
             } else {
-                self.old_watch = Some((id, watch));
+                self.previous_watch = Some((id, watch));
             }
         }
-        self.dial_watch();
+        self.connect_watch();
     }
 
-    pub(super) fn end_old_watch(&mut self, why: &'static str) {
-        if let Some((id, watch)) = self.old_watch.take() {
-            self.end_watch(id, watch.index, why);
+    pub(super) fn close_previous_watch(&mut self, why: &'static str) {
+        if let Some((id, watch)) = self.previous_watch.take() {
+            self.close_watch(id, watch.index, why);
         }
     }
 
-    fn end_watch(&mut self, id: usize, index: u64, why: &'static str) {
+    fn close_watch(&mut self, id: usize, index: u64, why: &'static str) {
         info!(self.log, "list"; "why" => why, "index" => index, "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
     }
 
-    /// The list held stays; the watch is asked for again after a while.
-    pub(super) fn watch_broke(&mut self, id: usize, why: &'static str) {
-        if self.old_watch.as_ref().is_some_and(|old| old.0 == id) {
-            return self.end_old_watch(why);
+    /// Keeps the list held, and opens the watch again after a delay.
+    pub(super) fn watch_lost(&mut self, id: usize, why: &'static str) {
+        if self.previous_watch.as_ref().is_some_and(|old| old.0 == id) {
+            return self.close_previous_watch(why);
         }
-        self.watch_on = None;
-        self.watching = false;
-        self.end_watch(id, self.watch.index, why);
-        self.watch_later();
+        self.watch_id = None;
+        self.watch_answered = false;
+        self.close_watch(id, self.watch.index, why);
+        self.schedule_watch();
     }
 }
--- a/crates/gateway/src/gateway/invariant_checks.rs
+++ b/crates/gateway/src/gateway/invariant_checks.rs
@@ -1,113 +1,118 @@
-//! Where the invariants are looked at while the process runs: each break is counted and logged with the RPC's id.
+//! Checks the invariants at run time. Each violation is counted and logged with the transaction id
+//! of the RPC.
 
 use super::*;
 use crate::guard::Denial;
 
-/// An answer so long after the client's time only earns nothing; a later one is a lost RPC (the operators' standing test).
+/// An answer that is later than the client's deadline by at most this earns nothing but is allowed;
+/// a later one counts as a lost RPC (the operators' standing test).
 const ANSWER_SLACK: Nanos = 500 * MS;
 
-impl PolicyHost {
-    /// Counts what an invariant was found to be; a break is logged.
+impl AdmissionHost {
+    /// Counts the result of a check and logs a violation.
     fn check(&mut self, invariant: Invariant, holds: bool, txn: &[u8]) {
         if holds {
-            return self.counts.record_held(invariant);
+            return self.invariant_counts.record_held(invariant);
         }
-        self.counts.record_violated(invariant);
+        self.invariant_counts.record_violated(invariant);
         warn!(self.log, "invariant broken"; "invariant" => invariant.name(),
             "txn" => %String::from_utf8_lossy(txn));
     }
 
-    /// Counts what the guard said of an attempt that is about to be written.
-    pub(super) fn count_send(&mut self, verdict: Result<(), Denial>) {
+    /// Counts the verdict of the guard on an attempt that is about to be written.
+    pub(super) fn count_send_check(&mut self, verdict: Result<(), Denial>) {
         match verdict {
-            Err(obstacle) => self.counts.record_withheld(obstacle.invariant()),
+            Err(denial) => self.invariant_counts.record_withheld(denial.invariant()),
             Ok(()) => {
-                let looked_at = [
+                let checked = [
                     Invariant::ClientPresent,
                     Invariant::TimeLeft,
                     Invariant::RepeatAllowed,
                     Invariant::ServerListed,
                 ];
-                looked_at.into_iter().for_each(|invariant| self.counts.record_held(invariant));
+                checked.into_iter().for_each(|invariant| self.invariant_counts.record_held(invariant));
             }
         }
     }
 
-    /// Asks the guard whether an RPC that was read now may begin.
+    /// Asks the guard whether an RPC that was just read may be admitted.
     pub(super) fn may_admit(&mut self, txn: &[u8], deadline: Nanos) -> bool {
-        let lasted = self.turn_lasted();
-        let begin = guard::AdmissionCheck {
-            now: self.net.now + lasted,
+        let elapsed = self.elapsed_in_turn();
+        let check = guard::AdmissionCheck {
+            now: self.net.now + elapsed,
             deadline,
             last_turn: self.last_turn,
-            this_turn: lasted + self.caught_up,
-            max_turn: self.turn_most,
+            this_turn: elapsed + self.time_advanced,
+            max_turn: self.max_turn,
             shutdown: self.shutdown,
         };
-        match guard::may_admit(&begin) {
+        match guard::may_admit(&check) {
             Ok(()) => {
-                self.counts.record_held(Invariant::AdmittedInTime);
+                self.invariant_counts.record_held(Invariant::AdmittedInTime);
                 true
             }
-            Err(obstacle) => {
-                self.counts.record_withheld(obstacle.invariant());
-                self.log_turned_away(txn, 503, obstacle.reason());
+            Err(denial) => {
+                self.invariant_counts.record_withheld(denial.invariant());
+                self.log_direct_answer(txn, 503, denial.reason());
                 false
             }
         }
     }
 
-    /// Asks the guard whether the module's refusal of an RPC is true. It withholds one that isn't, so that the RPC is
-    /// answered as failed.
-    pub(super) fn refusal_is_harmless(&mut self, id: u32) -> bool {
+    /// Asks the guard whether the admission controller may reject an RPC, which tells the client
+    /// that retrying is harmless. If the guard withholds the rejection, the RPC is answered as
+    /// failed.
+    pub(super) fn rejection_is_harmless(&mut self, id: u32) -> bool {
         let Some(rpc) = self.rpcs.get(&id) else { return true };
-        let harmless = guard::may_reject(self.net.now, rpc.effect, rpc.first_run);
+        let harmless = guard::may_reject(self.net.now, rpc.retry_safety, rpc.first_run);
         if harmless {
-            self.counts.record_held(Invariant::RefusalHarmless);
+            self.invariant_counts.record_held(Invariant::RefusalHarmless);
         } else {
-            self.counts.record_withheld(Invariant::RefusalHarmless);
-            warn!(self.log, "refusal withheld"; "txn" => %String::from_utf8_lossy(&rpc.id));
+            self.invariant_counts.record_withheld(Invariant::RefusalHarmless);
+            warn!(self.log, "refusal withheld"; "txn" => %String::from_utf8_lossy(&rpc.txn));
         }
         harmless
     }
 
-    /// Looks at an answer as the last of it is out.
-    pub(super) fn check_answer(&mut self, owed: &UnsentAnswer) {
-        let Some(deadline) = owed.deadline else { return };
-        let now = self.net.now + self.turn_lasted();
+    /// Checks an answer once it is fully written.
+    pub(super) fn check_answer(&mut self, answer: &UnsentAnswer) {
+        let Some(deadline) = answer.deadline else { return };
+        let now = self.net.now + self.elapsed_in_turn();
         let in_time = now <= deadline + ANSWER_SLACK;
-        let in_life = self.shutdown.is_none_or(|shutdown| now <= shutdown.exit_at);
-        self.check(Invariant::AnswerInTime, in_time && in_life, &owed.txn);
-        self.check(Invariant::OneAnswer, true, &owed.txn);
+        let before_exit = self.shutdown.is_none_or(|shutdown| now <= shutdown.exit_at);
+        self.check(Invariant::AnswerInTime, in_time && before_exit, &answer.txn);
+        self.check(Invariant::OneAnswer, true, &answer.txn);
     }
 
-    /// Looks at a client's connection as it ends. One that its client ended, or that reads nothing, owes nothing more.
-    pub(super) fn check_end_of_client(&mut self, id: usize, end: CloseCause) {
+    /// Checks a client's connection when it is closed. A connection that the client closed, or that
+    /// it does not read from, owes no answer.
+    pub(super) fn check_client_close(&mut self, id: usize, cause: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
-        if let Some(owed) = client.phase.unsent_answer() {
-            self.log_unwritten(&owed.txn, end.reason(), self.net.unsent_bytes(id));
+        if let Some(answer) = client.phase.unsent_answer() {
+            self.log_unwritten(&answer.txn, cause.reason(), self.net.unsent_bytes(id));
         }
-        let owes = client.phase.pending_rpc().is_some() || client.phase.unsent_answer().is_some();
-        let excused = matches!(end, CloseCause::ClientClosed(_) | CloseCause::WriteTimeout);
+        let owes_answer = client.phase.pending_rpc().is_some() || client.phase.unsent_answer().is_some();
+        let excused = matches!(cause, CloseCause::ClientClosed(_) | CloseCause::WriteTimeout);
         let txn = self.txn_on(client);
-        self.check(Invariant::OneAnswer, excused || !owes, &txn);
+        self.check(Invariant::OneAnswer, excused || !owes_answer, &txn);
     }
 
-    /// An end was asked for that would have taken an answer with it.
-    pub(super) fn withhold_end(&mut self, id: usize, end: CloseCause) {
+    /// Records that a close was withheld because it would have lost an answer.
+    pub(super) fn withhold_close(&mut self, id: usize, cause: CloseCause) {
         let Some(client) = self.clients.get(&id) else { return };
         let txn = self.txn_on(client);
-        self.counts.record_withheld(Invariant::OneAnswer);
-        warn!(self.log, "end withheld"; "why" => end.reason(), "txn" => %String::from_utf8_lossy(&txn));
+        self.invariant_counts.record_withheld(Invariant::OneAnswer);
+        warn!(self.log, "end withheld"; "why" => cause.reason(), "txn" => %String::from_utf8_lossy(&txn));
     }
 
-    /// Looks at what the process leaves as it ends: an RPC without an answer, and an answer that its client did not take.
-    pub(super) fn check_end_of_process(&mut self) {
+    /// Checks what is left when the process exits: RPCs without an answer, and answers that were
+    /// not fully written.
+    pub(super) fn check_process_end(&mut self) {
         let clients: Vec<usize> = self.clients.keys().copied().collect();
         for id in clients {
             let Some(client) = self.clients.get(&id) else { continue };
-            if let Some(owed) = client.phase.unsent_answer() {
-                self.log_unwritten(&owed.txn, "process-ends", self.net.unsent_bytes(id));
+            if let Some(answer) = client.phase.unsent_answer() {
+                self.log_unwritten(&answer.txn, "process-ends", self.net.unsent_bytes(id));
             }
             let answered = client.phase.pending_rpc().is_none();
             let txn = self.txn_on(client);
@@ -115,16 +120,17 @@
         }
     }
 
-    /// The id of the RPC that is at hand or being answered on a connection; empty if there is none.
+    /// The transaction id of the RPC that is pending or being answered on a connection; empty if
+    /// there is none.
     fn txn_on(&self, client: &Client) -> Box<[u8]> {
         let waiting =
-            client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.id.clone());
-        let answering = || client.phase.unsent_answer().map(|owed| owed.txn.clone());
+            client.phase.pending_rpc().and_then(|(rpc, _)| self.rpcs.get(&rpc)).map(|rpc| rpc.txn.clone());
+        let answering = || client.phase.unsent_answer().map(|answer| answer.txn.clone());
         waiting.or_else(answering).unwrap_or_default()
     }
 
-    /// The header line by which operators see the counts.
-    pub(super) fn counts_line(&self) -> String {
-        format!("X-Invariants: {}\n", self.counts.summary())
+    /// The header line that shows the counts to operators.
+    pub(super) fn invariants_header(&self) -> String {
+        format!("X-Invariants: {}\n", self.invariant_counts.summary())
     }
 }
--- a/crates/gateway/src/gateway/rpc_log.rs
+++ b/crates/gateway/src/gateway/rpc_log.rs
@@ -1,11 +1,12 @@
-//! Log lines that name an RPC by its client's id: retries, attempts that did not end well, answers of the gateway's own,
-//! clients that left; and while the process stops, every attempt and every answer.
+//! Log lines that identify an RPC by its transaction id: retries, attempts that did not succeed,
+//! answers of the gateway itself, clients that left; during a shutdown, every attempt and every
+//! answer.
 
 use super::*;
 
-/// The reason code of how an attempt ended.
-fn end_code(how: CallOutcome) -> &'static str {
-    match how {
+/// The reason code for the end of an attempt.
+fn outcome_code(outcome: CallOutcome) -> &'static str {
+    match outcome {
         CallOutcome::Ok => "ok",
         CallOutcome::Error => "error",
         CallOutcome::Full => "turned-away",
@@ -17,57 +18,59 @@
     }
 }
 
-fn text(id: &[u8]) -> std::borrow::Cow<'_, str> {
-    String::from_utf8_lossy(id)
+fn lossy_text(txn: &[u8]) -> std::borrow::Cow<'_, str> {
+    String::from_utf8_lossy(txn)
 }
 
-impl PolicyHost {
-    /// An attempt was asked for; logged for retries, and while the process stops.
+impl AdmissionHost {
+    /// Logs the start of an attempt if it is a retry, and every one during a shutdown.
     pub(super) fn log_attempt(&self, attempt: &Attempt, server: u32) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if attempt.number == 0 && !self.is_stopping() {
+        if attempt.number == 0 && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt"; "txn" => %text(&rpc.id), "number" => attempt.number, "to" => shown(address),
+        info!(self.log, "attempt"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.number, "to" => address_text(address),
             "limit_ms" => attempt.deadline.saturating_sub(attempt.requested_at) / MS, "repeat" => attempt.number > 0);
     }
 
-    /// An attempt ended; logged unless it went well, and always while the process stops.
-    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, how: CallOutcome) {
+    /// Logs the end of an attempt unless it succeeded, and every one during a shutdown.
+    pub(super) fn log_attempt_end(&self, attempt: &Attempt, server: u32, outcome: CallOutcome) {
         let Some(rpc) = self.rpcs.get(&attempt.rpc) else { return };
-        if how == CallOutcome::Ok && !self.is_stopping() {
+        if outcome == CallOutcome::Ok && !self.is_shutting_down() {
             return;
         }
         let address = self.servers.by_number.get(&server).map(|server| server.address);
-        info!(self.log, "attempt ended"; "txn" => %text(&rpc.id), "number" => attempt.number, "to" => shown(address),
-            "how" => end_code(how), "ms" => (self.net.now - attempt.requested_at) / MS);
+        info!(self.log, "attempt ended"; "txn" => %lossy_text(&rpc.txn), "number" => attempt.number, "to" => address_text(address),
+            "how" => outcome_code(outcome), "ms" => (self.net.now - attempt.requested_at) / MS);
     }
 
-    /// An RPC got its final answer; `why` tells an answer of the gateway's own from a server's.
+    /// Logs the final answer to an RPC; `why` distinguishes answers of the gateway itself from
+    /// those of a server.
     pub(super) fn log_answer(&self, id: u32, status: u16, why: &'static str) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        if status == 200 && !self.is_stopping() {
+        if status == 200 && !self.is_shutting_down() {
             return;
         }
-        info!(self.log, "answer"; "txn" => %text(&rpc.id), "status" => status, "why" => why,
-            "attempts" => rpc.call_outs, "ms" => self.net.now.saturating_sub(rpc.since) / MS);
+        info!(self.log, "answer"; "txn" => %lossy_text(&rpc.txn), "status" => status, "why" => why,
+            "attempts" => rpc.attempts, "ms" => self.net.now.saturating_sub(rpc.received_at) / MS);
     }
 
-    /// A message was answered without the module.
-    pub(super) fn log_turned_away(&self, id: &[u8], status: u16, why: &'static str) {
-        info!(self.log, "answer"; "txn" => %text(id), "status" => status, "why" => why, "attempts" => 0);
+    /// Logs a message that was answered without the admission controller.
+    pub(super) fn log_direct_answer(&self, txn: &[u8], status: u16, why: &'static str) {
+        info!(self.log, "answer"; "txn" => %lossy_text(txn), "status" => status, "why" => why, "attempts" => 0);
     }
 
-    /// An RPC ended without an answer, since its client had gone.
+    /// Logs an RPC that ended without an answer because its client left.
     pub(super) fn log_abandoned(&self, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        info!(self.log, "abandoned"; "txn" => %text(&rpc.id), "attempts" => rpc.call_outs,
-            "ms" => self.net.now.saturating_sub(rpc.since) / MS);
+        info!(self.log, "abandoned"; "txn" => %lossy_text(&rpc.txn), "attempts" => rpc.attempts,
+            "ms" => self.net.now.saturating_sub(rpc.received_at) / MS);
     }
 
-    /// A client's connection ends with so many bytes of an answer not handed to the system.
+    /// Logs a client's connection that is closed with this many bytes of an answer not yet handed
+    /// to the operating system.
     pub(super) fn log_unwritten(&self, txn: &[u8], why: &'static str, bytes: usize) {
-        warn!(self.log, "answer not written"; "txn" => %text(txn), "why" => why, "bytes" => bytes);
+        warn!(self.log, "answer not written"; "txn" => %lossy_text(txn), "why" => why, "bytes" => bytes);
     }
 }
--- a/crates/gateway/src/gateway/server_handler.rs
+++ b/crates/gateway/src/gateway/server_handler.rs
@@ -1,163 +1,180 @@
-//! The gateway's side of servers: a connection for each call-out, and how the call-out ended.
+//! Handles connections to servers: opens or reuses one for each attempt, writes the attempt, and
+//! reads its answer.
 
 use super::*;
 use crate::guard::Denial;
 
-impl PolicyHost {
-    /// An idle connection to a server, the one used last, or a new one.
-    pub(super) fn link_to(&mut self, server: u32) -> Option<usize> {
+impl AdmissionHost {
+    /// Takes the most recently used idle connection to a server, or opens a new one.
+    pub(super) fn connection_to(&mut self, server: u32) -> Option<usize> {
         let now = self.net.now;
         loop {
-            let at = self.servers.by_number.get_mut(&server)?;
-            let Some((id, since)) = at.idle_connections.pop() else { break };
-            let rested = now - since;
-            if rested >= self.idle || !self.servers.reuse_history.allows(now, rested) {
-                self.end_link(id, "idle");
+            let entry = self.servers.by_number.get_mut(&server)?;
+            let Some((id, since)) = entry.idle_connections.pop() else { break };
+            let idle_for = now - since;
+            if idle_for >= self.idle_timeout || !self.servers.reuse_history.allows(now, idle_for) {
+                self.close_server_connection(id, "idle");
                 continue;
             }
-            // Guards against writing to a connection that the server has closed, and against taking what it sent
-            // unasked for the next answer: both may have come since the last poll. Harm: a read for each call-out.
+            // Finds connections that the server has closed, and unsolicited data that would be
+            // taken for the next answer; either may have arrived since the last poll. The cost: one
+            // read per attempt.
             self.net.read(id, false);
-            let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-            match unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
-                Some(why) => self.end_link(id, why),
+            let unsolicited = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
+            match unsolicited.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+                Some(why) => self.close_server_connection(id, why),
                 None => {
-                    self.links.entry(id).and_modify(|link| link.idle_for = Some(rested));
+                    self.server_connections
+                        .entry(id)
+                        .and_modify(|connection| connection.idle_for = Some(idle_for));
                     return Some(id);
                 }
             }
         }
-        if self.links.len() >= self.links_most && !self.shed_link() {
+        if self.server_connections.len() >= self.max_server_connections && !self.evict_server_connection() {
             return None;
         }
-        let Server { address, started_at: came_up, .. } = *self.servers.by_number.get(&server)?;
-        let id = self.connect(address, Peer::Server, MESSAGE_MOST);
+        let Server { address, started_at, .. } = *self.servers.by_number.get(&server)?;
+        let id = self.connect(address, Peer::Server, MAX_MESSAGE_LEN);
         let id = id.map_err(|e| warn!(self.log, "can't connect"; "to" => %address, "error" => %e)).ok()?;
-        self.links.insert(id, ServerConnection::new(server, came_up));
-        if let Some(at) = self.servers.by_number.get_mut(&server) {
-            at.open_connections += 1;
+        self.server_connections.insert(id, ServerConnection::new(server, started_at));
+        if let Some(entry) = self.servers.by_number.get_mut(&server) {
+            entry.open_connections += 1;
         }
-        self.timers.set(now + self.dial, TimerEvent::Dial(id));
+        self.timers.set(now + self.connect_timeout, TimerEvent::ConnectTimeout(id));
         Some(id)
     }
 
-    /// Writes the attempt that a connection was asked to carry, if all that was true when it was asked for still is. An
-    /// attempt of which no byte was written is provably not run and may go elsewhere; the connection is kept.
+    /// Writes the attempt assigned to a connection, if the conditions that held when it was
+    /// requested still do. An attempt of which no byte was written has provably not run and may go
+    /// to another server; the connection is kept.
     pub(super) fn write_attempt(&mut self, id: usize) {
-        let Some(ServerConnection { stage: Stage::Requested(attempt), server, .. }) = self.links.get(&id)
+        let Some(ServerConnection { stage: Stage::Requested(attempt), server, .. }) =
+            self.server_connections.get(&id)
         else {
             return;
         };
         let (attempt, server) = (*attempt, *server);
-        // Guards against taking for its answer what the server sent unasked, and against writing to what it has closed:
-        // both may have come since the connection was taken up. Harm: a read for each attempt.
+        // Finds unsolicited data that would be taken for the answer, and a connection that the
+        // server has closed; either may have arrived since the connection was chosen. The cost: one
+        // read per attempt.
         self.net.read(id, false);
-        let unasked = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
-        if let Some(why) = unasked.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
-            return self.give_up(id, self.unwritten(id), why);
+        let unsolicited = (!self.net.input(id).is_empty()).then_some("answer-without-call-out");
+        if let Some(why) = unsolicited.or(self.net.connection_end(id).map(ConnectionEnd::reason)) {
+            return self.abandon_connection(id, self.unwritten_end(id), why);
         }
-        if let Err(obstacle) = self.may_send(id, &attempt) {
-            info!(self.log, "not written"; "why" => obstacle.reason(), "rpc" => attempt.rpc, "attempt" => attempt.number,
+        if let Err(denial) = self.may_send(id, &attempt) {
+            info!(self.log, "not written"; "why" => denial.reason(), "rpc" => attempt.rpc, "attempt" => attempt.number,
                 "ms" => (self.net.now - attempt.requested_at) / MS);
-            self.end_call_out(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
-            return self.rest_link(id);
+            self.end_attempt(server, attempt, CallOutcome::NotSent, 0.0, Vec::new());
+            return self.return_to_pool(id);
         }
-        let PolicyHost { net, links, rpcs, .. } = self;
-        let (Some(rpc), Some(link)) = (rpcs.get_mut(&attempt.rpc), links.get_mut(&id)) else { return };
+        let AdmissionHost { net, server_connections, rpcs, .. } = self;
+        let (Some(rpc), Some(connection)) = (rpcs.get_mut(&attempt.rpc), server_connections.get_mut(&id))
+        else {
+            return;
+        };
         rpc.written = true;
         let wait = attempt.deadline.min(rpc.deadline).saturating_sub(net.now);
         if let Some((message, out)) = net.input_and_output(rpc.client, id) {
-            link.write_attempt(out, attempt, &rpc.message, message, wait);
+            connection.write_attempt(out, attempt, &rpc.message, message, wait);
         }
     }
 
-    /// How an attempt ended of which nothing was written. That a connection went while it rested says nothing of the server.
-    fn unwritten(&self, id: usize) -> CallOutcome {
-        let rested = self.links.get(&id).is_some_and(|link| link.idle_for.is_some());
-        if rested { CallOutcome::NotSent } else { CallOutcome::NoConnection }
+    /// How an attempt ended of which nothing was written. If an idle connection was closed, that
+    /// says nothing about the server.
+    fn unwritten_end(&self, id: usize) -> CallOutcome {
+        let was_reused =
+            self.server_connections.get(&id).is_some_and(|connection| connection.idle_for.is_some());
+        if was_reused { CallOutcome::NotSent } else { CallOutcome::NoConnection }
     }
 
     /// Asks the guard whether an attempt may be written on this connection.
     fn may_send(&mut self, id: usize, attempt: &Attempt) -> Result<(), Denial> {
-        let Some(link) = self.links.get(&id) else { return Err(Denial::ServerMoved) };
-        let there = |rpc: &&Rpc| rpc.state != RpcState::Answered && self.clients.contains_key(&rpc.client);
-        let rpc = self.rpcs.get(&attempt.rpc).filter(there);
+        let Some(connection) = self.server_connections.get(&id) else { return Err(Denial::ServerMoved) };
+        let is_active =
+            |rpc: &&Rpc| rpc.state != RpcState::Answered && self.clients.contains_key(&rpc.client);
+        let rpc = self.rpcs.get(&attempt.rpc).filter(is_active);
         let send = guard::SendCheck {
             now: self.net.now,
             client_present: rpc.is_some(),
             answer_by: attempt.deadline,
             write_by: attempt.write_by,
-            retry_safety: rpc.map_or(RetrySafety::AtMostOnce, |rpc| rpc.effect),
+            retry_safety: rpc.map_or(RetrySafety::AtMostOnce, |rpc| rpc.retry_safety),
             first_run: rpc.and_then(|rpc| rpc.first_run),
-            server: self.server_now(id, link),
+            server: self.server_status(id, connection),
         };
         let verdict = guard::may_send(&send);
-        self.count_send(verdict);
+        self.count_send_check(verdict);
         verdict
     }
 
-    /// What the list says now of the server that a connection leads to.
-    fn server_now(&self, id: usize, link: &ServerConnection) -> ServerStatus {
+    /// The current listed state of the server that a connection leads to.
+    fn server_status(&self, id: usize, connection: &ServerConnection) -> ServerStatus {
         let listed =
-            self.servers.by_number.get(&link.server).filter(|server| server.is_listed && server.ready);
+            self.servers.by_number.get(&connection.server).filter(|server| server.is_listed && server.ready);
         match listed {
             None => ServerStatus::Unavailable,
-            Some(server) if self.is_same(id, link, server) => ServerStatus::Ready,
+            Some(server) if self.leads_to_current(id, connection, server) => ServerStatus::Ready,
             Some(_) => ServerStatus::Moved,
         }
     }
 
-    /// Whether the connection leads to what the server is now.
-    fn is_same(&self, id: usize, link: &ServerConnection, server: &Server) -> bool {
-        self.net.address(id) == Some(server.address) && link.server_started_at == server.started_at
+    /// Whether the connection leads to the current address and incarnation of the server.
+    fn leads_to_current(&self, id: usize, connection: &ServerConnection, server: &Server) -> bool {
+        self.net.address(id) == Some(server.address) && connection.server_started_at == server.started_at
     }
 
-    pub(super) fn server_came(&mut self, id: usize) {
-        let PolicyHost { net, links, .. } = self;
-        let Some(link) = links.get_mut(&id) else { return };
+    /// Processes input from a server, or the end of its connection.
+    pub(super) fn read_server(&mut self, id: usize) {
+        let AdmissionHost { net, server_connections, .. } = self;
+        let Some(connection) = server_connections.get_mut(&id) else { return };
         let ended = net.connection_end(id);
-        let Stage::InFlight(call) = link.stage else {
-            // Nothing was written: whatever comes, the connection is of no more use.
-            let unasked = (!net.input(id).is_empty()).then_some("answer-without-call-out");
-            if let Some(why) = ended.map(ConnectionEnd::reason).or(unasked) {
-                self.give_up(id, self.unwritten(id), why);
+        let Stage::InFlight(attempt) = connection.stage else {
+            // Nothing was written, so any input or close makes the connection unusable.
+            let unsolicited = (!net.input(id).is_empty()).then_some("answer-without-call-out");
+            if let Some(why) = ended.map(ConnectionEnd::reason).or(unsolicited) {
+                self.abandon_connection(id, self.unwritten_end(id), why);
             }
             return;
         };
-        match link.parse_response(net.input(id), ended) {
+        match connection.parse_response(net.input(id), ended) {
             Ok(Some(answer)) => {
-                let server = link.server;
-                if let Some(rested) = link.idle_for {
-                    self.servers.reuse_history.record(net.now, rested, false);
+                let server = connection.server;
+                if let Some(idle_for) = connection.idle_for {
+                    self.servers.reuse_history.record(net.now, idle_for, false);
                 }
                 let load = answer.load_report.clone().map_or(&[][..], |load| &net.input(id)[load]);
                 let load = if load.is_empty() {
                     Vec::new()
                 } else {
-                    servers::parse_load_report(load, &self.columns)
+                    servers::parse_load_report(load, &self.load_columns)
                 };
                 if answer.outcome == CallOutcome::Ok {
-                    self.pass_on(id, call.rpc, &answer);
+                    self.forward_answer(id, attempt.rpc, &answer);
                 }
-                let unasked = self.net.input(id).len() > answer.message_length;
+                let unsolicited = self.net.input(id).len() > answer.message_length;
                 self.net.consume(id, answer.message_length);
-                self.end_call_out(server, call, answer.outcome, answer.settled, load);
-                if answer.reusable && !unasked && self.net.is_flushed(id) {
-                    self.rest_link(id);
+                self.end_attempt(server, attempt, answer.outcome, answer.settled, load);
+                if answer.reusable && !unsolicited && self.net.is_flushed(id) {
+                    self.return_to_pool(id);
                 } else {
-                    self.end_link(id, if unasked { "answer-without-call-out" } else { "server-closes" });
+                    self.close_server_connection(
+                        id,
+                        if unsolicited { "answer-without-call-out" } else { "server-closes" },
+                    );
                 }
             }
-            Ok(None) => drop(ended.map(|ending| self.break_off(id, ending.reason()))),
-            Err(why) => self.break_off(id, why),
+            Ok(None) => drop(ended.map(|ending| self.connection_failed(id, ending.reason()))),
+            Err(why) => self.connection_failed(id, why),
         }
     }
 
-    /// A server's 200 answer goes to the client, its body unchanged.
-    pub(super) fn pass_on(&mut self, link: usize, id: u32, answer: &Response) {
+    /// Forwards a server's 200 answer to the client, with its body unchanged.
+    pub(super) fn forward_answer(&mut self, connection: usize, id: u32, answer: &Response) {
         let Some(rpc) = self.rpcs.get(&id).filter(|rpc| rpc.state != RpcState::Answered) else { return };
-        let (client, close) = (rpc.client, self.closes(rpc));
-        if let Some((input, out)) = self.net.input_and_output(link, client) {
+        let (client, close) = (rpc.client, self.closes_after(rpc));
+        if let Some((input, out)) = self.net.input_and_output(connection, client) {
             let body = match &answer.body {
                 Body::Buffered(range) => &input[range.clone()],
                 Body::Decoded(bytes) => bytes,
@@ -166,109 +183,123 @@
             out.extend_from_slice(body);
         }
         self.log_answer(id, 200, "served");
-        self.answered(id, client, close);
+        self.answer_queued(id, client, close);
     }
 
-    pub(super) fn rest_link(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        link.stage = Stage::Idle;
-        let (number, now) = (link.server, self.net.now);
-        let (link, server) = (&self.links[&id], self.servers.by_number.get(&number));
-        let kept = server.is_some_and(|server| server.is_listed && self.is_same(id, link, server));
-        match self.servers.by_number.get_mut(&number).filter(|_| kept) {
+    /// Keeps a connection for reuse, or closes it if its server was delisted, moved or restarted.
+    pub(super) fn return_to_pool(&mut self, id: usize) {
+        let Some(connection) = self.server_connections.get_mut(&id) else { return };
+        connection.stage = Stage::Idle;
+        let (number, now) = (connection.server, self.net.now);
+        let (connection, server) = (&self.server_connections[&id], self.servers.by_number.get(&number));
+        let reusable =
+            server.is_some_and(|server| server.is_listed && self.leads_to_current(id, connection, server));
+        match self.servers.by_number.get_mut(&number).filter(|_| reusable) {
             Some(server) => server.idle_connections.push((id, now)),
-            None => self.end_link(id, "server-gone"),
+            None => self.close_server_connection(id, "server-gone"),
         }
     }
 
     /// Whether the attempt on this connection may have run: its last byte was written.
     fn may_have_run(&self, id: usize) -> bool {
-        let out = self.links.get(&id).is_some_and(|link| matches!(link.stage, Stage::InFlight(_)));
-        out && self.net.is_flushed(id)
+        let is_written = self
+            .server_connections
+            .get(&id)
+            .is_some_and(|connection| matches!(connection.stage, Stage::InFlight(_)));
+        is_written && self.net.is_flushed(id)
     }
 
-    /// The connection can't be used on: its call-out ends by whether the last byte had been written.
-    pub(super) fn break_off(&mut self, id: usize, why: &'static str) {
-        let how = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
-        if let Some(rested) = self.links.get(&id).and_then(|link| link.idle_for).filter(|_| why == "reset") {
-            self.servers.reuse_history.record(self.net.now, rested, true);
+    /// Handles a failed connection. How its attempt ended depends on whether the last byte had been
+    /// written.
+    pub(super) fn connection_failed(&mut self, id: usize, why: &'static str) {
+        let outcome = if self.may_have_run(id) { CallOutcome::Reset } else { CallOutcome::NoConnection };
+        if let Some(idle_for) = self
+            .server_connections
+            .get(&id)
+            .and_then(|connection| connection.idle_for)
+            .filter(|_| why == "reset")
+        {
+            self.servers.reuse_history.record(self.net.now, idle_for, true);
         }
-        self.give_up(id, how, why);
+        self.abandon_connection(id, outcome, why);
     }
 
-    pub(super) fn give_up(&mut self, id: usize, how: CallOutcome, why: &'static str) {
-        let Some(link) = self.links.get(&id) else { return };
-        if let Some(attempt) = link.attempt() {
-            self.end_call_out(link.server, attempt, how, 0.0, Vec::new());
+    /// Ends the attempt on a connection with this outcome, and closes the connection.
+    pub(super) fn abandon_connection(&mut self, id: usize, outcome: CallOutcome, why: &'static str) {
+        let Some(connection) = self.server_connections.get(&id) else { return };
+        if let Some(attempt) = connection.attempt() {
+            self.end_attempt(connection.server, attempt, outcome, 0.0, Vec::new());
         }
-        self.end_link(id, why);
+        self.close_server_connection(id, why);
     }
 
-    /// The time of a call-out is over.
-    pub(super) fn call_out_over(&mut self, id: usize, rpc: u32, nth: u16) {
-        if self.links.get(&id).is_some_and(|link| link.carries(rpc, nth)) {
-            let how = if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
-            self.give_up(id, how, "call-out-timed-out");
+    /// Ends an attempt whose time limit is over.
+    pub(super) fn attempt_timed_out(&mut self, id: usize, rpc: u32, attempt: u16) {
+        if self.server_connections.get(&id).is_some_and(|connection| connection.carries(rpc, attempt)) {
+            let outcome =
+                if self.may_have_run(id) { CallOutcome::TimedOut } else { CallOutcome::NoConnection };
+            self.abandon_connection(id, outcome, "call-out-timed-out");
         }
     }
 
-    pub(super) fn dial_over(&mut self, id: usize) {
-        if self.links.get(&id).is_some_and(|link| !link.is_connected) {
-            self.give_up(id, CallOutcome::NoConnection, "never-came-up");
+    pub(super) fn connect_timed_out(&mut self, id: usize) {
+        if self.server_connections.get(&id).is_some_and(|connection| !connection.is_connected) {
+            self.abandon_connection(id, CallOutcome::NoConnection, "never-came-up");
         }
     }
 
-    pub(super) fn end_call_out(
+    /// Records the end of an attempt and queues it for the admission controller.
+    pub(super) fn end_attempt(
         &mut self,
         server: u32,
-        call: Attempt,
-        how: CallOutcome,
+        attempt: Attempt,
+        outcome: CallOutcome,
         settled: f64,
         load: Vec<f64>,
     ) {
-        self.log_attempt_end(&call, server, how);
-        let Some(rpc) = self.rpcs.get_mut(&call.rpc) else { return };
-        rpc.open = false;
-        if !matches!(how, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
+        self.log_attempt_end(&attempt, server, outcome);
+        let Some(rpc) = self.rpcs.get_mut(&attempt.rpc) else { return };
+        rpc.attempt_in_flight = false;
+        if !matches!(outcome, CallOutcome::NoConnection | CallOutcome::NotSent | CallOutcome::Full) {
             rpc.first_run =
-                Some(rpc.first_run.map_or(call.requested_at, |first| first.min(call.requested_at)));
+                Some(rpc.first_run.map_or(attempt.requested_at, |first| first.min(attempt.requested_at)));
         }
         let closed = rpc.state == RpcState::Answered;
         if closed {
-            self.forget(call.rpc);
+            self.remove_rpc(attempt.rpc);
         } else {
-            self.shift(call.rpc, RpcState::Held);
+            self.set_rpc_state(attempt.rpc, RpcState::Pending);
         }
-        let took = self.net.now - call.requested_at;
-        let (rpc, nth) = (call.rpc, call.number);
-        self.ended.push_back(AttemptResult {
+        let duration = self.net.now - attempt.requested_at;
+        let (rpc, number) = (attempt.rpc, attempt.number);
+        self.ended_attempts.push_back(AttemptResult {
             rpc,
             server,
-            attempt: nth,
-            outcome: how,
-            duration: took,
+            attempt: number,
+            outcome,
+            duration,
             rpc_answered: closed,
             settled_units: settled,
             load_report: load,
         });
     }
 
-    pub(super) fn end_link(&mut self, id: usize, why: &'static str) {
-        let Some(link) = self.links.remove(&id) else { return };
-        if let Some(server) = self.servers.by_number.get_mut(&link.server) {
+    pub(super) fn close_server_connection(&mut self, id: usize, why: &'static str) {
+        let Some(connection) = self.server_connections.remove(&id) else { return };
+        if let Some(server) = self.servers.by_number.get_mut(&connection.server) {
             server.idle_connections.retain(|idle| idle.0 != id);
             server.open_connections -= 1;
         }
-        info!(self.log, "server"; "why" => why, "to" => shown(self.net.address(id)), "call_outs" => link.attempts,
+        info!(self.log, "server"; "why" => why, "to" => address_text(self.net.address(id)), "call_outs" => connection.attempts,
             "ms" => (self.net.now - self.net.opened_at(id)) / MS);
         self.net.close(id);
     }
 
-    /// Closes the connection to a server that has been idle for longest.
-    pub(super) fn shed_link(&mut self) -> bool {
-        let oldest = self.met().filter_map(|server| server.idle_connections.first());
+    /// Closes the connection to a server that has been idle for longest; false if none is idle.
+    pub(super) fn evict_server_connection(&mut self) -> bool {
+        let oldest = self.connected_servers().filter_map(|server| server.idle_connections.first());
         let Some(id) = oldest.min_by_key(|idle| idle.1).map(|idle| idle.0) else { return false };
-        self.end_link(id, "made-room");
+        self.close_server_connection(id, "made-room");
         true
     }
 }
--- a/crates/gateway/src/gateway/settings_agreement.rs
+++ b/crates/gateway/src/gateway/settings_agreement.rs
@@ -1,5 +1,6 @@
-//! The gateway's part in the agreement on settings: its file and the datagrams of others go to the state machine, and the
-//! module gets the settings that may be acted on, or their ground.
+//! The gateway's part in the agreement on settings: feeds its file and the datagrams of other
+//! gateways to the state machine, and gives the admission controller either the confirmed settings
+//! or their fallback.
 
 use super::*;
 use crate::config::Method;
@@ -12,95 +13,102 @@
 use agreement::state::{Agreement, Decision, Mode, Offer, Receipt};
 use agreement::version::Version;
 
-/// A version with what the wire needs of it.
-struct Held {
+/// A version of the settings, with what the HTTP side needs of it.
+struct HeldVersion {
     version: Version,
     methods: Vec<Method>,
     plans: Vec<String>,
     services: Rc<Services>,
 }
 
-pub(super) struct AgreementLink {
+/// The state machine of the agreement, and what the gateway keeps beside it.
+pub(super) struct AgreementHandler {
     state: Agreement,
-    /// Held, and waiting for its time.
-    held: Held,
-    waits: Option<Held>,
+    /// The version held, and the one scheduled for its start time.
+    held: HeldVersion,
+    scheduled: Option<HeldVersion>,
+    /// The version and mode that the admission controller acts on.
     acting: Decision,
-    all: SocketAddr,
-    /// For drills: what is added to the clock here.
-    clock_off: i64,
-    /// When to look again, as the timer that is set has it.
-    looks_at: Nanos,
-    /// Words that counted for nothing because this clock is behind, or the speaker's ahead; logged once a second at most.
-    ahead: u64,
-    ahead_logged: Nanos,
-    number: Option<u32>,
+    /// Where messages for all other gateways are sent.
+    peers: SocketAddr,
+    /// For drills: an offset that is added to the local clock, in nanoseconds.
+    clock_offset: i64,
+    /// When the timer for the next evaluation is due.
+    evaluation_timer_at: Nanos,
+    /// Messages that were ignored because this clock is behind or the sender's is ahead; logged at
+    /// most once a second.
+    clock_skew_count: u64,
+    clock_skew_logged_at: Nanos,
+    gateway_number: Option<u32>,
     lists: ListTracker,
-    /// Servers by their keys, as the own list told of them last.
+    /// Servers by key, as this gateway's own list last reported them.
     entries: BTreeMap<u64, Entry>,
-    tells_list_at: Nanos,
+    next_list_notice_at: Nanos,
 }
 
-impl AgreementLink {
+impl AgreementHandler {
     pub(super) fn source_moved(&mut self) {
         self.lists.change_source();
     }
 }
 
-fn short(content: ContentId) -> String {
+/// The upper 64 bits of the digest, in hexadecimal.
+fn short_digest(content: ContentId) -> String {
     format!("{:016x}", content.digest >> 64)
 }
 
 impl Gateway {
-    /// Starts on the ground of the version that the file has, until it is confirmed.
-    pub(super) fn begin_to_agree(&mut self) {
+    /// Starts with the fallback of the version in the file, until it is confirmed.
+    pub(super) fn start_agreement(&mut self) {
         let host = &mut self.host;
-        let Some(told) = host.config.agreement.take() else { return };
-        // Without them nothing is ever confirmed, so that this gateway stays on its ground.
-        let heard_at = host.net.open_datagrams(told.listen).unwrap_or_else(|e| {
-            warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %told.listen, "error" => %e);
-            told.listen
+        let Some(config) = host.config.agreement.take() else { return };
+        // Without datagrams nothing is ever confirmed, so this gateway stays on its fallback
+        // settings.
+        let bound_to = host.net.open_datagrams(config.listen).unwrap_or_else(|e| {
+            warn!(host.log, "settings"; "why" => "no-datagrams", "at" => %config.listen, "error" => %e);
+            config.listen
         });
         let number = host.config.settings.get("me").and_then(|number| number.parse().ok());
-        let (all, clock_off) = (told.peers, told.clock_offset);
-        let (now, content) = (host.net.now.saturating_add_signed(clock_off), told.version.content_id());
+        let (peers, clock_offset) = (config.peers, config.clock_offset);
+        let (now, content) = (host.net.now.saturating_add_signed(clock_offset), config.version.content_id());
         let mut state =
-            Agreement::new(told.terms, number, host.chance.u32(..), now, content, told.version.start);
-        if told.fresh {
+            Agreement::new(config.terms, number, host.rng.u32(..), now, content, config.version.start);
+        if config.fresh {
             state.skip_recovery();
         }
-        let held = Held {
-            version: told.version,
+        let held = HeldVersion {
+            version: config.version,
             methods: Vec::new(),
             plans: Vec::new(),
             services: host.config.services.clone(),
         };
         let acting = Decision { content, mode: Mode::Fallback };
-        info!(host.log, "agreeing"; "peers" => %heard_at, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
-        self.agreement = Some(AgreementLink {
+        info!(host.log, "agreeing"; "peers" => %bound_to, "voter" => state.is_voter(), "bound_ms" => state.config().contradiction_bound() / MS);
+        self.agreement = Some(AgreementHandler {
             state,
             held,
-            waits: None,
+            scheduled: None,
             acting,
-            all,
-            clock_off,
-            looks_at: 0,
-            ahead: 0,
-            ahead_logged: 0,
-            number,
+            peers,
+            clock_offset,
+            evaluation_timer_at: 0,
+            clock_skew_count: 0,
+            clock_skew_logged_at: 0,
+            gateway_number: number,
             lists: ListTracker::default(),
             entries: BTreeMap::new(),
-            tells_list_at: 0,
+            next_list_notice_at: 0,
         });
         self.act_on(acting, "begins");
-        self.agree();
+        self.evaluate_agreement();
     }
 
-    /// The module acts on this from now on.
+    /// Makes the admission controller act on this version and mode from now on.
     fn act_on(&mut self, acting: Decision, why: &'static str) {
         let Some(agreement) = &mut self.agreement else { return };
         if agreement.held.version.content_id() != acting.content
-            && let Some(new) = agreement.waits.take_if(|waits| waits.version.content_id() == acting.content)
+            && let Some(new) =
+                agreement.scheduled.take_if(|scheduled| scheduled.version.content_id() == acting.content)
         {
             agreement.held = new;
             self.host.config.methods = std::mem::take(&mut agreement.held.methods);
@@ -114,29 +122,32 @@
             Mode::Fallback => version.fallback_settings(),
         };
         let now = self.host.net.now;
-        info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short(acting.content),
+        info!(self.host.log, "settings"; "why" => why, "version" => acting.content.version, "digest" => short_digest(acting.content),
             "acts_on" => if acting.mode == Mode::Confirmed { "version" } else { "ground" }, "at" => now);
         self.host.config.apply_settings(settings.clone());
-        self.brain.update_settings(now, settings);
+        self.controller.update_settings(now, settings);
     }
 
-    /// Looks at what may be acted on by now, before anything is decided, and tells others what there is to tell.
-    pub(super) fn agree(&mut self) {
+    /// Evaluates which settings may be acted on, before anything else is decided, and sends due
+    /// messages to the other gateways.
+    pub(super) fn evaluate_agreement(&mut self) {
         let Some(agreement) = &mut self.agreement else { return };
-        let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
-        let words = agreement.state.poll_messages(now);
-        words.iter().for_each(|word| self.host.net.send_datagram(agreement.all, &word.encode()));
-        if agreement.state.is_voter() && now >= agreement.tells_list_at {
-            agreement.tells_list_at = now + agreement.state.config().renewal_interval();
+        let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
+        let messages = agreement.state.poll_messages(now);
+        messages.iter().for_each(|message| self.host.net.send_datagram(agreement.peers, &message.encode()));
+        if agreement.state.is_voter() && now >= agreement.next_list_notice_at {
+            agreement.next_list_notice_at = now + agreement.state.config().renewal_interval();
             if let (Some(RemovalAnnouncement { index, removed }), Some(gateway)) =
-                (agreement.lists.announcement(now), agreement.number)
+                (agreement.lists.announcement(now), agreement.gateway_number)
             {
-                self.host.net.send_datagram(agreement.all, &ListNotice { gateway, index, removed }.encode());
+                self.host
+                    .net
+                    .send_datagram(agreement.peers, &ListNotice { gateway, index, removed }.encode());
             }
         }
-        let (was, acting) = (agreement.acting, agreement.state.evaluate(now));
-        if acting != was {
-            let why = match (acting.content == was.content, acting.mode) {
+        let (previous, acting) = (agreement.acting, agreement.state.evaluate(now));
+        if acting != previous {
+            let why = match (acting.content == previous.content, acting.mode) {
                 (_, Mode::Fallback) => "not-confirmed",
                 (true, Mode::Confirmed) => "confirmed",
                 (false, Mode::Confirmed) => "new-version",
@@ -145,40 +156,43 @@
         }
         let Some(agreement) = &mut self.agreement else { return };
         let next = agreement.state.next_evaluation(now);
-        if agreement.looks_at <= now || next < agreement.looks_at {
-            agreement.looks_at = next;
-            self.host.timers.set(next.saturating_add_signed(-agreement.clock_off), TimerEvent::Agree);
+        if agreement.evaluation_timer_at <= now || next < agreement.evaluation_timer_at {
+            agreement.evaluation_timer_at = next;
+            self.host
+                .timers
+                .set(next.saturating_add_signed(-agreement.clock_offset), TimerEvent::EvaluateAgreement);
         }
     }
 
-    pub(super) fn hear(&mut self, bytes: &[u8]) {
+    pub(super) fn receive_datagram(&mut self, bytes: &[u8]) {
         let Some(agreement) = &mut self.agreement else { return };
-        let now = self.host.net.now.saturating_add_signed(agreement.clock_off);
+        let now = self.host.net.now.saturating_add_signed(agreement.clock_offset);
         if let Some(notice) = ListNotice::decode(bytes) {
-            return self.hear_of_list(notice);
+            return self.receive_list_notice(notice);
         }
         let Some(agreement) = &mut self.agreement else { return };
-        let Some(word) = LeaseMessage::decode(bytes) else { return };
-        match agreement.state.receive(now, &word) {
+        let Some(message) = LeaseMessage::decode(bytes) else { return };
+        match agreement.state.receive(now, &message) {
             Receipt::TwoContents => {
-                agreement.waits = None;
-                let content = word.lease.content;
-                warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short(content));
+                agreement.scheduled = None;
+                let content = message.lease.content;
+                warn!(self.host.log, "settings"; "why" => "two-contents", "version" => content.version, "other" => short_digest(content));
             }
             Receipt::SentAhead => {
-                agreement.ahead += 1;
-                if now >= agreement.ahead_logged + 1000 * MS {
-                    agreement.ahead_logged = now;
-                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => word.gateway, "ahead_ms" => (word.sent - now) / MS, "words" => agreement.ahead);
+                agreement.clock_skew_count += 1;
+                if now >= agreement.clock_skew_logged_at + 1000 * MS {
+                    agreement.clock_skew_logged_at = now;
+                    warn!(self.host.log, "settings"; "why" => "clock", "gateway" => message.gateway, "ahead_ms" => (message.sent - now) / MS, "words" => agreement.clock_skew_count);
                 }
             }
             Receipt::Accepted | Receipt::Ignored => {}
         }
-        self.agree();
+        self.evaluate_agreement();
     }
 
-    /// A voter told of the list that it holds: what is out of work there gets nothing new here, if the list here is older.
-    fn hear_of_list(&mut self, notice: ListNotice) {
+    /// A voter announced the list that it holds. If the list held here is older, servers that the
+    /// voter lists as out of service get no new work from this gateway.
+    fn receive_list_notice(&mut self, notice: ListNotice) {
         let Some(agreement) = &mut self.agreement else { return };
         if !agreement.state.config().voters.contains(&notice.gateway) {
             return;
@@ -192,21 +206,21 @@
         let names: Vec<&str> = entries.iter().map(|entry| &*entry.name).collect();
         info!(self.host.log, "list"; "why" => "late", "index" => held, "newer" => notice.index, "held_back" => names.join(","));
         let entries = entries.into_iter().map(|entry| Entry { ready: false, ..entry }).collect();
-        self.list(ListUpdate { index: held, entries, ..ListUpdate::default() });
+        self.queue_filtered_list(ListUpdate { index: held, entries, ..ListUpdate::default() });
     }
 
-    /// What to make of a list: it is changed to what may be taken of it, and what comes after it is told back; nothing
-    /// where it is passed over.
-    pub(super) fn judge_list(&mut self, told: &mut ListUpdate) -> Option<ListUpdate> {
-        let mut more = ListUpdate { index: told.index, ..ListUpdate::default() };
-        let Some(agreement) = &mut self.agreement else { return Some(more) };
-        let seen = |entry: &Entry| ListedServer {
+    /// Filters a list: reduces it to what may be applied, and returns what is to be applied after
+    /// it. `None` if the list is ignored.
+    pub(super) fn filter_list(&mut self, update: &mut ListUpdate) -> Option<ListUpdate> {
+        let mut follow_up = ListUpdate { index: update.index, ..ListUpdate::default() };
+        let Some(agreement) = &mut self.agreement else { return Some(follow_up) };
+        let listed_server = |entry: &Entry| ListedServer {
             key: martenramp::subsetting::key(&entry.name),
             ready: entry.ready,
             started_at: entry.started_ms.saturating_mul(MS),
         };
-        let list: Vec<ListedServer> = told.entries.iter().map(seen).collect();
-        let verdict = agreement.lists.apply(self.host.net.now, told.index, told.is_snapshot, &list);
+        let list: Vec<ListedServer> = update.entries.iter().map(listed_server).collect();
+        let verdict = agreement.lists.apply(self.host.net.now, update.index, update.is_snapshot, &list);
         let count = verdict.held_back.len();
         if verdict.leaves_none_ready || verdict.is_older || count > 0 {
             let why = if verdict.leaves_none_ready {
@@ -216,29 +230,29 @@
             } else {
                 "held-back"
             };
-            warn!(self.host.log, "list"; "why" => why, "index" => told.index, "held" => agreement.lists.index(), "held_back" => count);
+            warn!(self.host.log, "list"; "why" => why, "index" => update.index, "held" => agreement.lists.index(), "held_back" => count);
         }
         if verdict.leaves_none_ready {
             return None;
         }
         let held_back: HashSet<u64> = verdict.held_back.into_iter().collect();
-        for (entry, seen) in told.entries.iter_mut().zip(&list) {
-            agreement.entries.insert(seen.key, entry.clone());
-            entry.ready &= !held_back.contains(&seen.key);
+        for (entry, server) in update.entries.iter_mut().zip(&list) {
+            agreement.entries.insert(server.key, entry.clone());
+            entry.ready &= !held_back.contains(&server.key);
         }
-        // What an older list lacks stays: its changes are taken, not its gaps.
-        told.is_snapshot &= !verdict.is_older;
-        more.entries =
+        // An older list does not remove the servers that it lacks; only its changes are applied.
+        update.is_snapshot &= !verdict.is_older;
+        follow_up.entries =
             verdict.released.iter().filter_map(|key| agreement.entries.get(key).cloned()).collect();
-        if told.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
-            let named: HashSet<u64> = list.iter().map(|seen| seen.key).collect();
+        if update.is_snapshot && agreement.entries.len() > 2 * list.len().max(64) {
+            let named: HashSet<u64> = list.iter().map(|server| server.key).collect();
             agreement.entries.retain(|key, _| named.contains(key));
         }
-        Some(more)
+        Some(follow_up)
     }
 
-    /// SIGHUP brought a file with a version.
-    pub(super) fn take_version(
+    /// Offers the version of a reloaded file to the state machine.
+    pub(super) fn offer_version(
         &mut self,
         version: Version,
         methods: Vec<Method>,
@@ -247,42 +261,45 @@
     ) {
         let Some(agreement) = &mut self.agreement else { return };
         let (now, content) =
-            (self.host.net.now.saturating_add_signed(agreement.clock_off), version.content_id());
+            (self.host.net.now.saturating_add_signed(agreement.clock_offset), version.content_id());
         let (log, number) = (&self.host.log, content.version);
-        // What is not newer than what is held the state machine judges.
-        let newer =
-            [Some(&agreement.held), agreement.waits.as_ref()].into_iter().flatten().map(|held| &held.version);
+        // Versions that are not newer than the held ones are judged by the state machine.
+        let newer = [Some(&agreement.held), agreement.scheduled.as_ref()]
+            .into_iter()
+            .flatten()
+            .map(|held| &held.version);
         let newer = newer.filter(|held| number > held.number);
-        let why: Vec<String> = newer
+        let reasons: Vec<String> = newer
             .flat_map(|held| objections(held, &version))
             .map(|objection| objection.to_string())
             .collect();
-        if !why.is_empty() {
-            return warn!(log, "settings"; "why" => "not-admissible", "version" => number, "error" => why.join("; "));
+        if !reasons.is_empty() {
+            return warn!(log, "settings"; "why" => "not-admissible", "version" => number, "error" => reasons.join("; "));
         }
         match agreement.state.offer(now, content, version.start) {
             Ok(Offer::Scheduled) => {
-                let start = agreement.state.scheduled().map_or(0, |waits| waits.start);
-                info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short(content),
+                let start = agreement.state.scheduled().map_or(0, |scheduled| scheduled.start);
+                info!(log, "settings"; "why" => "waits", "version" => number, "digest" => short_digest(content),
                     "starts_in_ms" => start.saturating_sub(now) / MS);
-                agreement.waits = Some(Held { version, methods, plans, services });
+                agreement.scheduled = Some(HeldVersion { version, methods, plans, services });
             }
             Ok(Offer::Known) => {
-                info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short(content))
+                info!(log, "settings"; "why" => "held-already", "version" => number, "digest" => short_digest(content))
             }
             Err(refused) => {
                 if agreement.state.scheduled().is_none() {
-                    agreement.waits = None;
+                    agreement.scheduled = None;
                 }
-                warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short(content),
+                warn!(log, "settings"; "why" => refused.log_reason(), "version" => number, "digest" => short_digest(content),
                     "held" => agreement.held.version.number);
             }
         }
-        self.agree();
+        self.evaluate_agreement();
     }
 
-    /// The header line by which operators see what is acted on; empty where settings have no version.
-    pub(super) fn shows(&self) -> String {
+    /// The header line that shows operators which settings are in use; empty if the settings have
+    /// no version.
+    pub(super) fn settings_header(&self) -> String {
         let Some(agreement) = &self.agreement else { return String::new() };
         let Decision { content, mode } = agreement.acting;
         let age = match agreement.state.last_confirmed() {
@@ -290,14 +307,14 @@
             at => (self.host.net.now.saturating_sub(at) / MS).to_string(),
         };
         let acts_on = if mode == Mode::Confirmed { "version" } else { "ground" };
-        let waits = agreement
+        let scheduled = agreement
             .state
             .scheduled()
-            .map_or(String::new(), |waits| format!(", waits={}", waits.content.version));
+            .map_or(String::new(), |scheduled| format!(", waits={}", scheduled.content.version));
         format!(
-            "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{waits}\n",
+            "X-Settings: version={}, digest={}, acts-on={acts_on}, confirmed-ms-ago={age}{scheduled}\n",
             content.version,
-            short(content)
+            short_digest(content)
         )
     }
 }
