--- a/crates/gateway/benches/intake.rs
+++ b/crates/gateway/benches/intake.rs
@@ -1,6 +1,6 @@
 //! Cost of processing a list in the gateway, by the number of servers: processor time, and memory
 //! at the peak and afterwards. First a whole list object parsed in pieces, compared with parsing it
-//! into one tree; then applying lists, without the decision module.
+//! into one tree; then applying lists, without the admission controller.
 //!
 //! Run with `cargo bench -p martenramp-gateway --bench intake`.
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -28,7 +28,7 @@
     pub memory_limit: usize,
     /// The last list of servers that this gateway held, in discovery's format.
     pub initial_list: Option<Value>,
-    /// Flattened to path=value pairs for the decision module; names and units are unchanged.
+    /// Flattened to path=value pairs for the admission controller; names and units are unchanged.
     pub settings: Settings,
     pub methods: Vec<Method>,
     pub plans: Vec<String>,
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -39,8 +39,8 @@
 /// Interval at which log lines that standard error did not take are tried again.
 const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The decision module's clock: Unix time at the start plus the monotonic time since, so that it
-/// never jumps.
+/// The admission controller's clock: Unix time at the start plus the monotonic time since, so that
+/// it never jumps.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix: Nanos,
--- a/crates/gateway/src/name_ids.rs
+++ b/crates/gateway/src/name_ids.rs
@@ -1,5 +1,5 @@
-//! Translates the names of zones and kinds in list entries to the numbers that the decision module
-//! uses.
+//! Translates the names of zones and kinds in list entries to the numbers that the admission
+//! controller uses.
 
 use crate::entry::Entry;
 use martenramp::host::{DiscoveredServer, Nanos};
@@ -37,8 +37,8 @@
         number
     }
 
-    /// Converts an entry with this key for the decision module. The server's number is filled in
-    /// later, when the entry is applied.
+    /// Converts an entry with this key for the admission controller. The server's number is filled
+    /// in later, when the entry is applied.
     pub fn to_listed(&mut self, key: u64, entry: &Entry) -> DiscoveredServer {
         let kind = self.kinds.iter().position(|known| **known == *entry.kind);
         DiscoveredServer {
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A server, by the number that the decision module knows it by.
+/// A server, by the number that the admission controller knows it by.
 #[derive(Debug)]
 pub struct Server {
     pub address: SocketAddr,
@@ -75,7 +75,7 @@
     pub idle_connections: Vec<(usize, Nanos)>,
     pub open_connections: usize,
     pub is_listed: bool,
-    /// The entry that was last passed to the decision module.
+    /// The entry that was last passed to the admission controller.
     pub last_listed: DiscoveredServer,
 }
 
@@ -155,7 +155,7 @@
         (number, stale)
     }
 
-    /// Removes a server from the list. Returns the entry for the decision module and the idle
+    /// Removes a server from the list. Returns the entry for the admission controller and the idle
     /// connections, which can't be used any more.
     pub fn delist(&mut self, key: u64) -> Option<(DiscoveredServer, Vec<usize>)> {
         let number = *self.numbers_by_key.get(&key)?;
