--- a/crates/gateway/tests/agreement.rs
+++ b/crates/gateway/tests/agreement.rs
@@ -3,7 +3,7 @@
 
 use rig::rollouts::{Fleet, Plan, unix};
 use standins::discovery::Mode;
-use standins::relay::Path as Way;
+use standins::relay::PathFaults as Way;
 use standins::scripted::{Client, Peer, answer, rpc};
 use standins::{MS, Nanos, SEC};
 use std::ops::Range;
@@ -233,7 +233,7 @@
 #[test]
 fn datagrams_lost_late_doubled_and_spoilt_cost_time_only() {
     let mut fleet = fleet();
-    let way = Way { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.2, delay: 30 * MS, ..Way::default() };
+    let way = Way { loss: 0.3, duplicate: 0.3, reorder: 0.3, corrupt: 0.2, delay: 30 * MS, ..Way::default() };
     fleet.ways(&all(), &all(), way);
     for version in 2..5 {
         fleet.give(&all(), version, version, soon());
@@ -286,7 +286,7 @@
 
 /// Sends so many RPCs through a gateway, all of which have to be served: how many came to each server since the last look.
 fn served(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
-    let came = |peer: &Peer| std::iter::from_fn(|| peer.seen_now()).count();
+    let came = |peer: &Peer| std::iter::from_fn(|| peer.try_next()).count();
     peers.iter().for_each(|peer| _ = came(peer));
     let mut client = Client::new(fleet.address(gateway).unwrap());
     for _ in 0..count {
--- a/crates/gateway/tests/client_terms.rs
+++ b/crates/gateway/tests/client_terms.rs
@@ -4,7 +4,8 @@
 mod support;
 
 use standins::scripted::{
-    Client, Late, Peer, Program, chunk, entry, list, nowhere, rpc, say, status, told_wait_ms,
+    Client, FullBacklog, Peer, Program, chunk, entry, list, raw_reply, refusing_address, remaining_ms_header,
+    rpc, status,
 };
 use std::time::{Duration, Instant};
 use support::{BIN, patient_settings, under, watch};
@@ -98,7 +99,7 @@
         if leaving == Leaving::ClosesBehindFullBuffer {
             client.send(&"x".repeat(READ_BEFORE));
         }
-        self.gateway.catch_up();
+        self.gateway.wait_until_processed();
         client
     }
 
@@ -113,10 +114,10 @@
             Moment::InTheTurn => {
                 let turn = self.gateway.hold_turn(attempt);
                 goes();
-                turn.go_on();
+                turn.resume();
             }
             _ => {
-                self.gateway.stand_still();
+                self.gateway.pause();
                 match moment {
                     Moment::JustBefore => {
                         goes();
@@ -136,8 +137,8 @@
                 }
             }
         }
-        self.gateway.line("left-before-answer");
-        self.gateway.catch_up();
+        self.gateway.wait_for_line("left-before-answer");
+        self.gateway.wait_until_processed();
     }
 
     /// A request that is served, and before it nothing else reached this server.
@@ -150,9 +151,9 @@
         let (number, first) = server.next();
         let id = format!("X-Txn: {:016x}", self.last);
         assert!(first.contains(&id), "{why}: sent on for a client that had gone: {first}");
-        server.tell(number, SERVED);
+        server.write(number, SERVED);
         assert_eq!(status(&client.answer().unwrap()), 200, "{why}");
-        assert!(server.nothing_came(), "{why}");
+        assert!(server.nothing_received(), "{why}");
     }
 
     /// So many connections to this server rest when this returns.
@@ -163,7 +164,7 @@
             client.send(&numbered(&rpc("read", 20_000), self.last));
         }
         let on: Vec<usize> = (0..count).map(|_| server.next().0).collect();
-        on.into_iter().for_each(|number| server.tell(number, SERVED));
+        on.into_iter().for_each(|number| server.write(number, SERVED));
         clients.iter_mut().for_each(|client| assert_eq!(status(&client.answer().unwrap()), 200));
     }
 }
@@ -174,7 +175,7 @@
         Leaving::Closes => drop(client),
         Leaving::Resets => client.reset(),
         Leaving::HalfCloses => {
-            client.end_sending();
+            client.shutdown_write();
             return Some(client);
         }
         Leaving::ClosesBehindBytes => client.send(&rpc("read", 20_000)[..100]),
@@ -201,7 +202,7 @@
 /// A gateway that knows this server from before, with discovery down.
 fn knowing(server: std::net::SocketAddr, settings: &str) -> Program {
     let known = list(3, true, &[entry("s0", server, "ready")]);
-    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), settings)
+    Program::start(BIN, refusing_address(), &format!("\"known\":{known},"), settings)
 }
 
 #[test]
@@ -212,10 +213,10 @@
         let mut scene = Scene::at(moment, under(&discovery, &known, &wide_settings()));
         scene.rest_connections(&server, 1);
         let tell = |index, status| {
-            discovery.tell(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
+            discovery.write(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
         };
         tell(4, "draining");
-        scene.gateway.catch_up();
+        scene.gateway.wait_until_processed();
         let client = scene.request("verify", leaving);
         scene.leave(client, leaving, moment, || {
             tell(5, "ready");
@@ -235,7 +236,7 @@
         let mut scene = Scene::at(moment, knowing(server.address, &scarce));
         scene.rest_connections(&server, 1);
         let client = scene.request("verify", leaving);
-        assert!(server.nothing_came(), "its quota is spent");
+        assert!(server.nothing_received(), "its quota is spent");
         scene.leave(client, leaving, moment, || std::thread::sleep(Duration::from_millis(2200)));
         scene.serves_only_another(&server, &format!("{leaving:?}, {moment:?}"));
     };
@@ -259,14 +260,14 @@
 fn who_leaves_while_its_connection_to_a_server_comes_up_is_not_sent_on() {
     side_by_side(|leaving, moment| {
         let why = format!("{leaving:?}, {moment:?}");
-        let late = Late::default();
+        let late = FullBacklog::default();
         let mut scene = Scene::at(moment, knowing(late.address, &wide_settings()));
         let client = scene.request("verify", leaving);
         let mut server = None;
         scene.leave(client, leaving, moment, || server = Some(late.open()));
         let mut server = server.unwrap();
-        assert!(scene.gateway.line("\"not written\"").contains("client-left"), "{why}");
-        assert!(server.nothing_came(), "{why}");
+        assert!(scene.gateway.wait_for_line("\"not written\"").contains("client-left"), "{why}");
+        assert!(server.nothing_received(), "{why}");
         let mut next = scene.gateway.client();
         next.send(&rpc("read", 20_000));
         assert!(server.answer().unwrap().starts_with("GET "), "{why}");
@@ -290,8 +291,8 @@
     let (discovery, server) = (watch(), silent());
     let mut scene = Scene::new(under(&discovery, &[entry("s0", server.address, "ready")], &wide_settings()));
     scene.rest_connections(&server, 2);
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
-    scene.gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
+    scene.gateway.wait_until_processed();
     let mut clients = Vec::new();
     for number in 0..BUSY {
         let mut client = scene.gateway.client();
@@ -300,14 +301,14 @@
         client.send(&message.replace("00000000b4d65521", &format!("{number:016x}")));
         clients.push(client);
     }
-    scene.gateway.catch_up();
-    scene.gateway.stand_still();
-    discovery.tell(0, &chunk(&list(5, false, &[entry("s0", server.address, "ready")])));
+    scene.gateway.wait_until_processed();
+    scene.gateway.pause();
+    discovery.write(0, &chunk(&list(5, false, &[entry("s0", server.address, "ready")])));
     std::thread::sleep(LOOKS_AGAIN);
     drop(clients);
     std::thread::sleep(ARRIVES);
     scene.gateway.signal("-CONT");
-    scene.gateway.catch_up();
+    scene.gateway.wait_until_processed();
     scene.serves_only_another(&server, "hundreds left");
 }
 
@@ -342,14 +343,14 @@
     let mut client = scene.gateway.client();
     let left = timed(&mut client, &rpc("submit", WAITS.as_millis() as u64));
     let first = server.next();
-    assert!(told_wait_ms(&first.1) <= WAITS.as_millis() as u64);
+    assert!(remaining_ms_header(&first.1) <= WAITS.as_millis() as u64);
     // The turn that finds the first attempt reset lasts for half a second, as with a tenth of a core it may.
     let turn = scene.gateway.hold_turn(|| server.reset(first.0));
     std::thread::sleep(Duration::from_millis(500));
     let at_most = left.at_most();
-    turn.go_on();
+    turn.resume();
     let further = server.next().1;
-    assert!(told_wait_ms(&further) <= at_most, "{} ms are left at most: {further}", at_most);
+    assert!(remaining_ms_header(&further) <= at_most, "{} ms are left at most: {further}", at_most);
 }
 
 #[test]
@@ -362,7 +363,7 @@
     let first = server.next().0;
     let turn = scene.gateway.hold_turn(|| server.reset(first));
     std::thread::sleep(Duration::from_millis(3100));
-    turn.go_on();
+    turn.resume();
     let got = client.answer().unwrap();
     assert!(status(&got) != 200, "{got}");
     scene.serves_only_another(&server, "its time was over");
@@ -375,37 +376,37 @@
     scene.rest_connections(&server, 2);
     let mut client = scene.gateway.client();
     // It stands still both before the request is read and while the first attempt is out.
-    scene.gateway.stand_still();
+    scene.gateway.pause();
     let left = timed(&mut client, &rpc("submit", WAITS.as_millis() as u64));
     std::thread::sleep(Duration::from_millis(600));
     scene.gateway.signal("-CONT");
     let first = server.next().0;
-    scene.gateway.stand_still();
+    scene.gateway.pause();
     server.reset(first);
     std::thread::sleep(Duration::from_millis(400));
     let at_most = left.at_most();
     scene.gateway.signal("-CONT");
     let further = server.next().1;
     // What is overdue tells how long the process stood still, to within a look for what is idle (a quarter of a second).
-    assert!(told_wait_ms(&further) <= at_most + 250, "{at_most} ms are left at most: {further}");
+    assert!(remaining_ms_header(&further) <= at_most + 250, "{at_most} ms are left at most: {further}");
 }
 
 #[test]
 fn a_further_attempt_whose_connection_comes_up_late_tells_what_is_left_then() {
-    let (discovery, first, late) = (watch(), silent(), Late::default());
+    let (discovery, first, late) = (watch(), silent(), FullBacklog::default());
     let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &wide_settings());
     let mut client = gateway.client();
     let left = timed(&mut client, &rpc("read", WAITS.as_millis() as u64));
     let on = first.next().0;
     let next = [entry("s0", first.address, "draining"), entry("s1", late.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &next)));
-    gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &next)));
+    gateway.wait_until_processed();
     first.reset(on);
-    assert!(gateway.line("\"server\"").contains("\"reset\""));
+    assert!(gateway.wait_for_line("\"server\"").contains("\"reset\""));
     std::thread::sleep(Duration::from_millis(300));
     let at_most = left.at_most();
     let further = late.open().answer().unwrap();
-    assert!(told_wait_ms(&further) <= at_most, "{at_most} ms are left at most: {further}");
+    assert!(remaining_ms_header(&further) <= at_most, "{at_most} ms are left at most: {further}");
 }
 
 // ---- Every request gets an answer in its time.
@@ -451,7 +452,7 @@
 
 #[test]
 fn every_form_of_message_is_served_whole_and_byte_by_byte() {
-    let server = Peer::new(|_, _| say(SERVED));
+    let server = Peer::new(|_, _| raw_reply(SERVED));
     let gateway = knowing(server.address, &wide_settings());
     let mut number = 0;
     for (form, message) in forms() {
@@ -462,7 +463,7 @@
             for piece in message.as_bytes().chunks(pieces) {
                 client.send(std::str::from_utf8(piece).unwrap());
                 if pieces < message.len() {
-                    gateway.catch_up(); // each piece is read by itself
+                    gateway.wait_until_processed(); // each piece is read by itself
                 }
             }
             let got = client.answer().unwrap_or_else(|| panic!("{form}: no answer"));
@@ -473,7 +474,7 @@
 
 #[test]
 fn a_slow_writer_whose_message_is_whole_in_two_seconds_is_served() {
-    let server = Peer::new(|_, _| say(SERVED));
+    let server = Peer::new(|_, _| raw_reply(SERVED));
     let gateway = knowing(server.address, &wide_settings());
     std::thread::scope(|scope| {
         for (number, method) in ["read", "submit", "verify"].into_iter().cycle().take(12).enumerate() {
@@ -505,7 +506,7 @@
 
 #[test]
 fn commands_sent_at_once_are_all_answered_in_their_order_and_in_their_time() {
-    let server = Peer::new(|_, _| say(SERVED));
+    let server = Peer::new(|_, _| raw_reply(SERVED));
     let gateway = knowing(server.address, &wide_settings());
     let mut client = gateway.client();
     let count = 200;
@@ -537,19 +538,19 @@
 
 #[test]
 fn a_message_that_came_while_the_process_stood_still_has_its_time_from_then() {
-    let (server, discovery) = (Peer::new(|_, _| say(SERVED)), watch());
+    let (server, discovery) = (Peer::new(|_, _| raw_reply(SERVED)), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
     let (held_up, remaining) = (Duration::from_millis(500), 2900);
     // The time of the hold-up within the gateway's own rounds is chance, so several.
     for id in 0..5 {
         let mut client = gateway.client();
-        gateway.catch_up();
-        gateway.stand_still();
+        gateway.wait_until_processed();
+        gateway.pause();
         client.send(&numbered(&rpc("verify", remaining), id));
         std::thread::sleep(held_up);
         gateway.signal("-CONT");
         assert_eq!(client.answer().map(|got| status(&got)), Some(200));
-        let told = told_wait_ms(&server.next().1);
+        let told = remaining_ms_header(&server.next().1);
         let left = remaining - held_up.as_millis() as u64;
         assert!(told <= left + 30, "{told} ms told, {left} left");
     }
--- a/crates/gateway/tests/cold_servers.rs
+++ b/crates/gateway/tests/cold_servers.rs
@@ -65,8 +65,9 @@
         // once is left out.
         let last = state.ready.last().filter(|span| span.0 > outcome.from && span.1 > span.0 + terms.span);
         let Some(since) = last.map(|span| span.0) else { continue };
-        let rows = outcome.ledger.iter().filter(|row| row.server as usize == server && row.at >= since);
-        let mut at: Vec<Nanos> = rows.map(|row| row.at - since).collect();
+        let rows =
+            outcome.ledger.iter().filter(|row| row.server as usize == server && row.received_at >= since);
+        let mut at: Vec<Nanos> = rows.map(|row| row.received_at - since).collect();
         at.sort_unstable();
         came.insert(server as u32, at);
     }
--- a/crates/gateway/tests/cuts.rs
+++ b/crates/gateway/tests/cuts.rs
@@ -9,7 +9,8 @@
 use gateway::servers::{Response, ServerConnection};
 use martenramp::host::CallOutcome;
 use standins::scripted::{
-    Peer, Program, SEC, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
+    Peer, Program, SEC, WATCH_HEAD, answer, chunk, entry, list, raw_reply, refusing_address, rpc, settings,
+    status,
 };
 use std::net::SocketAddr;
 
@@ -137,9 +138,11 @@
             .collect();
         let lines: Vec<String> = objects.iter().map(|object| spaced(&mut chance, object)).collect();
         let between = *chance.choice(&["", "\n", "\r\n\r\n", "\n\n  "]).unwrap();
-        let text =
-            format!("{WATCH}{}", chunked(&mut chance, &format!("{between}{}{between}", lines.join(between))));
-        let plain = format!("{WATCH}{}", objects.iter().map(|object| chunk(object)).collect::<String>());
+        let text = format!(
+            "{WATCH_HEAD}{}",
+            chunked(&mut chance, &format!("{between}{}{between}", lines.join(between)))
+        );
+        let plain = format!("{WATCH_HEAD}{}", objects.iter().map(|object| chunk(object)).collect::<String>());
         let (whole, why) = told(&plain, &[plain.len()]);
         assert_eq!((whole.len(), why), (objects.len(), None));
         let pieces = cuts(&mut chance, text.len());
@@ -215,7 +218,7 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let steady =
         settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
-    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), &steady)
+    Program::start(BIN, refusing_address(), &format!("\"known\":{known},"), &steady)
 }
 
 #[test]
@@ -233,7 +236,7 @@
     }
     // What the gateway took before this one has been dealt with: connections are taken in the order in which they came.
     assert!(gateway.client().ask(&whole(1 << 20)).ends_with("on"));
-    assert!(server.next().1.contains(&format!("{:016x}", 1 << 20)) && server.nothing_came());
+    assert!(server.next().1.contains(&format!("{:016x}", 1 << 20)) && server.nothing_received());
 }
 
 #[test]
@@ -247,7 +250,7 @@
                 let mut client = gateway.client();
                 client.send(&rpc("verify", 5000));
                 let on = server.next().0;
-                server.tell(on, &text[..cut]);
+                server.write(on, &text[..cut]);
                 if resets {
                     server.reset(on)
                 } else {
@@ -266,7 +269,7 @@
             }
         }
     }
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
@@ -274,14 +277,14 @@
     let (old, new) = (Peer::new(|_, _| answer(200, "", "old")), Peer::new(|_, _| answer(200, "", "new")));
     let object = list(4, true, &[entry("s1", new.address, "ready")]);
     let text = chunk(&object);
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     for cut in (0..text.len()).step_by(29).chain([text.len() - 3, text.len()]) {
         let known = list(3, true, &[entry("s0", old.address, "ready")]);
         let pushed = settings("\"membershipMode\":\"push\",");
         let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &pushed);
         let (on, asked) = discovery.next();
         assert!(asked.contains("from=3"));
-        discovery.tell(on, &text[..cut]);
+        discovery.write(on, &text[..cut]);
         discovery.reset(on);
         let (_, again) = discovery.next();
         // The object is whole without the chunk's last bytes: a line end each of the object and of the chunk.
--- a/crates/gateway/tests/discovery_terms.rs
+++ b/crates/gateway/tests/discovery_terms.rs
@@ -3,7 +3,8 @@
 //! starts is ready in time. Each story brings the bad event on every run. `docs/races.md` lists the windows.
 
 use standins::scripted::{
-    Client, Down, Peer, Program, Reply, WATCH, answer, chunk, entry, list, rpc, say, settings, status,
+    Client, Peer, Program, RefusingPeer, Reply, WATCH_HEAD, answer, chunk, entry, list, raw_reply, rpc,
+    settings, status,
 };
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -63,17 +64,17 @@
 /// The answer to a call: a watch that tells at once that the server drains.
 fn drains(server: &Peer) -> Reply {
     let drained = chunk(&list(4, false, &[entry("s0", server.address, "draining")]));
-    say(&format!("{WATCH}{drained}"))
+    raw_reply(&format!("{WATCH_HEAD}{drained}"))
 }
 
 /// Discovery has been asked and has told of the drain: in time, and nothing new goes to the server, though it is up.
 fn is_told(gateway: &Program, server: &Peer, reachable: Instant, within: Duration) {
     let took = reachable.elapsed();
-    assert!(took < within, "told {took:?} after discovery could be reached: {:#?}", gateway.lines_now());
-    gateway.catch_up();
+    assert!(took < within, "told {took:?} after discovery could be reached: {:#?}", gateway.new_lines());
+    gateway.wait_until_processed();
     let got = gateway.client().ask(&rpc("read", 300));
     assert!(matches!(status(&got), 429 | 503), "{got}");
-    assert!(server.nothing_came(), "new work went to a server that drains");
+    assert!(server.nothing_received(), "new work went to a server that drains");
 }
 
 // ---- Told time: whatever became of the calls before, 6 s after discovery could be reached a change is known.
@@ -81,11 +82,11 @@
 #[test]
 fn a_drain_made_while_discovery_refused_connections_is_heeded_within_6_s_of_its_return() {
     at_several_gateways(|seed, settings| {
-        let (server, down) = (server(), Down::default());
+        let (server, down) = (server(), RefusingPeer::default());
         let gateway = Program::start_seeded(BIN, seed, down.address, &known(&[("s0", &server)]), settings);
         assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 200);
         server.next();
-        (0..FAILED_CALLS).for_each(|_| drop(gateway.line("\"refused\"")));
+        (0..FAILED_CALLS).for_each(|_| drop(gateway.wait_for_line("\"refused\"")));
         let (reply, reachable) = (drains(&server), Instant::now());
         let discovery = down.open(move |_, _| reply.clone());
         assert!(discovery.next().1.contains("from=3"));
@@ -122,7 +123,7 @@
 
 #[test]
 fn a_drain_made_while_discovery_ended_each_watch_in_place_of_telling_is_heeded_within_6_s() {
-    after_failed_calls(|| (WATCH.as_bytes().to_vec(), true));
+    after_failed_calls(|| (WATCH_HEAD.as_bytes().to_vec(), true));
 }
 
 #[test]
@@ -132,14 +133,14 @@
         let reply = drains(&server);
         let discovery = Peer::new(move |number, _| match number {
             _ if number < FAILED_CALLS => answer(503, "", "not now"),
-            FAILED_CALLS => say(&format!("{WATCH}{PULSE}")),
+            FAILED_CALLS => raw_reply(&format!("{WATCH_HEAD}{PULSE}")),
             _ => reply.clone(),
         });
         let known = known(&[("s0", &server)]);
         let gateway = Program::start_seeded(BIN, seed, discovery.address, &known, settings);
         (0..=FAILED_CALLS).for_each(|_| drop(discovery.next()));
-        gateway.line("\"watching\"");
-        gateway.catch_up();
+        gateway.wait_for_line("\"watching\"");
+        gateway.wait_until_processed();
         let ends = Instant::now();
         discovery.close(FAILED_CALLS);
         assert_eq!(discovery.next().0, FAILED_CALLS + 1);
@@ -152,14 +153,15 @@
     at_several_gateways(|seed, settings| {
         let server = server();
         let reply = drains(&server);
-        let discovery = Peer::new(move |number, _| if number == 0 { say(UNENDED) } else { reply.clone() });
+        let discovery =
+            Peer::new(move |number, _| if number == 0 { raw_reply(UNENDED) } else { reply.clone() });
         let known = known(&[("s0", &server)]);
         let gateway = Program::start_seeded(BIN, seed, discovery.address, &known, settings);
         discovery.next();
         let asked = Instant::now();
-        while discovery.nothing_came() {
+        while discovery.nothing_received() {
             assert!(asked.elapsed() < TOLD_WITHIN, "a byte now and then keeps a call without an answer");
-            discovery.try_tell(0, "0");
+            discovery.try_write(0, "0");
             std::thread::sleep(Duration::from_millis(50)); // the pace of the bytes is what is tested
         }
         is_told(&gateway, &server, asked, TOLD_WITHIN);
@@ -171,21 +173,21 @@
     at_several_gateways(|seed, settings| {
         let left_out = Peer::new(|_, _| answer(200, "", "left-out"));
         let stays = Peer::new(|_, _| answer(200, "", "stays"));
-        let down = Down::default();
+        let down = RefusingPeer::default();
         let known = known(&[("s0", &left_out)]);
         let gateway = Program::start_seeded(BIN, seed, down.address, &known, settings);
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("left-out"));
         left_out.next();
         let whole = chunk(&list(4, true, &[entry("s1", stays.address, "ready")]));
         let reachable = Instant::now();
-        let discovery = down.open(move |_, _| say(&format!("{WATCH}{whole}")));
+        let discovery = down.open(move |_, _| raw_reply(&format!("{WATCH_HEAD}{whole}")));
         discovery.next();
         assert!(reachable.elapsed() < TOLD_WITHIN);
-        gateway.catch_up();
+        gateway.wait_until_processed();
         for _ in 0..20 {
             assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("stays"));
         }
-        assert!(left_out.nothing_came());
+        assert!(left_out.nothing_received());
     });
 }
 
@@ -223,8 +225,8 @@
 
 /// A program that may hold so many descriptors is crowded by idle clients while discovery is down, and at each turn after.
 fn crowded(command: &mut Command, limit: usize) {
-    let (server, down) = (server(), Down::default());
-    let counter = Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
+    let (server, down) = (server(), RefusingPeer::default());
+    let counter = Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
     let counted =
         pushed().replacen('{', "{\"extra\":{\"hasCounter\":true,\"countWait\":15.0,\"largest\":8},", 1);
     let limits = format!("\"limits\":{{\"sockets\":{limit}}},\"counter\":\"{}\",", counter.address);
@@ -236,7 +238,7 @@
 
     // The longest idle of them have given way, and only those.
     let mut idle = crowd(&gateway);
-    let open: Vec<bool> = idle.iter_mut().map(Client::nothing_came).collect();
+    let open: Vec<bool> = idle.iter_mut().map(Client::nothing_received).collect();
     assert!(open.is_sorted() && !open[0] && open[59], "{open:?}");
     // With the rest still there, the server's connection and the counter's come up.
     assert_eq!(status(&gateway.client().ask(&counted_rpc())), 200);
@@ -246,15 +248,15 @@
     // Discovery comes back while idle clients hold all that there is to hold.
     let idle = crowd_that_asks(&gateway);
     let reachable = Instant::now();
-    let discovery = down.open(|_, _| say(WATCH));
+    let discovery = down.open(|_, _| raw_reply(WATCH_HEAD));
     assert!(discovery.next().1.contains("from=3"));
     assert!(reachable.elapsed() < TOLD_WITHIN, "{:?}", reachable.elapsed());
     drop(idle);
 
     // SIGHUP moves discovery: the file is read, and a second watch opened beside the first.
     let idle = crowd_that_asks(&gateway);
-    let next = Peer::new(|_, _| say(WATCH));
-    gateway.rewrite(&gateway.config(next.address, &limits, &counted));
+    let next = Peer::new(|_, _| raw_reply(WATCH_HEAD));
+    gateway.rewrite_config(&gateway.config(next.address, &limits, &counted));
     gateway.signal("-HUP");
     let moved = Instant::now();
     assert!(next.next().1.contains("from=3"));
@@ -264,7 +266,7 @@
 
     let idle = crowd(&gateway);
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     assert_eq!(status(&gateway.client().ask(&counted_rpc())), 200);
     drop(idle);
     assert!(gateway.child.wait().unwrap().success());
@@ -317,7 +319,7 @@
 fn wait_ready(gateway: &Program, since: Instant) -> Duration {
     let mut client = gateway.client();
     while status(&client.ask(READY)) != 200 {
-        assert!(since.elapsed() < READY_ALL, "{:#?}", gateway.lines_now());
+        assert!(since.elapsed() < READY_ALL, "{:#?}", gateway.new_lines());
         std::thread::sleep(Duration::from_millis(20)); // the front's pace
     }
     since.elapsed()
@@ -332,7 +334,7 @@
 
 #[test]
 fn a_fleet_started_with_discovery_down_is_ready_on_the_lists_from_before() {
-    let (server, down) = (server(), Down::default());
+    let (server, down) = (server(), RefusingPeer::default());
     let fleet = start_fleet(down.address, &known(&[("s0", &server)]));
     are_ready_in_time(fleet.iter().map(|(gateway, begun)| wait_ready(gateway, *begun)).collect());
     for (gateway, _) in &fleet {
@@ -342,7 +344,7 @@
 
 #[test]
 fn a_fleet_started_with_discovery_down_and_no_list_is_ready_within_6_s_of_its_return() {
-    let (server, down) = (server(), Down::default());
+    let (server, down) = (server(), RefusingPeer::default());
     let fleet = start_fleet(down.address, "");
     for (gateway, _) in &fleet {
         assert_eq!(
@@ -350,11 +352,11 @@
             503,
             "without a list there is nothing to serve with"
         );
-        (0..2).for_each(|_| drop(gateway.line("\"refused\"")));
+        (0..2).for_each(|_| drop(gateway.wait_for_line("\"refused\"")));
     }
     let whole = chunk(&list(3, true, &[entry("s0", server.address, "ready")]));
     let reachable = Instant::now();
-    let _discovery = down.open(move |_, _| say(&format!("{WATCH}{whole}")));
+    let _discovery = down.open(move |_, _| raw_reply(&format!("{WATCH_HEAD}{whole}")));
     are_ready_in_time(fleet.iter().map(|(gateway, _)| wait_ready(gateway, reachable)).collect());
     for (gateway, _) in &fleet {
         assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 200, "and it serves");
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -9,7 +9,7 @@
 use rig::report::Figures;
 use rig::scenario::Scenario;
 use standins::process::Program;
-use standins::scripted::{nowhere, settings};
+use standins::scripted::{refusing_address, settings};
 use std::collections::BTreeSet;
 use std::path::Path;
 
@@ -37,7 +37,8 @@
 
 /// Of all call-outs from a time on, the share that went to these servers.
 fn sent_to(outcome: &Outcome, from: u64, which: impl Fn(usize) -> bool) -> f64 {
-    let rows: Vec<_> = outcome.ledger.iter().filter(|row| row.at >= from && row.at < outcome.to).collect();
+    let rows: Vec<_> =
+        outcome.ledger.iter().filter(|row| row.received_at >= from && row.received_at < outcome.to).collect();
     share(rows.iter().filter(|row| which(row.server as usize)).count(), rows.len())
 }
 
@@ -64,8 +65,11 @@
     let parts: Vec<BTreeSet<u32>> =
         subsetting::subsets(&members, 20, 18.0).into_iter().map(|part| part.into_iter().collect()).collect();
     for from in [outcome.from, fault(&outcome) + 2 * SEC] {
-        let rows: Vec<_> =
-            outcome.ledger.iter().filter(|row| row.at >= from && row.at < from + 8 * SEC).collect();
+        let rows: Vec<_> = outcome
+            .ledger
+            .iter()
+            .filter(|row| row.received_at >= from && row.received_at < from + 8 * SEC)
+            .collect();
         let own = rows.iter().filter(|row| parts[row.gateway()].contains(&row.server)).count();
         assert!(share(own, rows.len()) > 0.9, "{own} of {}", rows.len());
     }
@@ -79,7 +83,7 @@
     assert!(share(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
     for (at, server) in outcome.servers.iter().enumerate() {
         let rows = outcome.ledger.iter().filter(|row| row.server as usize == at);
-        let last = rows.clone().map(|row| row.at).max().unwrap_or(0);
+        let last = rows.clone().map(|row| row.received_at).max().unwrap_or(0);
         let until = server.ready.last().unwrap().1;
         assert!(last < until.saturating_add(2 * SEC), "server {at} was sent to long after its drain");
         assert!(rows.count() > 0, "server {at} got nothing");
@@ -100,7 +104,8 @@
         spans.iter().map(|span| span.1).find(|end| *end >= gone).expect("a span that ends with the fault")
     };
     let is_dead = |server: u32, at: u64| at > down_at(server) && at < back;
-    let dead = outcome.ledger.iter().filter(|row| row.server % 2 == 0 && is_dead(row.server, row.at));
+    let dead =
+        outcome.ledger.iter().filter(|row| row.server % 2 == 0 && is_dead(row.server, row.received_at));
     assert_eq!(dead.count(), 0);
     let again = sent_to(&outcome, back + 2 * SEC, |server| server % 2 == 0);
     assert!(again > 0.1 && again < 0.6, "{again}");
@@ -148,7 +153,7 @@
     let failing: BTreeSet<u32> = outcome
         .ledger
         .iter()
-        .filter(|row| row.how == standins::servers::How::Failed)
+        .filter(|row| row.outcome == standins::servers::RpcOutcome::Failed)
         .map(|row| row.server)
         .collect();
     assert_eq!(failing.len(), 5);
@@ -164,9 +169,11 @@
     // The slow ones are known by the time they take.
     let slow: BTreeSet<usize> = (0..40)
         .filter(|at| {
-            let rows =
-                outcome.ledger.iter().filter(|row| row.server as usize == *at && row.at >= fault(&outcome));
-            let mut took: Vec<u64> = rows.map(|row| row.done - row.at).collect();
+            let rows = outcome
+                .ledger
+                .iter()
+                .filter(|row| row.server as usize == *at && row.received_at >= fault(&outcome));
+            let mut took: Vec<u64> = rows.map(|row| row.finished_at - row.received_at).collect();
             took.sort_unstable();
             took.get(took.len() / 2).is_some_and(|middle| *middle > 80_000_000)
         })
@@ -202,7 +209,7 @@
     let (outcome, figures) = played("pause", &["seconds=16.0"]);
     let after = fault(&outcome) + 4 * SEC;
     let served: BTreeSet<usize> =
-        outcome.ledger.iter().filter(|row| row.at > after).map(|row| row.gateway()).collect();
+        outcome.ledger.iter().filter(|row| row.received_at > after).map(|row| row.gateway()).collect();
     assert_eq!(served.len(), 20, "all serve after the stop");
     // What was held through the stop is answered late at worst.
     assert!(share(figures.run.lost, figures.run.rpcs) < 0.02, "{:?}", figures.run);
@@ -221,7 +228,7 @@
 #[test]
 fn a_story_that_fails_leaves_no_process() {
     let story = std::panic::catch_unwind(|| {
-        let program = Program::start(BIN, nowhere(), "", &settings(""));
+        let program = Program::start(BIN, refusing_address(), "", &settings(""));
         std::panic::panic_any(program.child.id());
     });
     let id = *story.unwrap_err().downcast::<u32>().unwrap();
--- a/crates/gateway/tests/long_lists.rs
+++ b/crates/gateway/tests/long_lists.rs
@@ -33,7 +33,7 @@
                 index += 1;
                 let state = if index % 2 == 0 { "draining" } else { "ready" };
                 let changed = entry(&name(index as usize / 2 % SERVERS), address, state);
-                discovery.tell(0, &chunk(&list(index, false, &[changed])));
+                discovery.write(0, &chunk(&list(index, false, &[changed])));
                 std::thread::sleep(CHANGE_EVERY); // the pace of the changes
             }
         });
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -7,7 +7,9 @@
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
 use martenramp::subsetting;
-use standins::scripted::{MS, Peer, Program, SEC, WATCH, answer, chunk, entry, list, rpc, say, settings};
+use standins::scripted::{
+    MS, Peer, Program, SEC, WATCH_HEAD, answer, chunk, entry, list, raw_reply, rpc, settings,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -25,7 +27,7 @@
 /// What a watch with this much memory for entries makes of an object that comes in pieces of this length, and its fault.
 fn taken(object: &[u8], memory: usize, piece: usize) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut told, mut buffer) = (Watch::new(0, memory), Vec::new(), Vec::new());
-    let head = format!("{WATCH}{:x}\r\n", object.len());
+    let head = format!("{WATCH_HEAD}{:x}\r\n", object.len());
     let bytes = [head.as_bytes(), object, b"\r\n"].concat();
     for part in bytes.chunks(piece) {
         buffer.extend_from_slice(part);
@@ -165,7 +167,7 @@
 fn a_watch_that_goes_on_by_entries_is_alive_and_one_that_says_blanks_in_the_midst_of_an_object_is_not() {
     let (mut watch, mut told, mut out) = (Watch::new(0, AMPLE), Vec::new(), Vec::new());
     watch.write_request(&mut out, SEC);
-    watch.feed(SEC, WATCH.as_bytes(), &mut told).unwrap();
+    watch.feed(SEC, WATCH_HEAD.as_bytes(), &mut told).unwrap();
     let begin = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
     let piece = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     watch.feed(SEC, piece(begin).as_bytes(), &mut told).unwrap();
@@ -185,7 +187,7 @@
 /// Asks `count` times at once for a watch whose first object can't be taken, each time `apart`: the least rests.
 fn rests_untaken(count: usize, apart: u64) -> Vec<u64> {
     let (mut watch, mut chance) = (Watch::new(0, AMPLE), fastrand::Rng::with_seed(5));
-    let bad = format!("{WATCH}{}", chunk("[]"));
+    let bad = format!("{WATCH_HEAD}{}", chunk("[]"));
     (0..count as u64)
         .map(|call| {
             watch.write_request(&mut Vec::new(), call * 100 * SEC);
@@ -233,8 +235,8 @@
     let entries: Vec<String> = (0..50_000).map(|at| entry(&name(at), server.address, "ready")).collect();
     let object = list(7, true, &entries);
     assert!(object.len() > 8 << 20, "{} bytes", object.len());
-    let first = format!("{WATCH}{}", chunk(&object));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&object));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let start = Instant::now();
     wait_ready(&gateway);
@@ -249,8 +251,8 @@
 fn a_list_that_can_not_be_taken_is_asked_for_again_after_rests_and_the_one_held_stays() {
     let server = Peer::new(|_, _| answer(200, "", "held"));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let bad = format!("{WATCH}{}", chunk("[{\"name\":\"s1\"}]"));
-    let discovery = Peer::new(move |_, _| say(&bad));
+    let bad = format!("{WATCH_HEAD}{}", chunk("[{\"name\":\"s1\"}]"));
+    let discovery = Peer::new(move |_, _| raw_reply(&bad));
     // Where lists are pushed the rest is shortest.
     let pushed = settings("\"membershipMode\":\"push\",");
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &pushed);
@@ -258,7 +260,7 @@
     for _ in 0..5 {
         assert!(discovery.next().1.contains("from=3"));
         calls.push(Instant::now());
-        assert!(gateway.line("\"garbled-object\"").contains("\"list\""));
+        assert!(gateway.wait_for_line("\"garbled-object\"").contains("\"list\""));
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("held"));
     }
     let rested = calls[4] - calls[1];
@@ -466,7 +468,7 @@
     let two = Rc::new(services(&format!("{{{CLASSES}}}")).unwrap());
     let names = ["orders/1", "billing/1", "nameless", "catalog/1", "other"];
     let entries: Vec<String> = names.iter().map(|name| entry(name, address(1), "ready")).collect();
-    let text = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
+    let text = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &entries)));
     let (mut watch, mut told) = (Watch::for_services(0, AMPLE, two), Vec::new());
     watch.feed(SEC, text.as_bytes(), &mut told).unwrap();
     let taken: Vec<(&str, u32)> = told[0].entries.iter().map(|entry| (&*entry.name, entry.service)).collect();
@@ -506,29 +508,29 @@
         names(from, to).map(|name| entry(&name, server.address, status)).collect()
     };
     let whole = list(7, true, &[named(0, 300, &stays, "ready"), named(300, 5_000, &goes, "ready")].concat());
-    let first = format!("{WATCH}{}", chunk(&whole));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&whole));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(BIN, discovery.address, "", &ample());
     wait_ready(&gateway);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (1..4).map(|which| asking(&gateway, which, &stop)).collect();
-    discovery.tell(0, &chunk(&list(8, false, &named(300, 5_000, &goes, "gone"))));
-    let line = gateway.line("\"list in force\"");
+    discovery.write(0, &chunk(&list(8, false, &named(300, 5_000, &goes, "gone"))));
+    let line = gateway.wait_for_line("\"list in force\"");
     assert!(line.contains("\"changed\":4700") && line.contains("\"index\":8"), "{line}");
     // From here on nothing is sent to what is gone but what was on its way.
     let mut client = gateway.client();
     client.ask(&numbered(0));
-    while goes.seen_now().is_some() {}
+    while goes.try_next().is_some() {}
     for number in 1..20 {
         assert!(client.ask(&numbered(number)).ends_with("stays"));
     }
-    assert!(goes.nothing_came());
+    assert!(goes.nothing_received());
     let cold: Vec<String> = named(300, 5_000, &goes, "ready");
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let cold: Vec<String> =
         cold.iter().map(|one| one.replace("\"since_ms\":0", &format!("\"since_ms\":{since}"))).collect();
-    discovery.tell(0, &chunk(&list(9, false, &cold)));
-    let line = gateway.line("\"list in force\"");
+    discovery.write(0, &chunk(&list(9, false, &cold)));
+    let line = gateway.wait_for_line("\"list in force\"");
     assert!(line.contains("\"changed\":4700") && line.contains("\"servers\":5000"), "{line}");
     stop.store(true, Ordering::Relaxed);
     let statuses: Vec<u16> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
@@ -545,8 +547,9 @@
     let all = |server: &Peer, status: &str| -> Vec<String> {
         names(0, 2_000).map(|name| entry(&name, server.address, status)).collect()
     };
-    let first = format!("{WATCH}{}", chunk(&list(7, true, &all(&old, "ready"))));
-    let discovery = Peer::new(move |number, _| if number == 0 { say(&first) } else { say(WATCH) });
+    let first = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &all(&old, "ready"))));
+    let discovery =
+        Peer::new(move |number, _| if number == 0 { raw_reply(&first) } else { raw_reply(WATCH_HEAD) });
     let gateway = Program::start(BIN, discovery.address, "", &ample());
     wait_ready(&gateway);
     // Changes, a whole list and changes again in one piece: what came last counts.
@@ -558,8 +561,8 @@
         list(9, true, &all(&new, "ready")[..500]),
     ];
     let text: String = objects.iter().map(|object| chunk(object)).collect();
-    discovery.tell(0, &text);
-    let lines: Vec<String> = (0..4).map(|_| gateway.line("\"list in force\"")).collect();
+    discovery.write(0, &text);
+    let lines: Vec<String> = (0..4).map(|_| gateway.wait_for_line("\"list in force\"")).collect();
     for (line, changed) in lines.iter().zip([1_000, 1_000, 2_000, 1_500]) {
         assert!(line.contains(&format!("\"changed\":{changed}")), "{line}");
     }
@@ -580,10 +583,10 @@
         .iter()
         .map(|name| entry(name, server.address, "ready"))
         .collect();
-    let first = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &entries)));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(BIN, discovery.address, &format!("\"services\":{{{CLASSES}}},"), &ample());
-    let line = gateway.line("\"no-service\"");
+    let line = gateway.wait_for_line("\"no-service\"");
     assert!(line.contains("\"server\":\"nameless\"") && line.contains("\"entries\":2"), "{line}");
     wait_ready(&gateway);
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("on"));
--- a/crates/gateway/tests/owed_answers.rs
+++ b/crates/gateway/tests/owed_answers.rs
@@ -1,7 +1,9 @@
 //! An answer is owed to a client until its last byte is out: whatever ends connections (room for others, a shutdown, a
 //! reload), none is ended with an answer still waiting in its buffer.
 
-use standins::scripted::{Client, Peer, Program, answer, entry, list, rpc, status, told_wait_ms, with_id};
+use standins::scripted::{
+    Client, Peer, Program, answer, entry, list, remaining_ms_header, rpc, status, with_id,
+};
 use std::time::Duration;
 
 mod support;
@@ -54,11 +56,11 @@
     // There is no room for it, so it is tried again on a timer; in one turn the answer comes and the timer is due.
     let newcomer = gateway.client();
     let turn = gateway.hold_turn(|| {
-        server.tell(0, ANSWER);
+        server.write(0, ANSWER);
         std::thread::sleep(ACCEPT_AGAIN); // the timer's own time
     });
-    turn.go_on();
-    assert_eq!(client.answer().map(|got| status(&got)), Some(200), "{:#?}", gateway.lines_now());
+    turn.resume();
+    assert_eq!(client.answer().map(|got| status(&got)), Some(200), "{:#?}", gateway.new_lines());
     drop((newcomer, others));
 }
 
@@ -72,7 +74,7 @@
     let mut served = 0;
     while served < most {
         client.send(&with_id(&rpc("read", 20_000), served as u64));
-        match server.seen_within(STUCK) {
+        match server.next_within(STUCK) {
             Some(_) => served += 1,
             None => break,
         }
@@ -93,7 +95,7 @@
     let newcomers: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
     std::thread::sleep(ACCEPT_AGAIN); // room was looked for by now
     let got = (0..served).map_while(|_| client.answer()).filter(|got| got.ends_with('y')).count();
-    assert_eq!(got, served, "whole answers; {:#?}", gateway.lines_now());
+    assert_eq!(got, served, "whole answers; {:#?}", gateway.new_lines());
     drop((newcomers, others));
 }
 
@@ -123,7 +125,7 @@
     client.send(&rpc("verify", remaining));
     std::thread::sleep(waits); // for a place
     others.clear();
-    let told = told_wait_ms(&server.next().1);
+    let told = remaining_ms_header(&server.next().1);
     let left = remaining - waits.as_millis() as u64;
     assert!(told <= left + 50, "{told} ms told, {left} left");
 }
@@ -141,7 +143,7 @@
     std::thread::sleep(Duration::from_millis(400)); // its whole time, for a place
     others.clear();
     assert_eq!(client.answer().map(|got| status(&got)), Some(503));
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 /// Processor time that a process has used.
@@ -161,7 +163,7 @@
     for (id, client) in waiting.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
-    gateway.line("\"why\":\"no-room\""); // the spare places answer so, and take the next
+    gateway.wait_for_line("\"why\":\"no-room\""); // the spare places answer so, and take the next
     let newcomers: Vec<Client> = (0..300)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(1)); // so that each is an event of its own
@@ -186,7 +188,7 @@
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
     halves.iter_mut().for_each(|client| client.send("GET /api/"));
-    while server.seen_within(STUCK).is_some() {} // all that get through have
+    while server.next_within(STUCK).is_some() {} // all that get through have
     let mut newcomers: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
     for (id, client) in newcomers.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), 100 + id as u64));
@@ -197,7 +199,7 @@
     for (id, client) in newcomers.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.new_lines());
     }
 }
 
@@ -222,6 +224,6 @@
     for (id, client) in newcomers.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.new_lines());
     }
 }
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -10,7 +10,7 @@
 use gateway::servers::{self, Attempt, Body, ReuseHistory, ServerConnection, Servers};
 use martenramp::host::{CallOutcome, DiscoveredServer};
 use martenramp::subsetting;
-use standins::scripted::{MS, SEC, WATCH, chunk, entry, list, rpc, settings};
+use standins::scripted::{MS, SEC, WATCH_HEAD, chunk, entry, list, rpc, settings};
 use std::net::SocketAddr;
 
 fn config() -> Config {
@@ -254,7 +254,7 @@
 fn the_watch_finds_its_objects_wherever_the_bytes_are_cut() {
     let one = list(41, true, &[entry("a", address(1), "ready"), entry("b", address(2), "draining")]);
     let two = list(43, false, &["{\"name\":\"a\",\"status\":\"gone\"}".to_string()]);
-    let text = format!("{WATCH}{}1\r\n\n\r\n{}", chunk(&one), chunk(&two));
+    let text = format!("{WATCH_HEAD}{}1\r\n\n\r\n{}", chunk(&one), chunk(&two));
     for step in [1, 7, 64, text.len()] {
         let (mut watch, mut out) = (Watch::new(0, usize::MAX), Vec::new());
         let (mut told, mut buffer) = (Vec::new(), Vec::new());
@@ -285,11 +285,11 @@
     };
     assert_eq!(fed("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_string()).0, Err("watch-refused"));
     assert_eq!(fed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_string()).0, Err("watch-not-chunked"));
-    assert_eq!(fed(format!("{WATCH}0\r\n\r\n")).0, Err("watch-ended"));
+    assert_eq!(fed(format!("{WATCH_HEAD}0\r\n\r\n")).0, Err("watch-ended"));
     let good = chunk(&list(41, true, &[entry("a", address(1), "ready")]));
     let nameless = chunk(&list(42, true, &["{\"status\":\"ready\"}".to_string()]));
     assert_eq!(
-        fed(format!("{WATCH}{good}{nameless}{good}")),
+        fed(format!("{WATCH_HEAD}{good}{nameless}{good}")),
         (Err("garbled-object"), 1),
         "what came before it counts"
     );
@@ -439,7 +439,7 @@
     let seeds = [
         rpc("submit", 480),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_string(),
-        format!("{WATCH}{}", chunk(&list(41, true, &[entry("a", address(1), "ready")]))),
+        format!("{WATCH_HEAD}{}", chunk(&list(41, true, &[entry("a", address(1), "ready")]))),
         "$3\r\n7.5\r\n-BUSY\r\n:7\r\n$-1\r\n+PONG\r\n".to_string(),
     ];
     for round in 0..20_000 {
--- a/crates/gateway/tests/quiet_times.rs
+++ b/crates/gateway/tests/quiet_times.rs
@@ -108,12 +108,12 @@
 #[test]
 fn configurations_in_a_row_during_an_outage_of_discovery_lose_nothing() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let (first, nowhere) = (watch(), standins::scripted::nowhere());
+    let (first, nowhere) = (watch(), standins::scripted::refusing_address());
     let gateway = under(&first, &[entry("s0", server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     for id in 0..20 {
         let at = if id % 2 == 0 { nowhere } else { first.address };
-        gateway.rewrite(&gateway.config(at, "", &patient_settings()));
+        gateway.rewrite_config(&gateway.config(at, "", &patient_settings()));
         gateway.signal("-HUP");
         let got = client.ask(&with_id(&rpc(METHODS[id % METHODS.len()], 3000), id as u64));
         assert_eq!(status(&got), 200, "{id}");
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -2,7 +2,8 @@
 //! most) and 0.7 s later. Whatever it read has its one answer before that, and the process ends by itself.
 
 use standins::scripted::{
-    Client, Late, Peer, Program, answer, entry, list, rpc, say, settings, status, told_wait_ms, with_id,
+    Client, FullBacklog, Peer, Program, answer, entry, list, raw_reply, remaining_ms_header, rpc, settings,
+    status, with_id,
 };
 use std::time::{Duration, Instant};
 
@@ -26,7 +27,7 @@
     fn begin(gateway: Program, longest: Duration) -> Stopping {
         gateway.signal("-TERM");
         let since = Instant::now();
-        gateway.line("\"stopping\"");
+        gateway.wait_for_line("\"stopping\"");
         Stopping { gateway, since, killed_at: since + longest.min(DEADLINE_MOST) + KILL_GRACE }
     }
 
@@ -43,7 +44,7 @@
     /// Whether the process ended by itself, with 0, before it may be killed.
     fn ends_by_itself(&mut self) -> bool {
         while Instant::now() < self.killed_at {
-            if let Some(how) = self.gateway.ended() {
+            if let Some(how) = self.gateway.exit_status() {
                 return how.success();
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -71,7 +72,7 @@
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut clients: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
-    gateway.catch_up(); // they are taken, and have said nothing yet
+    gateway.wait_until_processed(); // they are taken, and have said nothing yet
     let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
     stopping.wait_until(Duration::from_millis(900));
     for (id, (client, method)) in clients.iter_mut().zip(["read", "submit", "verify"]).enumerate() {
@@ -137,7 +138,7 @@
         client.send(&text[cut..]);
         sent.push((client, method, id));
     }
-    let seen: Vec<String> = std::iter::from_fn(|| server.seen_now()).map(|(_, message)| message).collect();
+    let seen: Vec<String> = std::iter::from_fn(|| server.try_next()).map(|(_, message)| message).collect();
     for (client, method, id) in &mut sent {
         let got = stopping.answer(client).unwrap_or_else(|| panic!("{method} {id} has no answer"));
         let may_have_run = seen.iter().any(|message| message.contains(&format!("X-Txn: {id:016x}")));
@@ -153,7 +154,7 @@
 /// Waits for the process's end by itself, and returns the invariants that it found broken.
 fn ended_well(stopping: &mut Stopping) -> String {
     assert!(stopping.ends_by_itself(), "it ends by itself before it is killed");
-    let end = stopping.gateway.line("\"msg\":\"ended\"");
+    let end = stopping.gateway.wait_for_line("\"msg\":\"ended\"");
     assert!(end.contains("\"unanswered\":0"), "{end}");
     end.split("\"violations\":\"").nth(1).and_then(|rest| rest.split('"').next()).unwrap_or("?").to_string()
 }
@@ -178,12 +179,15 @@
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
     client.send(&rpc("verify", 5000));
-    assert!(told_wait_ms(&server.next().1) <= 3700, "a server is told no more than the process's own time");
+    assert!(
+        remaining_ms_header(&server.next().1) <= 3700,
+        "a server is told no more than the process's own time"
+    );
     stopping.wait_until(ms(3300));
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
     assert!(stopping.answer(&mut client).unwrap().ends_with("late"));
     drop(client);
     assert_eq!(ended_well(&mut stopping), "");
@@ -192,13 +196,13 @@
 #[test]
 fn an_answer_that_trickles_beyond_the_end_is_given_up_before_it() {
     let (server, discovery) =
-        (Peer::new(|_, _| say("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), watch());
+        (Peer::new(|_, _| raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     server.next();
     let mut stopping = Stopping::begin(gateway, ms(2500));
-    while stopping.since.elapsed() < ms(2800) && server.try_tell(0, "x") {
+    while stopping.since.elapsed() < ms(2800) && server.try_write(0, "x") {
         std::thread::sleep(ms(20)); // the pace of the trickle
     }
     let got = stopping.answer(&mut client).expect("an answer before the end");
@@ -229,7 +233,7 @@
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(1000)));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = Stopping::begin(gateway, ms(1000));
     let commands: String = (1..=3).map(|id| with_id(&rpc("verify", 1000), id)).collect();
     client.send(&commands);
@@ -244,7 +248,7 @@
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2000)));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = Stopping::begin(gateway, ms(2000));
     client.send(&(with_id(&rpc("verify", 1500), 1) + &with_id(&rpc("submit", 1500), 2)[..100]));
     let first = stopping.answer(&mut client).expect("the whole one's");
@@ -259,11 +263,11 @@
 
 #[test]
 fn a_connection_that_never_comes_up_does_not_outlast_a_stopping_process() {
-    let (late, discovery) = (Late::default(), watch());
+    let (late, discovery) = (FullBacklog::default(), watch());
     let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &deadlines_of(ms(1500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = Stopping::begin(gateway, ms(1500));
     assert_eq!(stopping.answer(&mut client).map(|got| status(&got)), Some(503), "it never ran");
     drop(client);
@@ -285,7 +289,7 @@
     let mut stopping = Stopping::begin(gateway, ms(1500));
     let got = stopping.answer(&mut client).map(|got| status(&got));
     // The silent counter is given up within the shutdown, so that the RPC may still be tried.
-    let expected = if server.seen_now().is_some() { [502, 504] } else { [429, 503] };
+    let expected = if server.try_next().is_some() { [502, 504] } else { [429, 503] };
     assert!(got.is_some_and(|got| expected.contains(&got)), "{got:?}, expected one of {expected:?}");
     drop(client);
     assert_eq!(ended_well(&mut stopping), "");
@@ -298,7 +302,7 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 5000));
     server.next();
-    gateway.rewrite(&gateway.config(discovery.address, "", &deadlines_of(ms(800))));
+    gateway.rewrite_config(&gateway.config(discovery.address, "", &deadlines_of(ms(800))));
     let mut stopping = Stopping::begin(gateway, ms(800));
     stopping.gateway.signal("-HUP");
     stopping.gateway.signal("-TERM");
@@ -311,9 +315,9 @@
 fn a_configuration_with_longer_deadlines_read_before_or_while_stopping_does_not_put_the_end_off() {
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
-    gateway.rewrite(&gateway.config(discovery.address, "", &long_deadlines()));
+    gateway.rewrite_config(&gateway.config(discovery.address, "", &long_deadlines()));
     gateway.signal("-HUP");
-    gateway.line("\"configuration read\"");
+    gateway.wait_for_line("\"configuration read\"");
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
@@ -331,12 +335,12 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
-    gateway.stand_still();
+    gateway.pause();
     let began = Instant::now();
     gateway.signal("-TERM");
     std::thread::sleep(ms(150)); // the hold-up that the operators name
     gateway.signal("-CONT");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let mut stopping = Stopping { gateway, since: began, killed_at: began + until_kill(ms(800)) };
     assert!(matches!(stopping.answer(&mut client).map(|got| status(&got)), Some(502 | 504)));
     drop(client);
@@ -348,9 +352,9 @@
     let (server, discovery) = (hangs(), watch());
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     std::thread::sleep(ms(1000)); // the connection's age
     client.send(&rpc("verify", 2900));
-    let told = told_wait_ms(&server.next().1);
+    let told = remaining_ms_header(&server.next().1);
     assert!((2700..=2900).contains(&told), "{told} ms told");
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! The program itself, started and spoken to over loopback: one short story for each failure met.
 
 use standins::scripted::{
-    self as fake, Peer, Program, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
-    told_wait_ms,
+    self as fake, Peer, Program, WATCH_HEAD, answer, chunk, entry, list, raw_reply, refusing_address,
+    remaining_ms_header, rpc, settings, status,
 };
 use std::process::Command;
 
@@ -15,8 +15,8 @@
         .enumerate()
         .map(|(at, server)| entry(&format!("s{at}"), server.address, "ready"))
         .collect();
-    let more = format!("\"counter\":\"{}\",\"known\":{},", nowhere(), list(3, true, &entries));
-    Program::start(BIN, nowhere(), &more, &settings(""))
+    let more = format!("\"counter\":\"{}\",\"known\":{},", refusing_address(), list(3, true, &entries));
+    Program::start(BIN, refusing_address(), &more, &settings(""))
 }
 
 #[test]
@@ -35,7 +35,7 @@
     assert!(seen.contains("X-Txn: 0123456789abcdef\r\n") && seen.contains("Idempotency-Key: k1\r\n"));
     // A non-idempotent one is waited for until its deadline: somewhat less than the client waits.
     assert_eq!(status(&client.ask(&rpc("verify", 2000))), 200);
-    assert!(told_wait_ms(&server.next().1) <= 1995);
+    assert!(remaining_ms_header(&server.next().1) <= 1995);
     // Both connections are used again.
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 0);
@@ -45,13 +45,13 @@
 fn it_is_ready_only_once_there_is_a_list() {
     let server = Peer::new(|_, _| answer(200, "", "late"));
     let line = list(5, true, &[entry("s0", server.address, "ready")]);
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let mut client = gateway.client();
     assert_eq!(status(&client.ask("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
     assert_eq!(status(&client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     assert!(discovery.next().1.starts_with("GET /api/targets?watch=1&from=0 "));
-    discovery.tell(0, &chunk(&line));
+    discovery.write(0, &chunk(&line));
     while status(&client.ask("GET /-/ready HTTP/1.1\r\n\r\n")) != 200 {}
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
 }
@@ -61,20 +61,21 @@
     let server = Peer::new(|_, _| answer(200, "", "here"));
     let moved = Peer::new(|_, _| answer(200, "", "there"));
     let line = list(5, true, &[entry("s0", server.address, "ready")]);
-    let first = format!("{WATCH}{}", chunk(&line));
-    let discovery = Peer::new(move |number, _| if number == 0 { say(&first) } else { say(WATCH) });
+    let first = format!("{WATCH_HEAD}{}", chunk(&line));
+    let discovery =
+        Peer::new(move |number, _| if number == 0 { raw_reply(&first) } else { raw_reply(WATCH_HEAD) });
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     assert!(discovery.next().1.contains("from=0"));
-    discovery.tell(0, &chunk("{\"index\":6,\"snap"));
+    discovery.write(0, &chunk("{\"index\":6,\"snap"));
     assert!(discovery.next().1.contains("from=5"), "after a garbled line");
-    assert!(gateway.line("\"garbled-object\"").contains("\"list\""));
+    assert!(gateway.wait_for_line("\"garbled-object\"").contains("\"list\""));
     discovery.close(1);
     assert!(discovery.next().1.contains("from=5"), "after a cut");
     let mut client = gateway.client();
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
     // The same server at another address: the connection to the old one is of no more use.
-    discovery.tell(2, &chunk(&list(7, false, &[entry("s0", moved.address, "ready")])));
-    gateway.line("\"server-moved\"");
+    discovery.write(2, &chunk(&list(7, false, &[entry("s0", moved.address, "ready")])));
+    gateway.wait_for_line("\"server-moved\"");
     assert!(client.ask(&rpc("read", 2000)).ends_with("there"));
 }
 
@@ -84,16 +85,16 @@
     let breaks = Peer::new(|_, _| (Vec::new(), true));
     let gateway = knowing(&[&breaks]);
     assert_eq!(status(&gateway.client().ask(&rpc("verify", 2000))), 502);
-    assert_eq!((breaks.next().0, breaks.seen_now()), (0, None), "nothing below the module sends it again");
+    assert_eq!((breaks.next().0, breaks.try_next()), (0, None), "nothing below the module sends it again");
     // Turned away, or refused: it never ran and goes on to the other server.
     let full = Peer::new(|_, _| answer(503, "X-Turned-Away: 1\r\n", ""));
     let good = Peer::new(|_, _| answer(200, "", "good"));
-    let gone = nowhere();
+    let gone = refusing_address();
     let known =
         [entry("a", full.address, "ready"), entry("b", good.address, "ready"), entry("c", gone, "ready")];
     let more = format!("\"known\":{},", list(3, true, &known));
     let wide = settings("").replace("\"attemptsCap\":2", "\"attemptsCap\":3");
-    let gateway = Program::start(BIN, nowhere(), &more, &wide);
+    let gateway = Program::start(BIN, refusing_address(), &more, &wide);
     for _ in 0..8 {
         assert!(gateway.client().ask(&rpc("verify", 2000)).ends_with("good"));
     }
@@ -114,7 +115,7 @@
     let start = std::time::Instant::now();
     assert_eq!(status(&gateway.client().ask(&rpc("verify", 300))), 504);
     assert!(start.elapsed().as_millis() < 2500, "not the three seconds of its method");
-    gateway.line("call-out-timed-out"); // its connection is closed, so that the server may stop
+    gateway.wait_for_line("call-out-timed-out"); // its connection is closed, so that the server may stop
 }
 
 #[test]
@@ -126,8 +127,8 @@
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0);
     drop(client);
-    assert!(gateway.line("\"left-before-answer\"").contains("\"client\""));
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+    assert!(gateway.wait_for_line("\"left-before-answer\"").contains("\"client\""));
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     for _ in 0..5 {
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with('x'), "never the answer to another RPC");
     }
@@ -168,7 +169,7 @@
         assert!(status(&got) == told && got.contains("Connection: close"), "{message}: {got}");
         assert!(client.is_closed());
     }
-    assert_eq!(server.seen_now(), None);
+    assert_eq!(server.try_next(), None);
     // A body of the most that is taken passes.
     let body = "x".repeat(64 << 10);
     let large =
@@ -185,8 +186,8 @@
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0);
     assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 409);
-    assert_eq!(server.seen_now(), None);
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
+    assert_eq!(server.try_next(), None);
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
     assert!(client.answer().unwrap().ends_with("own"));
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0, "and is free again with the answer");
@@ -271,12 +272,12 @@
     let mut idle = gateway.client();
     assert_eq!(status(&idle.ask("GET /-/ready HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let got = gateway.client().ask(&rpc("read", 2000));
     assert!(got.ends_with("on") && got.contains("Connection: close"), "a new connection, after the signal");
     assert_eq!(status(&gateway.client().ask("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
     assert!(idle.is_closed(), "an idle connection is ended once new ones stop coming");
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
     assert!(held.answer().unwrap().ends_with("held"));
     drop(held);
     assert!(gateway.child.wait().unwrap().success());
@@ -285,18 +286,19 @@
 #[test]
 fn the_counter_is_called_and_its_totals_are_heeded() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let counter = Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$5\r\n990.5\r\n" }));
+    let counter =
+        Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$5\r\n990.5\r\n" }));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
     let wide = settings("\"extra\":{\"hasCounter\":true,\"countWait\":5.0,\"largest\":8},");
-    let gateway = Program::start(BIN, nowhere(), &more, &wide);
+    let gateway = Program::start(BIN, refusing_address(), &more, &wide);
     // Two gateways' customer: the counter is asked before the first units go, and says that none are left.
     let asked = rpc("verify", 300).replace("spread=1", "spread=2");
     assert_eq!(status(&gateway.client().ask(&asked)), 429);
     let (_, call) = counter.next();
     let words: Vec<&str> = call.split(' ').collect();
     assert!(words[0] == "INCRTTL" && words[2] == "2" && words[3].parse::<u64>().unwrap() > 0, "{call}");
-    assert_eq!(server.seen_now(), None);
+    assert_eq!(server.try_next(), None);
 }
 
 #[test]
@@ -306,17 +308,17 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
     let told = settings("\"extra\":{\"hasCounter\":true,\"countWait\":0.03,\"largest\":8},");
-    let gateway = Program::start(BIN, nowhere(), &more, &told);
+    let gateway = Program::start(BIN, refusing_address(), &more, &told);
     let asked = rpc("verify", 2000).replace("spread=1", "spread=2");
     assert_eq!(status(&gateway.client().ask(&asked)), 200);
     assert!(counter.next().1.starts_with("INCRTTL "));
-    gateway.line("\"silent\""); // a connection without any answer is opened anew, in the end
+    gateway.wait_for_line("\"silent\""); // a connection without any answer is opened anew, in the end
 }
 
 #[test]
 fn a_silent_watch_is_asked_for_again_and_idle_connections_close_before_the_server_would() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let told = settings("").replace("\"connIdle\":15.0", "\"connIdle\":0.5");
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &told);
@@ -324,10 +326,10 @@
     let mut client = gateway.client();
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 0);
-    assert!(gateway.line("\"idle\"").contains("\"server\""));
+    assert!(gateway.wait_for_line("\"idle\"").contains("\"server\""));
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 1);
-    gateway.line("\"silent\"");
+    gateway.wait_for_line("\"silent\"");
     assert!(discovery.next().1.contains("from=3"));
 }
 
@@ -337,7 +339,8 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let mut limited = Command::new("sh");
     limited.args(["-c", &format!("ulimit -n 40; exec {BIN} \"$@\""), "sh"]);
-    let gateway = Program::run(&mut limited, nowhere(), &format!("\"known\":{known},"), &settings(""));
+    let gateway =
+        Program::run(&mut limited, refusing_address(), &format!("\"known\":{known},"), &settings(""));
     let mut kept = Vec::new();
     for _ in 0..60 {
         let mut client = gateway.client();
@@ -345,7 +348,7 @@
         assert!(matches!(status(&got), 200 | 503), "{got}");
         kept.push(client);
     }
-    gateway.line("\"made-room\"");
+    gateway.wait_for_line("\"made-room\"");
     // Clients that send nothing, or half a message, hold their places only for a while.
     kept.extend((0..40).map(|_| gateway.client()));
     kept.iter_mut().skip(80).for_each(|client| client.try_send("GET /api/"));
@@ -360,9 +363,9 @@
     let mut client = gateway.client();
     assert!(client.ask(&rpc("read", 2000)).ends_with("new"));
     assert_eq!(server.next().0, 0);
-    gateway.stand_still();
+    gateway.pause();
     client.send(&rpc("read", 2000)); // is read first
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     gateway.signal("-CONT");
     assert!(client.answer().unwrap().ends_with("new"));
     assert_eq!(server.next().0, 1, "on a connection of its own");
@@ -373,14 +376,14 @@
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"limits\":{{\"memory_mb\":1}},\"known\":{known},");
-    let gateway = Program::start(BIN, nowhere(), &more, &settings(""));
+    let gateway = Program::start(BIN, refusing_address(), &more, &settings(""));
     let half = rpc("submit", 2000).replace(
         "Content-Length: 4\r\n\r\nbody",
         &format!("Content-Length: 65536\r\n\r\n{}", "x".repeat(60_000)),
     );
     let mut clients: Vec<_> = (0..10).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&half));
-    gateway.line("\"no-memory\"");
+    gateway.wait_for_line("\"no-memory\"");
     drop(clients);
     let served = |_| gateway.client().try_ask(&rpc("read", 2000)).is_some_and(|got| status(&got) == 200);
     assert!((0..100_000).any(served), "and there is room again");
@@ -407,12 +410,12 @@
     let mut client = gateway.client();
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     server.next();
-    gateway.stand_still();
+    gateway.pause();
     client.send(&rpc("verify", 2000));
     std::thread::sleep(std::time::Duration::from_millis(700)); // the time that passes is what is tested
     gateway.signal("-CONT");
     assert_eq!(status(&client.answer().unwrap()), 200);
-    let wait = told_wait_ms(&server.next().1);
+    let wait = remaining_ms_header(&server.next().1);
     assert!(wait < 1600, "{wait} ms are left of 2000, 700 of them passed");
 }
 
@@ -442,8 +445,8 @@
 fn on_sighup_discovery_and_the_counter_move_and_nothing_is_lost() {
     let server = Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { answer(200, "", "on") });
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let (old, new) = (Peer::new(|_, _| say(WATCH)), Peer::new(|_, _| say(WATCH)));
-    let counts = || Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
+    let (old, new) = (Peer::new(|_, _| raw_reply(WATCH_HEAD)), Peer::new(|_, _| raw_reply(WATCH_HEAD)));
+    let counts = || Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
     let (before, after) = (counts(), counts());
     let more = format!("\"counter\":\"{}\",\"known\":{known},", before.address);
     let told = settings("\"extra\":{\"hasCounter\":true,\"countWait\":5.0,\"largest\":8},");
@@ -455,23 +458,23 @@
         server.next().0 == 0 && before.next().1.starts_with("INCRTTL ") && old.next().1.contains("from=3")
     );
     // A file that can't be read changes nothing.
-    gateway.rewrite("{\"discovery\":");
+    gateway.rewrite_config("{\"discovery\":");
     gateway.signal("-HUP");
-    gateway.line("\"configuration kept\"");
+    gateway.wait_for_line("\"configuration kept\"");
     let more = format!("\"counter\":\"{}\",", after.address);
-    gateway.rewrite(&gateway.config(new.address, &more, &told));
+    gateway.rewrite_config(&gateway.config(new.address, &more, &told));
     gateway.signal("-HUP");
     assert!(new.next().1.contains("from=3"), "the list held stays");
-    assert!(gateway.line("\"list\"").contains("\"moved\""));
-    assert!(gateway.line("\"counter\"").contains("\"moved\""));
+    assert!(gateway.wait_for_line("\"list\"").contains("\"moved\""));
+    assert!(gateway.wait_for_line("\"counter\"").contains("\"moved\""));
     assert!(gateway.client().ask(&asked("verify")).ends_with("on"));
     let next = after.next();
     assert!(next.1.starts_with("INCRTTL "), "the next call, not {next:?}");
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
     let answer = held.answer().unwrap();
     assert!(answer.ends_with("held"), "an RPC that was out, not {answer}");
-    new.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "gone")])));
-    gateway.line("\"server-gone\"");
+    new.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "gone")])));
+    gateway.wait_for_line("\"server-gone\"");
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Set-up that several stories with real processes share.
 
-use standins::scripted::{Peer, Program, WATCH, list, say, settings};
+use standins::scripted::{Peer, Program, WATCH_HEAD, list, raw_reply, settings};
 
 pub const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
@@ -21,5 +21,5 @@
 }
 
 pub fn watch() -> Peer {
-    Peer::new(|_, _| say(WATCH))
+    Peer::new(|_, _| raw_reply(WATCH_HEAD))
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -1,7 +1,9 @@
 //! System calls that fail in the ways that Linux documents, a call in fifty: every request has its answer in its time,
 //! and nearly all are served.
 
-use standins::scripted::{Client, Peer, Program, WATCH, answer, entry, list, rpc, say, settings, status};
+use standins::scripted::{
+    Client, Peer, Program, WATCH_HEAD, answer, entry, list, raw_reply, rpc, settings, status,
+};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::Command;
@@ -74,7 +76,7 @@
 
 fn one_call_in_fifty_fails(seed: u64) {
     let servers: Vec<Peer> = (0..4).map(|_| Peer::new(|_, _| answer(200, "", "served"))).collect();
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let report = std::env::temp_dir().join(format!("martenramp-faults-{}-{seed}.txt", std::process::id()));
     let mut gateway = disturbed(&discovery, &servers.iter().collect::<Vec<_>>(), seed, 0.02, &report);
     let address = gateway.address;
@@ -119,7 +121,7 @@
 fn a_signal_whose_wake_is_lost_still_ends_the_process() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let (discovery, report) =
-        (Peer::new(|_, _| say(WATCH)), std::env::temp_dir().join("martenramp-no-report"));
+        (Peer::new(|_, _| raw_reply(WATCH_HEAD)), std::env::temp_dir().join("martenramp-no-report"));
     let mut command = Command::new(BIN);
     command.env("LD_PRELOAD", faults()).env("MARTENRAMP_FAULTS", "seed=1,rate=1,only=wakes");
     command.env("MARTENRAMP_FAULTS_REPORT", &report);
@@ -127,7 +129,7 @@
     let more = format!("\"known\":{known},");
     let mut gateway = Program::run(&mut command, discovery.address, &more, &settings(""));
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     assert!(gateway.child.wait().unwrap().success());
     let _ = std::fs::remove_file(report);
 }
@@ -171,7 +173,7 @@
 
 /// A connection to a process that tells nobody when it listens.
 fn connected(address: std::net::SocketAddr) -> Client {
-    let until = Instant::now() + standins::scripted::PATIENCE;
+    let until = Instant::now() + standins::scripted::WAIT_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(Instant::now() < until, "nobody listens at {address}");
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -2,7 +2,7 @@
 //! start goes by what this process saw happen.
 
 use standins::scripted::{
-    Client, Peer, Program, answer, chunk, entry, list, rpc, settings, status, told_wait_ms,
+    Client, Peer, Program, answer, chunk, entry, list, remaining_ms_header, rpc, settings, status,
 };
 use std::path::PathBuf;
 use std::process::Command;
@@ -97,8 +97,8 @@
     stepped.answered_by("old");
     let new = named("new");
     let stamp = stepped.step(ahead_ms);
-    discovery.tell(0, &chunk(&list(4, false, &[started("s1", &new, stamp)])));
-    stepped.gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &[started("s1", &new, stamp)])));
+    stepped.gateway.wait_until_processed();
     let cold = stepped.answered_by("new");
     std::thread::sleep(Duration::from_secs(2)); // until it is warm
     (cold, stepped.answered_by("new"))
@@ -127,7 +127,7 @@
         stepped.step(ahead_ms);
         let asked = std::time::Instant::now();
         client.send(&rpc("verify", 700));
-        let told = told_wait_ms(&server.next().1);
+        let told = remaining_ms_header(&server.next().1);
         assert!((600..=700).contains(&told), "{told} ms told");
         let got = status(&client.answer().expect("an answer"));
         assert!(matches!(got, 502 | 504), "{got}");
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -209,7 +209,7 @@
             at_counter: loopback::COUNTER,
             servers_at: loopback::servers_of_a_fleet(),
         };
-        fleet.at_counter = fleet.counter.with(|counter, io| counter.open(io, loopback::COUNTER))?;
+        fleet.at_counter = fleet.counter.with(|counter, io| counter.listen(io, loopback::COUNTER))?;
         for group in &scenario.servers {
             for _ in 0..group.count {
                 let number = fleet.add_server(group, true)?;
@@ -240,16 +240,16 @@
             let at = &mut self.gateways[gateway];
             if let Some(program) = &mut at.program {
                 let asked = at.told_to_end.is_some();
-                if let Some(how) = program.ended().filter(|how| !(asked && how.success())) {
+                if let Some(how) = program.exit_status().filter(|how| !(asked && how.success())) {
                     self.crashed.push(format!("n{} ended by itself with {how:?}", at.number));
-                } else if program.ended().is_none() {
-                    let _ = program.send(Signal::TERM);
+                } else if program.exit_status().is_none() {
+                    let _ = program.send_signal(Signal::TERM);
                 }
             }
         }
         (0..self.gateways.len()).for_each(|gateway| self.end(gateway, true));
         let (ledger, connections) = self.servers.with(|servers, _| {
-            (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connections))
+            (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connection_samples))
         });
         let (calls, extra_answers, sent_again) =
             self.front.with(|front, _| (std::mem::take(&mut front.calls), front.extra, front.sent_again));
@@ -275,7 +275,7 @@
             steps: self.steps_done,
             sent_again,
             count_calls: self.counter.with(|counter, _| counter.calls),
-            list_bytes: self.discovery.with(|discovery, _| discovery.told_bytes),
+            list_bytes: self.discovery.with(|discovery, _| discovery.list_bytes_sent),
         }
     }
 }
--- a/crates/rig/src/fleet/gateways.rs
+++ b/crates/rig/src/fleet/gateways.rs
@@ -25,14 +25,15 @@
                 seen_at.insert(entry.name, at);
             }
         }
-        let agent =
-            self.discovery.with(move |discovery, io| discovery.agent(io, loopback::DISCOVERY, seen_at))?;
+        let agent = self
+            .discovery
+            .with(move |discovery, io| discovery.add_agent(io, loopback::DISCOVERY, seen_at))?;
         let faults = self.faults_between(number, |place| *place == Place::Discovery);
         let discovery = self.through(faults, &format!("discovery of {number}"), agent)?;
         let faults = self.faults_between(number, |place| *place == Place::Counter);
         let counter = self.through(faults, "counter", self.at_counter)?;
         let listen = loopback::GATEWAYS;
-        let (_, all) = self.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT))?;
+        let (_, all) = self.relays.with(|relays, io| relays.add_member(io, loopback::FAN_OUT))?;
         self.gateways.push(Gateway {
             number,
             fleet,
@@ -59,7 +60,7 @@
         settings["zone"] = json!(at.number % self.scenario.zones.len());
         settings["localities"] = json!(self.scenario.zones);
         let number = at.number;
-        let known = self.discovery.with(move |discovery, _| discovery.known(number));
+        let known = self.discovery.with(move |discovery, _| discovery.snapshot(number));
         let mut told = json!({"name": format!("n{}", at.number), "listen": at.listen.to_string(),
             "discovery": at.discovery.to_string(), "counter": at.counter.to_string(),
             "seed": format!("{:016x}", self.seeds.random::<u64>()),
@@ -104,7 +105,7 @@
             let listen = program.address;
             let hears = loopback::peer_address(&lines);
             let member = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(member, hears));
+            self.relays.with(move |relays, _| relays.set_receiver(member, hears));
             self.gateways[*gateway].listen = listen;
             if fresh {
                 let faults = self.faults_between(*gateway, |place| *place == Place::Front);
@@ -121,13 +122,13 @@
         let at = &mut self.gateways[gateway];
         let Some(mut program) = at.program.take() else { return };
         let until = self.clock.now() + LINGER;
-        while program.ended().is_none() && self.clock.now() < until {
+        while program.exit_status().is_none() && self.clock.now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let how = program.ended();
+        let how = program.exit_status();
         if asked && how.is_none_or(|how| !how.success()) {
             self.crashed.push(format!("n{} ended with {how:?} after SIGTERM", at.number));
         }
-        at.lines.extend(program.lines_now());
+        at.lines.extend(program.new_lines());
     }
 }
--- a/crates/rig/src/fleet/links.rs
+++ b/crates/rig/src/fleet/links.rs
@@ -42,7 +42,7 @@
         if let Some(link) = self.links.get(&key) {
             return Ok(link.1);
         }
-        let link = self.relays.with(move |relays, io| relays.link(io, loopback::LINKS, target))?;
+        let link = self.relays.with(move |relays, io| relays.relay_tcp(io, loopback::LINKS, target))?;
         key.0.iter().for_each(|fault| self.links_of.entry(*fault).or_default().push(link.0));
         self.links.insert(key, link);
         Ok(link.1)
--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use standins::counter::State;
 use standins::discovery::Mode;
-use standins::relay::{Faults, Gate, Path as Way};
+use standins::relay::{AcceptMode, Faults, PathFaults as Way};
 use standins::servers::Health;
 
 /// The platform kills a process no sooner after SIGTERM than the longest deadline, of which so much counts, and this grace;
@@ -292,11 +292,11 @@
 
 /// The faults that a link of the scenario puts on what passes it.
 fn faults(wire: &Wire) -> Faults {
-    let way = |cut: bool| Way { cut, delay: nanos(wire.delay_ms / 1e3), lose: wire.lose, ..Way::default() };
+    let way = |cut: bool| Way { cut, delay: nanos(wire.delay_ms / 1e3), loss: wire.lose, ..Way::default() };
     let gate = match (wire.reset, wire.silent) {
-        (true, _) => Gate::Resets,
-        (_, true) => Gate::Silent,
-        _ => Gate::Passes,
+        (true, _) => AcceptMode::Reset,
+        (_, true) => AcceptMode::Discard,
+        _ => AcceptMode::Forward,
     };
-    Faults { gate, there: way(wire.cut_there), back: way(wire.cut_back) }
+    Faults { accept: gate, to_target: way(wire.cut_there), from_target: way(wire.cut_back) }
 }
--- a/crates/rig/src/fleet/servers.rs
+++ b/crates/rig/src/fleet/servers.rs
@@ -5,25 +5,25 @@
 use crate::scenario::Servers as Group;
 use crate::{Nanos, nanos};
 use standins::discovery::Entry;
-use standins::servers::Spec;
+use standins::servers::ServerSpec;
 
 impl Fleet<'_> {
     /// A server more, not yet told to anybody.
     pub(super) fn add_server(&mut self, group: &Group, warm: bool) -> std::io::Result<usize> {
         let number = self.listed.len();
         let zones = &self.scenario.zones;
-        let spec = Spec {
+        let spec = ServerSpec {
             name: format!("s{number:04}"),
             zone: group.zone.clone().unwrap_or_else(|| zones[number % zones.len()].clone()),
             weight: group.weight,
             cores: group.cores,
-            queue: group.queue,
-            connections: group.connections,
-            service: nanos(group.service_ms / 1e3),
-            spread: group.spread,
+            queue_limit: group.queue,
+            max_connections: group.connections,
+            median_service: nanos(group.service_ms / 1e3),
+            service_sigma: group.spread,
             cold_share: group.cold_share,
-            cold_for: nanos(group.cold_seconds),
-            reports: group.reports,
+            warmup: nanos(group.cold_seconds),
+            reports_load: group.reports,
             body_bytes: group.body_bytes,
             address: self.servers_at,
         };
@@ -41,7 +41,7 @@
         entry.status = status;
         let entry = entry.clone();
         self.list_changes.push(ListChange { server: number, at: self.clock.now(), ready: status == "ready" });
-        self.discovery.with(move |discovery, io| discovery.change(io, entry));
+        self.discovery.with(move |discovery, io| discovery.publish(io, entry));
         self.mark(number, status == "ready");
     }
 
--- a/crates/rig/src/fleet/steps.rs
+++ b/crates/rig/src/fleet/steps.rs
@@ -35,7 +35,7 @@
                 // Where faults overlap another one may have started it already: the script waits for nobody then.
                 let mut stands = |gateway: &usize| {
                     let at = &mut self.gateways[*gateway];
-                    let ended = at.program.as_mut().is_none_or(|program| program.ended().is_some());
+                    let ended = at.program.as_mut().is_none_or(|program| program.exit_status().is_some());
                     ended || awaits_end && at.told_to_end.is_some()
                 };
                 let gateways: Vec<usize> = gateways.into_iter().filter(|gateway| stands(gateway)).collect();
@@ -67,14 +67,14 @@
             }
             Step::Agents { agents, mode, versions_back } => self.set_agents(agents, mode, versions_back)?,
             Step::CounterState(state) => {
-                self.counter.with(move |counter, io| counter.become_(io, state)).map_err(failed)?;
+                self.counter.with(move |counter, io| counter.set_state(io, state)).map_err(failed)?;
             }
-            Step::EmptyCounter => self.counter.with(|counter, _| counter.empty()),
+            Step::EmptyCounter => self.counter.with(|counter, _| counter.clear()),
             Step::Crowd { rate } => self.front.with(move |front, io| front.crowd(io, rate)),
             Step::Burst { factor } => self.front.with(move |front, _| front.burst(factor)),
             Step::Links { links, faults } => {
                 self.relays.with(move |relays, io| {
-                    links.into_iter().for_each(|link| relays.set(io, link, faults));
+                    links.into_iter().for_each(|link| relays.set_faults(io, link, faults));
                 });
             }
         }
@@ -102,11 +102,11 @@
     fn signal(&mut self, gateways: Vec<usize>, signal: Signal) -> Result<(), String> {
         for gateway in gateways {
             let Some(program) = &mut self.gateways[gateway].program else { continue };
-            if program.ended().is_some() {
+            if program.exit_status().is_some() {
                 continue; // another fault was first
             }
             let now = self.clock.now();
-            program.send(signal).map_err(failed)?;
+            program.send_signal(signal).map_err(failed)?;
             if signal == Signal::TERM {
                 self.gateways[gateway].told_to_end.get_or_insert(now);
             }
@@ -123,8 +123,8 @@
         let mut paused = Vec::new();
         for gateway in gateways {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.send(Signal::STOP).map_err(failed)?;
+            if program.exit_status().is_none() {
+                program.send_signal(Signal::STOP).map_err(failed)?;
                 paused.push(program.pid());
             }
         }
@@ -169,8 +169,8 @@
                 continue; // it is another process than was told to end so long ago
             }
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.send(Signal::KILL).map_err(failed)?;
+            if program.exit_status().is_none() {
+                program.send_signal(Signal::KILL).map_err(failed)?;
                 let number = self.gateways[*gateway].number;
                 self.crashed.push(format!("n{number} was still running when it was killed"));
                 self.end(*gateway, false);
@@ -183,9 +183,9 @@
         for gateway in gateways {
             let text = self.configuration(*gateway);
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.rewrite(&text);
-                program.send(Signal::HUP).map_err(failed)?;
+            if program.exit_status().is_none() {
+                program.rewrite_config(&text);
+                program.send_signal(Signal::HUP).map_err(failed)?;
             }
         }
         Ok(())
@@ -209,8 +209,8 @@
             self.gateways[gateway].fleet = fleet;
             let text = self.configuration(gateway);
             if let Some(program) = &self.gateways[gateway].program {
-                program.rewrite(&text);
-                program.send(Signal::HUP).map_err(failed)?;
+                program.rewrite_config(&text);
+                program.send_signal(Signal::HUP).map_err(failed)?;
             }
         }
         self.start(&(was..fleet).collect::<Vec<_>>())?;
@@ -233,7 +233,7 @@
     }
 
     fn set_health(&mut self, server: usize, health: Health) -> Result<(), String> {
-        self.servers.with(move |servers, io| servers.become_(io, server, health)).map_err(failed)
+        self.servers.with(move |servers, io| servers.set_health(io, server, health)).map_err(failed)
     }
 
     fn change_health(&mut self, servers: Vec<usize>, health: Health) -> Result<(), String> {
@@ -241,7 +241,7 @@
             self.set_health(server, health)?;
             self.mark(server, health != Health::Down && health != Health::Silent);
             if health == Health::Well {
-                let since = self.servers.with(move |servers, _| servers.since(server));
+                let since = self.servers.with(move |servers, _| servers.started_at(server));
                 let since_ms = if since == 0 { 0 } else { self.clock.unix_ms(since) };
                 self.listed[server].since_ms = since_ms;
             }
@@ -254,7 +254,7 @@
         for agent in agents {
             let set = self.discovery.with(move |discovery, io| {
                 let to = (versions_back > 0).then(|| discovery.index().saturating_sub(versions_back));
-                discovery.set(io, agent, mode, to)
+                discovery.set_mode(io, agent, mode, to)
             });
             set.map_err(failed)?;
         }
--- a/crates/rig/src/front.rs
+++ b/crates/rig/src/front.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::Exp1;
 use standins::http;
-use standins::reactor::{Conn, Io, Service};
+use standins::reactor::{ConnId, EventHandler, Io};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -150,8 +150,8 @@
 struct Gateway {
     address: SocketAddr,
     state: GatewayState,
-    idle: Vec<Conn>,
-    probe: Option<Conn>,
+    idle: Vec<ConnId>,
+    probe: Option<ConnId>,
 }
 
 /// What a connection is doing.
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 struct Message {
     text: Vec<u8>,
-    conn: Option<Conn>,
+    conn: Option<ConnId>,
     /// Its connection was there before: a gateway may close it just as the message crosses.
     rested: bool,
     /// The client closes it behind the answer.
@@ -181,7 +181,7 @@
 pub struct Front {
     plan: Plan,
     gateways: Vec<Gateway>,
-    conns: BTreeMap<Conn, (usize, Use)>,
+    conns: BTreeMap<ConnId, (usize, Use)>,
     /// Messages of the calls that are open.
     messages: BTreeMap<usize, Message>,
     /// RPCs sent once more, since their connection was closed as they crossed.
@@ -230,7 +230,7 @@
     /// One more gateway, probed from now on.
     pub fn add(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
-            io.at(io.now(), PROBES);
+            io.set_timer(io.now(), PROBES);
         }
         self.gateways.push(Gateway { address, state: GatewayState::Down, idle: Vec::new(), probe: None });
     }
@@ -245,7 +245,7 @@
         self.running = running;
         if running {
             self.next = io.now();
-            io.at(self.next, ARRIVAL);
+            io.set_timer(self.next, ARRIVAL);
         }
     }
 
@@ -260,14 +260,14 @@
         self.crowd = rate;
         self.crowded_until = io.now() + CROWD_AFTER;
         if begins {
-            io.at(io.now(), CROWD);
+            io.set_timer(io.now(), CROWD);
         }
     }
 
     fn open_silent(&mut self, io: &mut Io) {
         if self.crowd == 0.0 {
             let silent = self.conns.iter().filter(|(_, (_, what))| *what == Use::Silent);
-            let silent: Vec<Conn> = silent.map(|(conn, _)| *conn).collect();
+            let silent: Vec<ConnId> = silent.map(|(conn, _)| *conn).collect();
             for conn in silent {
                 self.conns.remove(&conn);
                 io.close(conn);
@@ -284,7 +284,7 @@
                 }
             }
         }
-        io.at(io.now() + CROWD_STEP, CROWD);
+        io.set_timer(io.now() + CROWD_STEP, CROWD);
     }
 
     /// The customers' gateways go over to a fleet of another size.
@@ -315,7 +315,7 @@
             self.send(io, due);
         }
         if self.running {
-            io.at(self.next, ARRIVAL);
+            io.set_timer(self.next, ARRIVAL);
         }
     }
 
@@ -378,21 +378,21 @@
         call.due += hold;
         call.sent += hold;
         if behaviour.leave > 0.0 && self.chance.random_bool(behaviour.leave) {
-            io.at(call.due + self.chance.random_range(0..deadline), LEAVE | number as u64);
+            io.set_timer(call.due + self.chance.random_range(0..deadline), LEAVE | number as u64);
         }
-        io.at(call.due + deadline + SLACK, number as u64);
+        io.set_timer(call.due + deadline + SLACK, number as u64);
         self.messages
             .insert(number, Message { text, conn: Some(conn), rested, fresh, written: false, again: false });
         self.calls.push(call);
         if early {
-            io.at(due + hold, BEGIN | number as u64);
+            io.set_timer(due + hold, BEGIN | number as u64);
         } else {
             self.write(io, number);
         }
     }
 
     /// An idle connection to a gateway that is still open.
-    fn idle(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
+    fn idle(&mut self, io: &mut Io, gateway: usize) -> Option<ConnId> {
         loop {
             let conn = self.gateways[gateway].idle.pop()?;
             if io.is_open(conn) {
@@ -424,13 +424,16 @@
             self.calls[number].sent = io.clock().now();
         }
         if in_pieces {
-            io.at(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
+            io.set_timer(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
         }
         let slow = self.plan.behaviour.slow;
         if slow > 0.0 && self.chance.random_bool(slow) {
             let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) else { return };
-            io.hold(conn, true);
-            io.at(io.now() + self.chance.random_range(0..READS_NOTHING_MOST), READ_AGAIN | number as u64);
+            io.set_read_paused(conn, true);
+            io.set_timer(
+                io.now() + self.chance.random_range(0..READS_NOTHING_MOST),
+                READ_AGAIN | number as u64,
+            );
         }
     }
 
@@ -460,7 +463,7 @@
 
     /// An RPC's connection ended without an answer. One that rested may have been closed as the message crossed, and is
     /// sent once more on a new connection; one that never stood took nothing with it.
-    fn broke(&mut self, io: &mut Io, conn: Conn, number: usize) {
+    fn broke(&mut self, io: &mut Io, conn: ConnId, number: usize) {
         let Some(message) = self.messages.get_mut(&number) else { return };
         message.conn = None;
         if !message.written {
@@ -480,7 +483,7 @@
             message.text = with_remaining(&message.text, left);
             return self.write(io, number);
         }
-        let wrote = io.waiting(conn) == 0;
+        let wrote = io.unsent_bytes(conn) == 0;
         self.end(io, number, if wrote { Outcome::Cut } else { Outcome::Unreached });
     }
 
@@ -517,7 +520,7 @@
                 io.send(conn, b"GET /-/ready HTTP/1.1\r\nHost: gateway\r\n\r\n");
             }
         }
-        io.at(io.now() + PROBE_EVERY, PROBES);
+        io.set_timer(io.now() + PROBE_EVERY, PROBES);
     }
 }
 
@@ -551,26 +554,26 @@
     }
 }
 
-impl Service for Front {
+impl EventHandler for Front {
     /// What waited for its connection is sent now.
-    fn up(&mut self, io: &mut Io, conn: Conn) {
+    fn on_connect(&mut self, io: &mut Io, conn: ConnId) {
         let Some((_, Use::Call(number))) = self.conns.get(&conn).copied() else { return };
         if self.messages.get(&number).is_some_and(|message| message.written && !message.again) {
             self.calls[number].sent = io.clock().now();
         }
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some((gateway, what)) = self.conns.get(&conn).copied() else { return };
-        let answer = match http::answer(io.input(conn)) {
+        let answer = match http::parse_response(io.input(conn)) {
             Ok(Some(answer)) => answer,
             Ok(None) => return,
             Err(_) => {
-                self.over(io, conn);
+                self.on_close(io, conn);
                 return io.close(conn);
             }
         };
-        io.used(conn, answer.length);
+        io.consume(conn, answer.length);
         match what {
             Use::Probe => {
                 self.conns.remove(&conn);
@@ -605,7 +608,7 @@
         }
     }
 
-    fn over(&mut self, io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, io: &mut Io, conn: ConnId) {
         match self.conns.remove(&conn) {
             Some((gateway, Use::Probe)) => self.gateways[gateway].probe = None,
             Some((gateway, Use::Call(call))) => {
@@ -616,7 +619,7 @@
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         match token {
             ARRIVAL => self.arrive(io),
             PROBES => self.probe(io),
@@ -628,7 +631,7 @@
                     REST => self.write_rest(io, number),
                     READ_AGAIN => {
                         if let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) {
-                            io.hold(conn, false);
+                            io.set_read_paused(conn, false);
                         }
                     }
                     LEAVE => self.leave(io, number, Outcome::Left),
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -4,7 +4,7 @@
 
 use crate::{Nanos, Stream, chance};
 use rand::distr::{Distribution, weighted::WeightedIndex};
-use standins::servers::{How, Row};
+use standins::servers::{Row, RpcOutcome};
 
 /// A server over the run: its weight, and the spans in which it was up and listed as ready.
 #[derive(Clone, Debug)]
@@ -34,11 +34,11 @@
 
 /// All RPCs that a server took in; what it turned away at once was never held.
 pub fn visits(ledger: &[Row], until: Nanos) -> Vec<Visit> {
-    let held = |row: &&Row| row.how != How::TurnedAway;
+    let held = |row: &&Row| row.outcome != RpcOutcome::TurnedAway;
     let visit = |row: &Row| Visit {
         server: row.server as usize,
-        at: row.at,
-        done: if row.how == How::Open { until } else { row.done },
+        at: row.received_at,
+        done: if row.outcome == RpcOutcome::Open { until } else { row.finished_at },
     };
     ledger.iter().filter(held).map(visit).collect()
 }
@@ -270,7 +270,7 @@
 /// How many gateways each server was sent RPCs by, for those ready throughout: lowest, mean, highest.
 pub fn parts(servers: &[Server], ledger: &[Row], from: Nanos, to: Nanos) -> (usize, f64, usize) {
     let mut met: Vec<std::collections::BTreeSet<usize>> = vec![Default::default(); servers.len()];
-    for row in ledger.iter().filter(|row| row.at >= from && row.at < to) {
+    for row in ledger.iter().filter(|row| row.received_at >= from && row.received_at < to) {
         met[row.server as usize].insert(row.gateway());
     }
     let ready = (0..servers.len()).filter(|at| servers[*at].is_ready(from, to));
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -8,7 +8,7 @@
 use crate::{MS, Nanos, SEC};
 use lab::report::{chart, write_csv};
 use serde::Serialize;
-use standins::servers::How;
+use standins::servers::RpcOutcome;
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -402,7 +402,7 @@
         call.is_some_and(|call| !outcome.methods[call.method].1)
     };
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
-    for row in outcome.ledger.iter().filter(|row| row.how != How::TurnedAway && once(row.txn)) {
+    for row in outcome.ledger.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && once(row.txn)) {
         *ran.entry(row.txn).or_default() += 1;
     }
     let (least, mean, most) = parts(&outcome.servers, &outcome.ledger, outcome.from, until);
@@ -425,7 +425,7 @@
         extra_answers: outcome.extra_answers,
         twice: ran.values().filter(|count| **count > 1).count(),
         call_outs: outcome.ledger.len(),
-        turned_away: outcome.ledger.iter().filter(|row| row.how == How::TurnedAway).count(),
+        turned_away: outcome.ledger.iter().filter(|row| row.outcome == RpcOutcome::TurnedAway).count(),
         idle,
         parts_least: least,
         parts_mean: round(mean),
@@ -451,7 +451,7 @@
             server: at,
             weight: server.weight,
             rpcs: rows(at).count(),
-            turned_away: rows(at).filter(|row| row.how == How::TurnedAway).count(),
+            turned_away: rows(at).filter(|row| row.outcome == RpcOutcome::TurnedAway).count(),
             gateways: gateways.len(),
         }
     };
--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
-use standins::relay::Path as Way;
+use standins::relay::PathFaults as Way;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -243,7 +243,7 @@
             }
             Trouble::OneWay => fleet.ways(half, rest, cut),
             Trouble::Noise => {
-                let noise = Way { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.1, ..Way::default() };
+                let noise = Way { loss: 0.3, duplicate: 0.3, reorder: 0.3, corrupt: 0.1, ..Way::default() };
                 fleet.ways(&self.order, &self.order, noise);
             }
             _ => {}
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -9,7 +9,7 @@
 use standins::discovery::{Discovery, Entry, Mode};
 use standins::process::Program;
 use standins::reactor::{Clock, Handle};
-use standins::relay::{Path as Way, Relays};
+use standins::relay::{PathFaults as Way, Relays};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -89,10 +89,10 @@
         let (mut clocks, skew) = (chance(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
         for _ in 0..fleet.plan.gateways {
             let (_, all) =
-                fleet.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT)).map_err(fail)?;
+                fleet.relays.with(|relays, io| relays.add_member(io, loopback::FAN_OUT)).map_err(fail)?;
             let agent = fleet
                 .discovery
-                .with(|discovery, io| discovery.agent(io, loopback::DISCOVERY, Default::default()));
+                .with(|discovery, io| discovery.add_agent(io, loopback::DISCOVERY, Default::default()));
             let discovery = agent.map_err(fail)?;
             fleet.gateways.push(Gateway {
                 program: None,
@@ -150,7 +150,7 @@
             at.records.extend(lines.iter().filter_map(|line| record(line)));
             at.lines.extend(lines);
             let number = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(number, Some(hears)));
+            self.relays.with(move |relays, _| relays.set_receiver(number, Some(hears)));
         }
         Ok(())
     }
@@ -158,7 +158,7 @@
     /// Takes in what the gateways have written since.
     pub(super) fn read(&mut self) {
         for gateway in &mut self.gateways {
-            let lines = gateway.program.as_ref().map(|program| program.lines_now()).unwrap_or_default();
+            let lines = gateway.program.as_ref().map(|program| program.new_lines()).unwrap_or_default();
             gateway.records.extend(lines.iter().filter_map(|line| record(line)));
             gateway.lines.extend(lines);
         }
@@ -214,7 +214,7 @@
             self.gateways[*gateway].file = SettingsFile { version, content, starts_ms: start / MS };
             let text = self.configuration(*gateway);
             if let Some(program) = &self.gateways[*gateway].program {
-                program.rewrite(&text);
+                program.rewrite_config(&text);
             }
         }
     }
@@ -246,7 +246,7 @@
             told["agreement"]["ground"]["quota"] = json!(0.5);
             self.gateways[*gateway].file = file;
             if let Some(program) = &self.gateways[*gateway].program {
-                program.rewrite(&told.to_string());
+                program.rewrite_config(&told.to_string());
             }
         }
         self.signal(which, Signal::HUP);
@@ -255,7 +255,7 @@
     /// Overwrites files with what is no configuration, and tells the processes.
     pub fn spoil(&mut self, which: &[usize]) {
         let programs = which.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
-        programs.for_each(|program| program.rewrite("{\"agreement\": {\"version\": 2,"));
+        programs.for_each(|program| program.rewrite_config("{\"agreement\": {\"version\": 2,"));
         self.signal(which, Signal::HUP);
     }
 
@@ -269,7 +269,7 @@
             if signal == Signal::CONT {
                 at.came_back();
             }
-            let _ = at.program.as_ref().map(|program| program.send(signal));
+            let _ = at.program.as_ref().map(|program| program.send_signal(signal));
             if signal == Signal::STOP {
                 at.went_away();
             }
@@ -291,12 +291,12 @@
         self.read();
         for gateway in which {
             let number = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(number, None));
+            self.relays.with(move |relays, _| relays.set_receiver(number, None));
             let at = &mut self.gateways[number];
             if let Some(mut program) = at.program.take() {
                 let _ = program.child.kill();
                 let _ = program.child.wait();
-                let lines = program.lines_now();
+                let lines = program.new_lines();
                 at.records.extend(lines.iter().filter_map(|line| record(line)));
                 at.lines.extend(lines);
                 if !at.is_away() {
@@ -320,12 +320,12 @@
     pub fn list(&mut self, name: &str, address: SocketAddr, status: &'static str) {
         let (name, zone) = (name.to_string(), "a".to_string());
         let entry = Entry { name, address, zone, status, weight: 1.0, since_ms: 0 };
-        self.discovery.with(move |discovery, io| discovery.change(io, entry));
+        self.discovery.with(move |discovery, io| discovery.publish(io, entry));
     }
 
     /// What a gateway's agent of discovery does, and an older version it is thrown back to.
     pub fn agent(&mut self, gateway: usize, mode: Mode, back_to: Option<u64>) -> Result<(), String> {
-        let set = self.discovery.with(move |discovery, io| discovery.set(io, gateway, mode, back_to));
+        let set = self.discovery.with(move |discovery, io| discovery.set_mode(io, gateway, mode, back_to));
         set.map_err(|e| format!("can't set an agent: {e}"))
     }
 
@@ -336,7 +336,7 @@
 
     /// From its next start on a gateway begins with the list that its agent tells now.
     pub fn keep_known(&mut self, gateway: usize) {
-        let known = self.discovery.with(move |discovery, _| discovery.known(gateway));
+        let known = self.discovery.with(move |discovery, _| discovery.snapshot(gateway));
         self.gateways[gateway].known = serde_json::from_str(&known).unwrap_or_default();
     }
 
@@ -344,7 +344,7 @@
     pub fn ways(&mut self, from: &[usize], to: &[usize], way: Way) {
         for from in from.iter().copied() {
             for to in to.iter().copied().filter(|to| *to != from) {
-                self.relays.with(move |relays, _| relays.between(from, to, way));
+                self.relays.with(move |relays, _| relays.set_path_faults(from, to, way));
             }
         }
     }
@@ -357,7 +357,7 @@
 
     /// Datagrams that were sent so far, each once.
     pub fn datagrams(&self) -> u64 {
-        self.relays.with(|relays, _| relays.came)
+        self.relays.with(|relays, _| relays.received)
     }
 
     /// What a gateway said that it acts on, in order.
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -5,7 +5,7 @@
 use crate::front::{Call, Outcome as End};
 use crate::scenario::{Fault, Place, Scenario};
 use crate::{MS, Nanos, SEC, nanos};
-use standins::servers::{How, Row};
+use standins::servers::{Row, RpcOutcome};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -124,7 +124,7 @@
     let name = &scenario.load.methods[call.method].name;
     let effect = scenario.idempotency(name);
     let deadline = nanos(scenario.deadline(name));
-    let ran: Vec<&&Row> = rows.iter().filter(|row| row.how != How::TurnedAway).collect();
+    let ran: Vec<&&Row> = rows.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway).collect();
     let mut found = Vec::new();
     let mut broken = |rule, what: &str| found.push(of_rpc(rule, what, outcome, call, name, rows));
     let ended_badly = matches!(call.outcome, End::Lost | End::Cut | End::Open);
@@ -132,7 +132,7 @@
         broken(Rule::Lost, &format!("{:?}", call.outcome));
     }
     // What reached a server before its client sent it again had been read, so that its connection was no longer resting.
-    let read_before = |row: &&&Row| call.crossed.is_some_and(|crossed| row.begun + WAY < crossed);
+    let read_before = |row: &&&Row| call.crossed.is_some_and(|crossed| row.first_byte_at + WAY < crossed);
     if rows.iter().find(read_before).is_some() && !was_killed(outcome, call) && !any_link(scenario, rows) {
         broken(Rule::Lost, "read, and its connection ended");
     }
@@ -143,13 +143,18 @@
         broken(Rule::FalseRefusal, "refused, though it may have run");
     }
     let late = |row: &&&Row| {
-        call.outcome == End::Left && !behind_a_link(scenario, row) && row.begun > call.done + LEFT_GRACE + WAY
+        call.outcome == End::Left
+            && !behind_a_link(scenario, row)
+            && row.first_byte_at > call.done + LEFT_GRACE + WAY
     };
     if let Some(row) = rows.iter().find(late) {
-        broken(Rule::ClientLeft, &format!("sent {} ms after its client left", (row.begun - call.done) / MS));
+        broken(
+            Rule::ClientLeft,
+            &format!("sent {} ms after its client left", (row.first_byte_at - call.done) / MS),
+        );
     }
-    let left = |row: &Row| (call.sent + deadline).saturating_sub(row.begun);
-    let told = |row: &Row| row.told_ms.unwrap_or(0) * MS;
+    let left = |row: &Row| (call.sent + deadline).saturating_sub(row.first_byte_at);
+    let told = |row: &Row| row.remaining_ms.unwrap_or(0) * MS;
     if let Some(row) =
         rows.iter().find(|row| !behind_a_link(scenario, row) && told(row) > left(row) + TOLD_SLACK)
     {
@@ -193,7 +198,15 @@
     let ms = |at: Nanos| at / MS;
     let servers: Vec<String> = rows
         .iter()
-        .map(|row| format!("s{:04} at {} to {} {:?}", row.server, ms(row.begun), ms(row.done), row.how))
+        .map(|row| {
+            format!(
+                "s{:04} at {} to {} {:?}",
+                row.server,
+                ms(row.first_byte_at),
+                ms(row.finished_at),
+                row.outcome
+            )
+        })
         .collect();
     let text = format!(
         "{what}; {method} {:016x} to n{} sent {}{} ended {} {:?}; servers: [{}]",
@@ -219,9 +232,9 @@
     let mut found = Vec::new();
     for row in outcome.ledger.iter().filter(|row| !behind_a_link(scenario, row)) {
         let mut before = outcome.list_changes.iter().filter(|change| change.server == row.server as usize);
-        let last = before.rfind(|change| change.at <= row.begun);
+        let last = before.rfind(|change| change.at <= row.first_byte_at);
         let Some(change) = last.filter(|change| !change.ready) else { continue };
-        let since = row.begun - change.at;
+        let since = row.first_byte_at - change.at;
         if since > STOP_WITHIN + told_within + WAY {
             let text = format!(
                 "s{:04} got {:016x} from n{} {} ms after its drain was listed",
--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -7,7 +7,7 @@
 use standins::discovery::{Discovery, Entry};
 use standins::process::Program;
 use standins::reactor::{Clock, Handle};
-use standins::servers::{Servers, Spec};
+use standins::servers::{ServerSpec, Servers};
 use standins::{MS, Nanos, SEC, nanos};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -137,7 +137,7 @@
             let (_, address) = servers.with(move |servers, io| servers.add(io, spec, true))?;
             let entry = Entry { name, address, zone, status: "ready", weight: 1.0, since_ms: 0 };
             entries.push(entry.clone());
-            discovery.with(move |discovery, io| discovery.change(io, entry));
+            discovery.with(move |discovery, io| discovery.publish(io, entry));
         }
         let gateway = match self.path {
             Path::Direct => {
@@ -147,7 +147,7 @@
             }
             Path::Gateway => {
                 let agent =
-                    discovery.with(|discovery, io| discovery.agent(io, any_port(5), BTreeMap::new()))?;
+                    discovery.with(|discovery, io| discovery.add_agent(io, any_port(5), BTreeMap::new()))?;
                 let mut program =
                     Program::spawn(&mut Command::new(self.program), &configuration(agent, self.seed))?;
                 program.wait_started();
@@ -181,7 +181,7 @@
 
     fn tell(&self, entry: &Entry, status: &'static str) {
         let entry = Entry { status, ..entry.clone() };
-        self.discovery.with(move |discovery, io| discovery.change(io, entry));
+        self.discovery.with(move |discovery, io| discovery.publish(io, entry));
     }
 
     fn change_until(&self, to: Nanos) {
@@ -206,19 +206,19 @@
     }
 }
 
-fn spec(number: usize) -> Spec {
-    Spec {
+fn spec(number: usize) -> ServerSpec {
+    ServerSpec {
         name: format!("server-{number}"),
         zone: ZONES[number % ZONES.len()].to_string(),
         weight: 1.0,
         cores: CORES,
-        queue: CORES,
-        connections: 4 * CORES,
-        service: SERVICE,
-        spread: SERVICE_SIGMA,
+        queue_limit: CORES,
+        max_connections: 4 * CORES,
+        median_service: SERVICE,
+        service_sigma: SERVICE_SIGMA,
         cold_share: 1.0,
-        cold_for: 0,
-        reports: true,
+        warmup: 0,
+        reports_load: true,
         body_bytes: 2,
         address: any_port(4),
     }
--- a/crates/scale/src/slopes/process.rs
+++ b/crates/scale/src/slopes/process.rs
@@ -6,7 +6,7 @@
 use crate::deployment::{Service, Status, change, encode, whole_list};
 use crate::replica::WATCH_HEAD;
 use serde::Serialize;
-use standins::scripted::{Peer, Program, say};
+use standins::scripted::{Peer, Program, raw_reply};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -69,7 +69,7 @@
     let (list_bytes, change_bytes) = (list.len(), changes[0].len());
     let mut answer = String::from_utf8_lossy(WATCH_HEAD).into_owned();
     answer += &String::from_utf8_lossy(&list);
-    let discovery = Peer::new(move |_, _| say(&answer));
+    let discovery = Peer::new(move |_, _| raw_reply(&answer));
     let settings = serde_json::Value::Object(Service::of(fleet).nested()).to_string();
     let start = Instant::now();
     let process = Program::run(&mut Command::new(program), discovery.address, "", &settings);
@@ -115,13 +115,13 @@
 
     /// Keeps the watch up while nothing changes. One that was asked for more than once is being refused, and may be closed.
     fn pulse(&mut self) {
-        while self.discovery.seen_now().is_some() {
+        while self.discovery.try_next().is_some() {
             self.asked += 1;
             self.pulsed = Instant::now();
         }
         if self.asked == 1 && self.pulsed.elapsed() > PULSE_EVERY {
             self.pulsed = Instant::now();
-            self.discovery.tell(0, PULSE);
+            self.discovery.write(0, PULSE);
         }
     }
 
@@ -165,7 +165,7 @@
         self.answer(HEALTHY)?;
         let before = self.cpu_ms()?;
         if let Some(change) = change {
-            self.discovery.tell(self.asked.max(1) - 1, change);
+            self.discovery.write(self.asked.max(1) - 1, change);
         }
         self.answer(HEALTHY)?;
         Ok(self.cpu_ms()? - before)
--- a/crates/standins/src/counter.rs
+++ b/crates/standins/src/counter.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the shared counter: RESP2 `INCRTTL NAME AMOUNT LIFE`, served one after another, with calls told apart
 //! by name. A script may stall it, empty it, or shut it.
 
-use crate::reactor::{Conn, Door, Io, Service};
+use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
     cost: Nanos,
     free_at: Nanos,
     address: SocketAddr,
-    door: Option<Door>,
+    door: Option<SocketId>,
     totals: HashMap<Vec<u8>, (f64, Nanos)>,
-    conns: BTreeSet<Conn>,
-    line: VecDeque<(Nanos, Conn, Vec<u8>)>,
+    conns: BTreeSet<ConnId>,
+    line: VecDeque<(Nanos, ConnId, Vec<u8>)>,
     /// Calls that came so far.
     pub calls: u64,
 }
@@ -48,17 +48,17 @@
     }
 
     /// Begins to listen; where.
-    pub fn open(&mut self, io: &mut Io, address: SocketAddr) -> std::io::Result<SocketAddr> {
+    pub fn listen(&mut self, io: &mut Io, address: SocketAddr) -> std::io::Result<SocketAddr> {
         let (door, address) = io.listen(address)?;
         (self.door, self.address, self.state) = (Some(door), address, State::Serves);
         Ok(address)
     }
 
     /// Changes what the counter does.
-    pub fn become_(&mut self, io: &mut Io, state: State) -> std::io::Result<()> {
+    pub fn set_state(&mut self, io: &mut Io, state: State) -> std::io::Result<()> {
         let was = std::mem::replace(&mut self.state, state);
         if state == State::Down {
-            self.door.take().into_iter().for_each(|door| io.shut(door));
+            self.door.take().into_iter().for_each(|door| io.close_listener(door));
             std::mem::take(&mut self.conns).into_iter().for_each(|conn| io.reset(conn));
             self.line.clear();
         } else if was == State::Down {
@@ -69,7 +69,7 @@
     }
 
     /// A replacement that starts at nought.
-    pub fn empty(&mut self) {
+    pub fn clear(&mut self) {
         self.totals.clear();
     }
 
@@ -135,37 +135,37 @@
     Ok(Some((words, end)))
 }
 
-impl Service for Counter {
-    fn accepted(&mut self, _io: &mut Io, conn: Conn, _door: Door) {
+impl EventHandler for Counter {
+    fn on_accept(&mut self, _io: &mut Io, conn: ConnId, _door: SocketId) {
         self.conns.insert(conn);
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         loop {
             let (words, length) = match parse(io.input(conn)) {
                 Ok(Some(call)) => call,
                 Ok(None) => break,
                 Err(_) => {
-                    self.over(io, conn);
+                    self.on_close(io, conn);
                     return io.close(conn);
                 }
             };
-            io.used(conn, length);
+            io.consume(conn, length);
             let now = io.now();
             let answer = self.call(now, &words);
             self.free_at = self.free_at.max(now) + self.cost;
             self.line.push_back((self.free_at, conn, answer));
-            io.at(self.free_at, 0);
+            io.set_timer(self.free_at, 0);
         }
         self.answer(io);
     }
 
-    fn over(&mut self, _io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
         self.conns.remove(&conn);
         self.line.retain(|call| call.1 != conn);
     }
 
-    fn due(&mut self, io: &mut Io, _token: u64) {
+    fn on_timer(&mut self, io: &mut Io, _token: u64) {
         self.answer(io);
     }
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -2,7 +2,7 @@
 //! script can let gateways hear late, stand still at an older version, be thrown back to one, or hear nothing.
 
 use crate::http;
-use crate::reactor::{Conn, Door, Io, Service};
+use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{Nanos, SEC};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -49,12 +49,12 @@
 }
 
 struct Agent {
-    door: Option<Door>,
+    door: Option<SocketId>,
     address: SocketAddr,
     mode: Mode,
     /// The version it last told, and open watches with what they heard.
     told: u64,
-    watches: Vec<Conn>,
+    watches: Vec<ConnId>,
     /// Addresses of servers as this gateway sees them (a link with faults stands before them).
     seen_at: BTreeMap<String, SocketAddr>,
 }
@@ -65,22 +65,22 @@
     /// Every change in order: version `n` is the change at place `n - 1`.
     changes: Vec<(Nanos, Entry)>,
     agents: Vec<Agent>,
-    doors: BTreeMap<Door, usize>,
-    conns: BTreeMap<Conn, usize>,
+    doors: BTreeMap<SocketId, usize>,
+    conns: BTreeMap<ConnId, usize>,
     /// Bytes of all lines that told a list or changes of it.
-    pub told_bytes: u64,
+    pub list_bytes_sent: u64,
 }
 
 impl Discovery {
     /// An agent for one more gateway; its address.
-    pub fn agent(
+    pub fn add_agent(
         &mut self,
         io: &mut Io,
         address: SocketAddr,
         seen_at: BTreeMap<String, SocketAddr>,
     ) -> std::io::Result<SocketAddr> {
         if self.agents.is_empty() {
-            io.at(io.now() + PULSE, PULSES);
+            io.set_timer(io.now() + PULSE, PULSES);
         }
         let (door, address) = io.listen(address)?;
         self.doors.insert(door, self.agents.len());
@@ -101,19 +101,19 @@
     }
 
     /// A change of the list, told to each gateway as its agent does.
-    pub fn change(&mut self, io: &mut Io, entry: Entry) {
+    pub fn publish(&mut self, io: &mut Io, entry: Entry) {
         self.changes.push((io.now(), entry));
         for agent in 0..self.agents.len() {
             match self.agents[agent].mode {
                 Mode::Late(0) => self.tell(io, agent),
-                Mode::Late(late) => io.at(io.now() + late, agent as u64),
+                Mode::Late(late) => io.set_timer(io.now() + late, agent as u64),
                 Mode::Still | Mode::Down => {}
             }
         }
     }
 
     /// Changes what an agent does. `back_to` throws it back to an older version, which it tells as a whole list.
-    pub fn set(
+    pub fn set_mode(
         &mut self,
         io: &mut Io,
         agent: usize,
@@ -126,13 +126,13 @@
             at.told = back.min(at.told);
             let whole = self.whole(agent);
             for conn in self.agents[agent].watches.clone() {
-                self.told_bytes += line(io, conn, &whole);
+                self.list_bytes_sent += line(io, conn, &whole);
             }
         }
         let at = &mut self.agents[agent];
         match (mode, at.door) {
             (Mode::Down, Some(door)) => {
-                io.shut(door);
+                io.close_listener(door);
                 self.doors.remove(&door);
                 at.door = None;
                 for conn in std::mem::take(&mut at.watches) {
@@ -164,7 +164,7 @@
         let text = object(known, false, changed.iter().map(|change| &change.1), &at.seen_at);
         at.told = known;
         for conn in at.watches.clone() {
-            self.told_bytes += line(io, conn, &text);
+            self.list_bytes_sent += line(io, conn, &text);
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// The whole list as an agent tells it now, for a configuration's `known`.
-    pub fn known(&self, agent: usize) -> String {
+    pub fn snapshot(&self, agent: usize) -> String {
         self.whole(agent)
     }
 }
@@ -195,28 +195,28 @@
 }
 
 /// Writes a line as a chunk; how many bytes that takes.
-fn line(io: &mut Io, conn: Conn, text: &str) -> u64 {
+fn line(io: &mut Io, conn: ConnId, text: &str) -> u64 {
     let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     io.send(conn, chunk.as_bytes());
     chunk.len() as u64
 }
 
-impl Service for Discovery {
-    fn accepted(&mut self, io: &mut Io, conn: Conn, door: Door) {
+impl EventHandler for Discovery {
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
         match self.doors.get(&door) {
             Some(agent) => drop(self.conns.insert(conn, *agent)),
             None => io.close(conn),
         }
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some(agent) = self.conns.get(&conn).copied() else { return };
-        let message = match http::request(io.input(conn)) {
+        let message = match http::parse_request(io.input(conn)) {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => return io.close(conn),
         };
-        io.used(conn, message.length);
+        io.consume(conn, message.length);
         self.tell(io, agent);
         let whole = self.whole(agent);
         let Some(from) = message.path.split("from=").nth(1).and_then(|text| text.parse::<u64>().ok()) else {
@@ -227,27 +227,27 @@
         let at = &mut self.agents[agent];
         at.watches.push(conn);
         if from == 0 || from > at.told {
-            self.told_bytes += line(io, conn, &whole);
+            self.list_bytes_sent += line(io, conn, &whole);
         } else if from < at.told {
             let changed = &self.changes[from as usize..at.told as usize];
-            self.told_bytes +=
+            self.list_bytes_sent +=
                 line(io, conn, &object(at.told, false, changed.iter().map(|change| &change.1), &at.seen_at));
         }
     }
 
-    fn over(&mut self, _io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
         if let Some(agent) = self.conns.remove(&conn) {
             self.agents[agent].watches.retain(|other| *other != conn);
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         if token != PULSES {
             return self.tell(io, token as usize);
         }
         for agent in &self.agents {
             agent.watches.iter().for_each(|conn| io.send(*conn, b"1\r\n\n\r\n"));
         }
-        io.at(io.now() + PULSE, PULSES);
+        io.set_timer(io.now() + PULSE, PULSES);
     }
 }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -25,7 +25,7 @@
 }
 
 /// The request at the front of `input`: nothing while it is not whole, an error if it makes no sense.
-pub fn request(input: &[u8]) -> Result<Option<Message>, &'static str> {
+pub fn parse_request(input: &[u8]) -> Result<Option<Message>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(input).map_err(|_| "bad head")? {
@@ -38,7 +38,7 @@
 }
 
 /// The answer at the front of `input`, likewise.
-pub fn answer(input: &[u8]) -> Result<Option<Message>, &'static str> {
+pub fn parse_response(input: &[u8]) -> Result<Option<Message>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
     match head.parse(input).map_err(|_| "bad head")? {
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,7 +1,7 @@
 //! The program under test as a process: started on a configuration file of its own, spoken to by signals and heard by
 //! its log lines. It is ended by its own id when it is dropped, also while a test unwinds.
 
-use crate::scripted::{Client, PATIENCE, status};
+use crate::scripted::{Client, WAIT_TIMEOUT, status};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead, BufReader, Write};
@@ -70,13 +70,13 @@
     }
 
     /// The next log line that holds this.
-    pub fn line(&self, part: &str) -> String {
+    pub fn wait_for_line(&self, part: &str) -> String {
         self.lines_until(part).pop().expect("the line that was waited for")
     }
 
     /// The log lines up to the next one that holds this.
     pub fn lines_until(&self, part: &str) -> Vec<String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let mut lines = Vec::new();
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -89,12 +89,12 @@
     }
 
     /// The log lines that came since the last look.
-    pub fn lines_now(&self) -> Vec<String> {
+    pub fn new_lines(&self) -> Vec<String> {
         self.lines.try_iter().collect()
     }
 
     /// Returns once the program has dealt with all that was sent to it before.
-    pub fn catch_up(&self) {
+    pub fn wait_until_processed(&self) {
         assert_eq!(status(&self.client().ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Writes its configuration file anew; it is not told.
-    pub fn rewrite(&self, text: &str) {
+    pub fn rewrite_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Sends a signal to this process, which must not have been waited for.
-    pub fn send(&self, signal: Signal) -> std::io::Result<()> {
+    pub fn send_signal(&self, signal: Signal) -> std::io::Result<()> {
         let pid = self.pid().ok_or(std::io::ErrorKind::InvalidInput)?;
         Ok(kill_process(pid, signal)?)
     }
@@ -133,11 +133,11 @@
             "-CONT" => Signal::CONT,
             other => panic!("no signal named {other}"),
         };
-        self.send(signal).unwrap();
+        self.send_signal(signal).unwrap();
     }
 
     /// Stops the process with a signal and returns once it stands still; `-CONT` lets it go on.
-    pub fn stand_still(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
         let state = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&state).unwrap().contains(" T ") {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Holds the program inside a turn of its loop, until [`HeldTurn::go_on`]: it is told to read its configuration again,
+    /// Holds the program inside a turn of its loop, until [`HeldTurn::resume`]: it is told to read its configuration again,
     /// from a pipe that says nothing. All that `before` brings, and timers that come due during it, are found at the begin
     /// of that turn; what comes later is not.
     pub fn hold_turn(&self, before: impl FnOnce()) -> HeldTurn<'_> {
@@ -174,7 +174,7 @@
 
     /// The writing end of the pipe, once the program has opened it to read: without blocking it can't be opened before.
     fn open_pipe(&self) -> File {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let nonblocking = rustix::fs::OFlags::NONBLOCK.bits() as i32;
         loop {
             match OpenOptions::new().write(true).custom_flags(nonblocking).open(&self.file) {
@@ -186,7 +186,7 @@
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
@@ -200,9 +200,9 @@
 
 impl HeldTurn<'_> {
     /// Lets the turn go on, with the configuration as it was.
-    pub fn go_on(self) {
+    pub fn resume(self) {
         std::fs::remove_file(&self.program.file).unwrap();
-        self.program.rewrite(&self.text);
+        self.program.rewrite_config(&self.text);
         write_all_to(self.pipe, &self.text);
     }
 }
--- a/crates/standins/src/reactor.rs
+++ b/crates/standins/src/reactor.rs
@@ -1,4 +1,4 @@
-//! One thread and one poll for all sockets of a [`Service`]: listeners ("doors"), connections, datagram sockets and
+//! One thread and one poll for all sockets of a [`EventHandler`]: listeners ("doors"), connections, datagram sockets and
 //! timers. The service is fed what comes and knows no thread; a [`Handle`] runs a closure beside it between two turns.
 
 use crate::Nanos;
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A connection: its place and a count of births, so that a stale id finds nobody.
-pub type Conn = u64;
+pub type ConnId = u64;
 /// A listener or datagram socket, by its place.
-pub type Door = usize;
+pub type SocketId = usize;
 
 const WAKER: Token = Token(usize::MAX - 1);
 const PLACE_BITS: u32 = 24;
@@ -52,23 +52,23 @@
 }
 
 /// What hangs on a reactor. Every call may use [`Io`] freely; connections that end by `Io::close` are not told back.
-pub trait Service: Send + 'static {
+pub trait EventHandler: Send + 'static {
     /// A connection came in at a door.
-    fn accepted(&mut self, _io: &mut Io, _conn: Conn, _door: Door) {}
+    fn on_accept(&mut self, _io: &mut Io, _conn: ConnId, _door: SocketId) {}
     /// A connection begun with `Io::connect` stands.
-    fn up(&mut self, _io: &mut Io, _conn: Conn) {}
+    fn on_connect(&mut self, _io: &mut Io, _conn: ConnId) {}
     /// Bytes came; they are in `Io::input`.
-    fn came(&mut self, io: &mut Io, conn: Conn);
+    fn on_data(&mut self, io: &mut Io, conn: ConnId);
     /// The other side ended or broke the connection, or it never came up. It is closed once this returns.
-    fn over(&mut self, io: &mut Io, conn: Conn);
+    fn on_close(&mut self, io: &mut Io, conn: ConnId);
     /// A time that was asked for has come.
-    fn due(&mut self, _io: &mut Io, _token: u64) {}
+    fn on_timer(&mut self, _io: &mut Io, _token: u64) {}
     /// A datagram came.
-    fn datagram(&mut self, _io: &mut Io, _door: Door, _from: SocketAddr, _bytes: &[u8]) {}
+    fn on_datagram(&mut self, _io: &mut Io, _door: SocketId, _from: SocketAddr, _bytes: &[u8]) {}
 }
 
 struct Link {
-    id: Conn,
+    id: ConnId,
     stream: TcpStream,
     up: bool,
     input: Vec<u8>,
@@ -89,8 +89,8 @@
     births: u64,
     doors: Slab<TcpListener>,
     plugs: Slab<UdpSocket>,
-    dirty: Vec<Conn>,
-    resumed: Vec<Conn>,
+    dirty: Vec<ConnId>,
+    resumed: Vec<ConnId>,
     timers: BinaryHeap<Reverse<(Nanos, u64, u64)>>,
     timers_set: u64,
     clock: Clock,
@@ -110,13 +110,13 @@
     }
 
     /// Rings `Service::due` with this token; equal times ring in the order they were set.
-    pub fn at(&mut self, at: Nanos, token: u64) {
+    pub fn set_timer(&mut self, at: Nanos, token: u64) {
         self.timers_set += 1;
         self.timers.push(Reverse((at, self.timers_set, token)));
     }
 
     /// Listens; port 0 picks a free one.
-    pub fn listen(&mut self, address: SocketAddr) -> io::Result<(Door, SocketAddr)> {
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<(SocketId, SocketAddr)> {
         let mut listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
         let entry = self.doors.vacant_entry();
@@ -127,14 +127,14 @@
     }
 
     /// Refuses whoever comes to this address from now on.
-    pub fn shut(&mut self, door: Door) {
+    pub fn close_listener(&mut self, door: SocketId) {
         if let Some(mut listener) = self.doors.try_remove(door) {
             let _ = self.registry.deregister(&mut listener);
         }
     }
 
     /// A datagram socket.
-    pub fn plug(&mut self, address: SocketAddr) -> io::Result<(Door, SocketAddr)> {
+    pub fn bind_udp(&mut self, address: SocketAddr) -> io::Result<(SocketId, SocketAddr)> {
         let mut socket = UdpSocket::bind(address)?;
         let address = socket.local_addr()?;
         let entry = self.plugs.vacant_entry();
@@ -145,19 +145,19 @@
     }
 
     /// Sends a datagram.
-    pub fn send_to(&mut self, door: Door, to: SocketAddr, bytes: &[u8]) {
+    pub fn send_to(&mut self, door: SocketId, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = self.plugs.get(door) {
             let _ = socket.send_to(bytes, to); // a datagram that finds no room is lost, as on a network
         }
     }
 
     /// Begins a connection.
-    pub fn connect(&mut self, address: SocketAddr) -> io::Result<Conn> {
+    pub fn connect(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let stream = TcpStream::connect(address)?;
         self.add(stream, false)
     }
 
-    fn add(&mut self, mut stream: TcpStream, up: bool) -> io::Result<Conn> {
+    fn add(&mut self, mut stream: TcpStream, up: bool) -> io::Result<ConnId> {
         let _ = stream.set_nodelay(true);
         let entry = self.links.vacant_entry();
         self.births += 1;
@@ -178,23 +178,23 @@
         Ok(id)
     }
 
-    fn get(&mut self, conn: Conn) -> Option<&mut Link> {
+    fn get(&mut self, conn: ConnId) -> Option<&mut Link> {
         let place = (conn & ((1 << PLACE_BITS) - 1)) as usize;
         self.links.get_mut(place).filter(|link| link.id == conn)
     }
 
     /// Whether a connection is there.
-    pub fn is_open(&mut self, conn: Conn) -> bool {
+    pub fn is_open(&mut self, conn: ConnId) -> bool {
         self.get(conn).is_some()
     }
 
     /// What was read and not yet used; empty for a connection that is gone.
-    pub fn input(&mut self, conn: Conn) -> &[u8] {
+    pub fn input(&mut self, conn: ConnId) -> &[u8] {
         self.get(conn).map_or(&[], |link| &link.input)
     }
 
     /// Takes so many bytes off the front of the input.
-    pub fn used(&mut self, conn: Conn, bytes: usize) {
+    pub fn consume(&mut self, conn: ConnId, bytes: usize) {
         let Some(link) = self.get(conn) else { return };
         link.input.drain(..bytes.min(link.input.len()));
         if std::mem::take(&mut link.paused) {
@@ -203,7 +203,7 @@
     }
 
     /// Reads nothing more from a connection, or goes on.
-    pub fn hold(&mut self, conn: Conn, held: bool) {
+    pub fn set_read_paused(&mut self, conn: ConnId, held: bool) {
         let Some(link) = self.get(conn) else { return };
         if std::mem::replace(&mut link.held, held) && !held {
             self.resumed.push(conn);
@@ -211,12 +211,12 @@
     }
 
     /// Bytes not yet written to a connection.
-    pub fn waiting(&mut self, conn: Conn) -> usize {
+    pub fn unsent_bytes(&mut self, conn: ConnId) -> usize {
         self.get(conn).map_or(0, |link| link.out.len())
     }
 
     /// Sends on a connection.
-    pub fn send(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn send(&mut self, conn: ConnId, bytes: &[u8]) {
         let Some(link) = self.get(conn) else { return };
         link.out.extend_from_slice(bytes);
         if !std::mem::replace(&mut link.dirty, true) {
@@ -225,7 +225,7 @@
     }
 
     /// Closes once what waits is written.
-    pub fn close_after(&mut self, conn: Conn) {
+    pub fn close_when_flushed(&mut self, conn: ConnId) {
         if let Some(link) = self.get(conn) {
             link.last = true;
             if !std::mem::replace(&mut link.dirty, true) {
@@ -235,7 +235,7 @@
     }
 
     /// Closes a connection at once.
-    pub fn close(&mut self, conn: Conn) {
+    pub fn close(&mut self, conn: ConnId) {
         if self.get(conn).is_some() {
             let mut link = self.links.remove((conn & ((1 << PLACE_BITS) - 1)) as usize);
             let _ = self.registry.deregister(&mut link.stream);
@@ -243,14 +243,14 @@
     }
 
     /// Closes with a reset, as a machine does whose process died.
-    pub fn reset(&mut self, conn: Conn) {
+    pub fn reset(&mut self, conn: ConnId) {
         if let Some(link) = self.get(conn) {
             let _ = socket2::SockRef::from(&link.stream).set_linger(Some(Duration::ZERO));
         }
         self.close(conn);
     }
 
-    fn read(&mut self, conn: Conn) {
+    fn read(&mut self, conn: ConnId) {
         let Some(link) = self.get(conn) else { return };
         let mut some = [0; 16 << 10];
         while !link.ended && !link.held {
@@ -273,7 +273,7 @@
         }
     }
 
-    fn write(&mut self, conn: Conn) {
+    fn write(&mut self, conn: ConnId) {
         let Some(link) = self.get(conn).filter(|link| link.up && !link.ended) else { return };
         let mut written = 0;
         while written < link.out.len() {
@@ -303,7 +303,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-impl<S: Service> Handle<S> {
+impl<S: EventHandler> Handle<S> {
     /// Starts a thread that turns this service.
     pub fn start(service: S, clock: Clock) -> io::Result<Handle<S>> {
         let poll = Poll::new()?;
@@ -347,7 +347,7 @@
     }
 }
 
-fn turn<S: Service>(mut poll: Poll, mut io: Io, mut service: S, queue: Receiver<Job<S>>) {
+fn turn<S: EventHandler>(mut poll: Poll, mut io: Io, mut service: S, queue: Receiver<Job<S>>) {
     let mut events = Events::with_capacity(1024);
     while !io.stop {
         let next = io.timers.peek().map(|Reverse((at, ..))| at.saturating_sub(io.clock.now()));
@@ -369,13 +369,13 @@
                 receive(&mut io, &mut service, token & !KIND_PLUG);
             } else {
                 if event.is_writable() || event.is_error() {
-                    writable(&mut io, &mut service, token as Conn);
+                    writable(&mut io, &mut service, token as ConnId);
                 }
                 if event.is_readable() || event.is_read_closed() || event.is_error() {
                     readable(
                         &mut io,
                         &mut service,
-                        token as Conn,
+                        token as ConnId,
                         event.is_read_closed() || event.is_error(),
                     );
                 }
@@ -386,7 +386,7 @@
         }
         while let Some(Reverse((_, _, token))) = io.timers.peek().copied().filter(|at| at.0.0 <= io.now) {
             io.timers.pop();
-            service.due(&mut io, token);
+            service.on_timer(&mut io, token);
         }
         for conn in std::mem::take(&mut io.dirty) {
             if let Some(link) = io.get(conn) {
@@ -398,12 +398,12 @@
     }
 }
 
-fn accept<S: Service>(io: &mut Io, service: &mut S, door: Door) {
+fn accept<S: EventHandler>(io: &mut Io, service: &mut S, door: SocketId) {
     while let Some(listener) = io.doors.get(door) {
         match listener.accept() {
             Ok((stream, _)) => {
                 if let Ok(conn) = io.add(stream, true) {
-                    service.accepted(io, conn, door);
+                    service.on_accept(io, conn, door);
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
@@ -412,14 +412,14 @@
     }
 }
 
-fn receive<S: Service>(io: &mut Io, service: &mut S, door: Door) {
+fn receive<S: EventHandler>(io: &mut Io, service: &mut S, door: SocketId) {
     let mut some = [0; 2048];
     while let Some(Ok((got, from))) = io.plugs.get(door).map(|socket| socket.recv_from(&mut some)) {
-        service.datagram(io, door, from, &some[..got]);
+        service.on_datagram(io, door, from, &some[..got]);
     }
 }
 
-fn writable<S: Service>(io: &mut Io, service: &mut S, conn: Conn) {
+fn writable<S: EventHandler>(io: &mut Io, service: &mut S, conn: ConnId) {
     let Some(link) = io.get(conn) else { return };
     if !link.up {
         match link.stream.take_error() {
@@ -428,14 +428,14 @@
             Ok(Some(_)) | Err(_) => link.ended = true,
         }
         if link.up {
-            service.up(io, conn);
+            service.on_connect(io, conn);
         }
     }
     io.write(conn);
     ended(io, service, conn);
 }
 
-fn readable<S: Service>(io: &mut Io, service: &mut S, conn: Conn, closes: bool) {
+fn readable<S: EventHandler>(io: &mut Io, service: &mut S, conn: ConnId, closes: bool) {
     let before = io.input(conn).len();
     io.read(conn);
     // A short read may have left the end unread.
@@ -443,14 +443,14 @@
         io.read(conn);
     }
     if io.input(conn).len() > before || before > 0 {
-        service.came(io, conn);
+        service.on_data(io, conn);
     }
     ended(io, service, conn);
 }
 
-fn ended<S: Service>(io: &mut Io, service: &mut S, conn: Conn) {
+fn ended<S: EventHandler>(io: &mut Io, service: &mut S, conn: ConnId) {
     if io.get(conn).is_some_and(|link| link.ended) {
-        service.over(io, conn);
+        service.on_close(io, conn);
         io.close(conn);
     }
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -5,7 +5,7 @@
 //! where a real network would never let it come up, and one to a dead process is reset where it would be refused.
 //! Ending only one side's sending ends the whole connection.
 
-use crate::reactor::{Conn, Door, Io, Service};
+use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -21,42 +21,42 @@
 
 /// The faults of one way of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Path {
+pub struct PathFaults {
     /// Nothing passes. Bytes wait for the end of the cut, as they would in the sender; datagrams are lost.
     pub cut: bool,
     /// What passes comes so much later.
     pub delay: Nanos,
     /// The share of datagrams lost, and of reads on a connection that come a retransmission later.
-    pub lose: f64,
+    pub loss: f64,
     /// Datagrams only: the share that is overtaken, and the share that comes twice.
     pub reorder: f64,
     /// Datagrams only: the share that comes twice.
-    pub double: f64,
+    pub duplicate: f64,
     /// Datagrams only: the share of which a byte is changed on the way.
-    pub spoil: f64,
+    pub corrupt: f64,
 }
 
 /// What happens to connections at a link's door.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Gate {
+pub enum AcceptMode {
     /// They pass.
     #[default]
-    Passes,
+    Forward,
     /// Accepts and passes nothing on, for good.
-    Silent,
+    Discard,
     /// All are reset, new ones as they come.
-    Resets,
+    Reset,
 }
 
 /// The faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
     /// What happens to connections at the door.
-    pub gate: Gate,
+    pub accept: AcceptMode,
     /// The way towards the target.
-    pub there: Path,
+    pub to_target: PathFaults,
     /// The way back from it.
-    pub back: Path,
+    pub from_target: PathFaults,
 }
 
 struct Link {
@@ -75,7 +75,7 @@
 struct Pair {
     link: usize,
     /// The side that came in, and the one that was dialled.
-    ends: [Option<Conn>; 2],
+    ends: [Option<ConnId>; 2],
     up: bool,
     /// There and back.
     ways: [Way; 2],
@@ -84,19 +84,19 @@
 /// All links of one reactor.
 pub struct Relays {
     links: Vec<Link>,
-    doors: BTreeMap<Door, usize>,
-    plugs: BTreeMap<Door, usize>,
+    doors: BTreeMap<SocketId, usize>,
+    plugs: BTreeMap<SocketId, usize>,
     pairs: BTreeMap<u64, Pair>,
-    conns: BTreeMap<Conn, (u64, usize)>,
-    late: BTreeMap<u64, (Door, SocketAddr, Vec<u8>)>,
+    conns: BTreeMap<ConnId, (u64, usize)>,
+    late: BTreeMap<u64, (SocketId, SocketAddr, Vec<u8>)>,
     /// Those who hear each other: where each sends what all others are to hear, and where it hears; and the faults of
     /// the ways between them, from whom to whom.
-    members: Vec<(Door, Option<SocketAddr>)>,
-    between: BTreeMap<(usize, usize), Path>,
+    members: Vec<(SocketId, Option<SocketAddr>)>,
+    between: BTreeMap<(usize, usize), PathFaults>,
     serial: u64,
     chance: ChaCha8Rng,
     /// Connections and datagrams that came so far, whatever became of them.
-    pub came: u64,
+    pub received: u64,
 }
 
 /// Timers of datagrams, and of pairs.
@@ -116,12 +116,12 @@
             between: BTreeMap::new(),
             serial: 0,
             chance,
-            came: 0,
+            received: 0,
         }
     }
 
     /// A link for connections to `target`; its number, and the address to come to.
-    pub fn link(
+    pub fn relay_tcp(
         &mut self,
         io: &mut Io,
         at: SocketAddr,
@@ -134,71 +134,71 @@
     }
 
     /// A link for datagrams to `target`, likewise; they arrive from this address.
-    pub fn datagrams(
+    pub fn relay_udp(
         &mut self,
         io: &mut Io,
         at: SocketAddr,
         target: SocketAddr,
     ) -> std::io::Result<(usize, SocketAddr)> {
-        let (plug, address) = io.plug(at)?;
+        let (plug, address) = io.bind_udp(at)?;
         self.links.push(Link { target, faults: Faults::default() });
         self.plugs.insert(plug, self.links.len() - 1);
         Ok((self.links.len() - 1, address))
     }
 
     /// One more that hears all others: its number among them, and the address to send to what all others are to hear.
-    pub fn member(&mut self, io: &mut Io, at: SocketAddr) -> std::io::Result<(usize, SocketAddr)> {
-        let (plug, address) = io.plug(at)?;
+    pub fn add_member(&mut self, io: &mut Io, at: SocketAddr) -> std::io::Result<(usize, SocketAddr)> {
+        let (plug, address) = io.bind_udp(at)?;
         self.members.push((plug, None));
         Ok((self.members.len() - 1, address))
     }
 
     /// A member hears there from now on, or nowhere.
-    pub fn hears_at(&mut self, member: usize, at: Option<SocketAddr>) {
+    pub fn set_receiver(&mut self, member: usize, at: Option<SocketAddr>) {
         self.members[member].1 = at;
     }
 
     /// The faults of the way from one member to another.
-    pub fn between(&mut self, from: usize, to: usize, path: Path) {
+    pub fn set_path_faults(&mut self, from: usize, to: usize, path: PathFaults) {
         self.between.insert((from, to), path);
     }
 
     /// Changes the faults of a link.
-    pub fn set(&mut self, io: &mut Io, link: usize, faults: Faults) {
+    pub fn set_faults(&mut self, io: &mut Io, link: usize, faults: Faults) {
         self.links[link].faults = faults;
         let pairs: Vec<u64> =
             self.pairs.iter().filter(|(_, pair)| pair.link == link).map(|(id, _)| *id).collect();
         for id in pairs {
-            match faults.gate {
-                Gate::Resets => self.end(io, id, true),
+            match faults.accept {
+                AcceptMode::Reset => self.end(io, id, true),
                 _ => (0..2).for_each(|way| self.pump(io, id, way)),
             }
         }
     }
 
-    fn path(&self, link: usize, way: usize) -> Path {
+    fn path(&self, link: usize, way: usize) -> PathFaults {
         let faults = &self.links[link].faults;
-        if way == 0 { faults.there } else { faults.back }
+        if way == 0 { faults.to_target } else { faults.from_target }
     }
 
     fn end(&mut self, io: &mut Io, id: u64, reset: bool) {
         let Some(pair) = self.pairs.remove(&id) else { return };
         for conn in pair.ends.into_iter().flatten() {
             self.conns.remove(&conn);
-            if reset { io.reset(conn) } else { io.close_after(conn) }
+            if reset { io.reset(conn) } else { io.close_when_flushed(conn) }
         }
     }
 
     /// Takes what came from one end into its way.
-    fn take(&mut self, io: &mut Io, id: u64, way: usize, conn: Conn) {
+    fn take(&mut self, io: &mut Io, id: u64, way: usize, conn: ConnId) {
         let Some(link) = self.pairs.get(&id).map(|pair| pair.link) else { return };
         let path = self.path(link, way);
         let bytes = io.input(conn).to_vec();
         if bytes.is_empty() {
             return;
         }
-        io.used(conn, bytes.len());
-        let lost = path.lose > 0.0 && self.chance.random_bool(path.lose.min(1.0));
+        io.consume(conn, bytes.len());
+        let lost = path.loss > 0.0 && self.chance.random_bool(path.loss.min(1.0));
         let due = io.now() + path.delay + if lost { RETRANSMIT } else { 0 };
         let Some(pair) = self.pairs.get_mut(&id) else { return };
         let way_ = &mut pair.ways[way];
@@ -206,7 +206,7 @@
         way_.bytes += bytes.len();
         way_.waits.push_back((due, bytes));
         if way_.bytes > WAITING_MOST {
-            io.hold(conn, true);
+            io.set_read_paused(conn, true);
         }
     }
 
@@ -222,29 +222,29 @@
         while let Some((due, _)) = ways.waits.front() {
             if *due > io.now() {
                 let due = *due;
-                return io.at(due, id << 1 | way as u64);
+                return io.set_timer(due, id << 1 | way as u64);
             }
             let Some((_, bytes)) = ways.waits.pop_front() else { return };
             ways.bytes -= bytes.len();
             to.into_iter().for_each(|to| io.send(to, &bytes));
         }
-        from.into_iter().for_each(|from| io.hold(from, false));
+        from.into_iter().for_each(|from| io.set_read_paused(from, false));
         if ways.over {
             self.end(io, id, false);
         }
     }
 }
 
-impl Service for Relays {
-    fn accepted(&mut self, io: &mut Io, conn: Conn, door: Door) {
+impl EventHandler for Relays {
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
         let Some(link) = self.doors.get(&door).copied() else { return io.close(conn) };
-        self.came += 1;
-        let gate = self.links[link].faults.gate;
-        if gate == Gate::Resets {
+        self.received += 1;
+        let gate = self.links[link].faults.accept;
+        if gate == AcceptMode::Reset {
             return io.reset(conn);
         }
-        let far = if gate == Gate::Silent { None } else { io.connect(self.links[link].target).ok() };
-        if far.is_none() && gate == Gate::Passes {
+        let far = if gate == AcceptMode::Discard { None } else { io.connect(self.links[link].target).ok() };
+        if far.is_none() && gate == AcceptMode::Forward {
             return io.reset(conn);
         }
         self.serial += 1;
@@ -256,7 +256,7 @@
         self.pairs.insert(self.serial, pair);
     }
 
-    fn up(&mut self, io: &mut Io, conn: Conn) {
+    fn on_connect(&mut self, io: &mut Io, conn: ConnId) {
         let Some((id, _)) = self.conns.get(&conn).copied() else { return };
         if let Some(pair) = self.pairs.get_mut(&id) {
             pair.up = true;
@@ -264,13 +264,13 @@
         self.pump(io, id, 0);
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some((id, way)) = self.conns.get(&conn).copied() else { return };
         self.take(io, id, way, conn);
         self.pump(io, id, way);
     }
 
-    fn over(&mut self, io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, io: &mut Io, conn: ConnId) {
         let Some((id, way)) = self.conns.remove(&conn) else { return };
         let Some(pair) = self.pairs.get_mut(&id) else { return };
         pair.ends[way] = None;
@@ -285,7 +285,7 @@
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         if token & DATAGRAM == 0 {
             return self.pump(io, token >> 1, (token & 1) as usize);
         }
@@ -294,8 +294,8 @@
         }
     }
 
-    fn datagram(&mut self, io: &mut Io, door: Door, _from: SocketAddr, bytes: &[u8]) {
-        self.came += 1;
+    fn on_datagram(&mut self, io: &mut Io, door: SocketId, _from: SocketAddr, bytes: &[u8]) {
+        self.received += 1;
         if let Some(link) = self.plugs.get(&door).copied() {
             let (target, path) = (self.links[link].target, self.path(link, 0));
             return self.pass(io, door, target, path, bytes);
@@ -312,15 +312,15 @@
 
 impl Relays {
     /// A datagram over one way with its faults.
-    fn pass(&mut self, io: &mut Io, door: Door, target: SocketAddr, path: Path, bytes: &[u8]) {
+    fn pass(&mut self, io: &mut Io, door: SocketId, target: SocketAddr, path: PathFaults, bytes: &[u8]) {
         let mut is = |share: f64| share > 0.0 && self.chance.random_bool(share.min(1.0));
-        if path.cut || is(path.lose) {
+        if path.cut || is(path.loss) {
             return;
         }
-        let copies = 1 + u64::from(is(path.double));
+        let copies = 1 + u64::from(is(path.duplicate));
         let delay = path.delay + if is(path.reorder) { REORDER } else { 0 };
         let mut bytes = bytes.to_vec();
-        if is(path.spoil) && !bytes.is_empty() {
+        if is(path.corrupt) && !bytes.is_empty() {
             let at = self.chance.random_range(0..bytes.len());
             bytes[at] = bytes[at].wrapping_add(self.chance.random_range(1..=255));
         }
@@ -331,7 +331,7 @@
                 self.serial += 1;
                 let token = DATAGRAM | self.serial;
                 self.late.insert(token, (door, target, bytes.clone()));
-                io.at(io.now() + delay, token);
+                io.set_timer(io.now() + delay, token);
             }
         }
     }
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -1,5 +1,5 @@
 //! Peers that one test scripts message by message, the program under test, and the words they speak. Blocking, a thread a
-//! connection: for a handful of peers. Everything waits on events, for [`PATIENCE`] at most, and panics when none comes.
+//! connection: for a handful of peers. Everything waits on events, for [`WAIT_TIMEOUT`] at most, and panics when none comes.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,19 +11,19 @@
 pub use crate::{MS, SEC};
 
 /// How long a story waits for anything.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a stand-in does with a message: the bytes to write, and whether it closes then.
 pub type Reply = (Vec<u8>, bool);
 
 /// Writes this text and stays open.
-pub fn say(text: &str) -> Reply {
+pub fn raw_reply(text: &str) -> Reply {
     (text.as_bytes().to_vec(), false)
 }
 
 /// A whole answer with this body and further header lines.
 pub fn answer(status: u16, lines: &str, body: &str) -> Reply {
-    say(&format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{lines}\r\n{body}", body.len()))
+    raw_reply(&format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{lines}\r\n{body}", body.len()))
 }
 
 /// Someone that the gateway connects to: each whole message is answered by `reply`, which gets the number of
@@ -61,31 +61,31 @@
 
     /// The next message that came whole: on which connection, and its text.
     pub fn next(&self) -> (usize, String) {
-        self.seen.recv_timeout(PATIENCE).expect("no message came")
+        self.seen.recv_timeout(WAIT_TIMEOUT).expect("no message came")
     }
 
     /// The next whole message, if it comes within this time.
-    pub fn seen_within(&self, time: Duration) -> Option<(usize, String)> {
+    pub fn next_within(&self, time: Duration) -> Option<(usize, String)> {
         self.seen.recv_timeout(time).ok()
     }
 
     /// Whether no message has come by now.
-    pub fn nothing_came(&self) -> bool {
-        self.seen_now().is_none()
+    pub fn nothing_received(&self) -> bool {
+        self.try_next().is_none()
     }
 
     /// A message that is there already.
-    pub fn seen_now(&self) -> Option<(usize, String)> {
+    pub fn try_next(&self) -> Option<(usize, String)> {
         self.seen.try_recv().ok()
     }
 
     /// Writes on a connection, unasked.
-    pub fn tell(&self, number: usize, text: &str) {
-        assert!(self.try_tell(number, text), "connection {number} is gone");
+    pub fn write(&self, number: usize, text: &str) {
+        assert!(self.try_write(number, text), "connection {number} is gone");
     }
 
     /// The same on a connection that may be gone: whether the system took it.
-    pub fn try_tell(&self, number: usize, text: &str) -> bool {
+    pub fn try_write(&self, number: usize, text: &str) -> bool {
         (&self.streams.lock().unwrap()[number]).write_all(text.as_bytes()).is_ok()
     }
 
@@ -106,22 +106,22 @@
 }
 
 /// A peer that is down: connections to its address are refused until it opens. The address is kept for it meanwhile.
-pub struct Down {
+pub struct RefusingPeer {
     /// Where it will listen.
     pub address: SocketAddr,
     socket: socket2::Socket,
 }
 
-impl Default for Down {
-    fn default() -> Down {
+impl Default for RefusingPeer {
+    fn default() -> RefusingPeer {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        Down { address, socket }
+        RefusingPeer { address, socket }
     }
 }
 
-impl Down {
+impl RefusingPeer {
     /// Can be reached from now on.
     pub fn open(self, reply: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> Peer {
         self.socket.listen(128).unwrap();
@@ -131,26 +131,26 @@
 
 /// A server whose connections come up late: the system takes none until `open`, since its line of connections that wait to
 /// be accepted is one long and full.
-pub struct Late {
+pub struct FullBacklog {
     /// Where it listens.
     pub address: SocketAddr,
     listener: TcpListener,
     _filler: TcpStream,
 }
 
-impl Default for Late {
-    fn default() -> Late {
+impl Default for FullBacklog {
+    fn default() -> FullBacklog {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
         let filler = TcpStream::connect(address).unwrap();
-        Late { address, listener, _filler: filler }
+        FullBacklog { address, listener, _filler: filler }
     }
 }
 
-impl Late {
+impl FullBacklog {
     /// Lets connections come up, and gives the first that does: the one that was asked for in the meantime comes within
     /// about a second, when the system asks again.
     pub fn open(self) -> Client {
@@ -159,8 +159,8 @@
             let _filler = self.listener.accept().unwrap();
             let _ = tell.send(self.listener.accept().unwrap().0);
         });
-        let stream = came.recv_timeout(PATIENCE).expect("no connection came up");
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = came.recv_timeout(WAIT_TIMEOUT).expect("no connection came up");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 }
@@ -221,7 +221,7 @@
     /// Connects.
     pub fn new(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 
@@ -240,7 +240,7 @@
         let stream = self.0.get_ref();
         stream.set_read_timeout(Some(time.max(Duration::from_millis(1)))).unwrap();
         let answer = read_message(&mut self.0);
-        self.0.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
+        self.0.get_ref().set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         answer
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Whether nothing has come by now.
-    pub fn nothing_came(&mut self) -> bool {
+    pub fn nothing_received(&mut self) -> bool {
         self.0.get_ref().set_nonblocking(true).unwrap();
         let got = self.0.get_ref().peek(&mut [0]);
         self.0.get_ref().set_nonblocking(false).unwrap();
@@ -275,7 +275,7 @@
     }
 
     /// Ends this side's sending; the other side's may go on.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
@@ -317,7 +317,7 @@
 }
 
 /// How long the gateway tells a server that it waits, in milliseconds.
-pub fn told_wait_ms(message: &str) -> u64 {
+pub fn remaining_ms_header(message: &str) -> u64 {
     let told = message.split("X-Remaining-Ms: ").nth(1).and_then(|rest| rest.split('\r').next());
     told.and_then(|told| told.parse().ok()).expect("a message that tells its time")
 }
@@ -341,7 +341,7 @@
 }
 
 /// The head of a watch's answer.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Settings of three methods and one plan, and what a test adds (each with a comma behind).
 pub fn settings(extra: &str) -> String {
@@ -359,6 +359,6 @@
 
 /// An address where nobody listens, now or later: all stand-ins are at 127.0.0.1, so no port given back here can become
 /// another story's peer.
-pub fn nowhere() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], 9))
 }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -2,7 +2,7 @@
 //! times, a warm-up after a start, and a health that a script changes. A ledger holds every RPC that came whole.
 
 use crate::http;
-use crate::reactor::{Conn, Door, Io, Service};
+use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos, SEC};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -15,7 +15,7 @@
 
 /// One server as it is set up.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct ServerSpec {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -25,19 +25,19 @@
     /// RPCs served at once; further ones wait, at most `queue` of them, and beyond that are turned away.
     pub cores: usize,
     /// RPCs that wait at most.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Connections beyond these are reset.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Median service time, and the log-normal's sigma.
-    pub service: Nanos,
+    pub median_service: Nanos,
     /// The log-normal's sigma.
-    pub spread: f64,
+    pub service_sigma: f64,
     /// After a start it works at this share of its speed, rising to all of it over `cold_for`.
     pub cold_share: f64,
     /// How long until it works at full speed.
-    pub cold_for: Nanos,
+    pub warmup: Nanos,
     /// Answers carry a load report (`X-Pressure`) with `busy_reqs`.
-    pub reports: bool,
+    pub reports_load: bool,
     /// How long the bodies of its answers are, bytes.
     pub body_bytes: usize,
     /// Where it is to listen.
@@ -61,7 +61,7 @@
 
 /// How an RPC ended at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RpcOutcome {
     /// It is still there.
     Open,
     /// It was answered ok.
@@ -82,21 +82,21 @@
     /// The server's number.
     pub server: u32,
     /// Which start of that server, from 0.
-    pub life: u32,
+    pub incarnation: u32,
     /// The connection that it came on.
-    pub conn: Conn,
+    pub conn: ConnId,
     /// The RPC's id as the front made it; its top 16 bits are the gateway's number.
     pub txn: u64,
     /// When its first byte came, also to a server that says nothing, and when all of it was taken in.
-    pub begun: Nanos,
+    pub first_byte_at: Nanos,
     /// When it was taken in.
-    pub at: Nanos,
+    pub received_at: Nanos,
     /// How long the gateway said that it waits, milliseconds.
-    pub told_ms: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// When it left the server (its work was done, also for nobody); of no meaning while `Open`.
-    pub done: Nanos,
+    pub finished_at: Nanos,
     /// How it ended.
-    pub how: How,
+    pub outcome: RpcOutcome,
 }
 
 impl Row {
@@ -107,14 +107,14 @@
 }
 
 struct Job {
-    conn: Conn,
+    conn: ConnId,
     row: usize,
 }
 
 struct Server {
-    spec: Spec,
+    spec: ServerSpec,
     health: Health,
-    door: Option<Door>,
+    door: Option<SocketId>,
     life: u32,
     since: Nanos,
     /// By serial: those on a core, and those whose work is done while the server is silent.
@@ -127,17 +127,17 @@
 /// All stand-in servers.
 pub struct Servers {
     servers: Vec<Server>,
-    doors: BTreeMap<Door, usize>,
-    conns: BTreeMap<Conn, usize>,
+    doors: BTreeMap<SocketId, usize>,
+    conns: BTreeMap<ConnId, usize>,
     /// When the first byte of the message came that is not taken in yet.
-    begun: BTreeMap<Conn, Nanos>,
+    begun: BTreeMap<ConnId, Nanos>,
     jobs: BTreeMap<u64, usize>,
     serial: u64,
     chance: ChaCha8Rng,
     /// All RPCs so far.
     pub ledger: Vec<Row>,
     /// When, and the open connections of each server.
-    pub connections: Vec<(Nanos, Vec<u32>)>,
+    pub connection_samples: Vec<(Nanos, Vec<u32>)>,
 }
 
 impl Servers {
@@ -152,14 +152,19 @@
             serial: 0,
             chance,
             ledger: Vec::new(),
-            connections: Vec::new(),
+            connection_samples: Vec::new(),
         }
     }
 
     /// Sets a server up and lets it listen; its number, and its address. `warm` ones started long ago.
-    pub fn add(&mut self, io: &mut Io, mut spec: Spec, warm: bool) -> std::io::Result<(usize, SocketAddr)> {
+    pub fn add(
+        &mut self,
+        io: &mut Io,
+        mut spec: ServerSpec,
+        warm: bool,
+    ) -> std::io::Result<(usize, SocketAddr)> {
         if self.servers.is_empty() {
-            io.at(io.now() + SAMPLE, SAMPLES);
+            io.set_timer(io.now() + SAMPLE, SAMPLES);
         }
         let (door, address) = io.listen(spec.address)?;
         spec.address = address;
@@ -181,7 +186,7 @@
     }
 
     /// Changes a server's health; one that comes up from `Down` starts a new, cold life.
-    pub fn become_(&mut self, io: &mut Io, number: usize, health: Health) -> std::io::Result<()> {
+    pub fn set_health(&mut self, io: &mut Io, number: usize, health: Health) -> std::io::Result<()> {
         let was = std::mem::replace(&mut self.servers[number].health, health);
         if was == health {
             return Ok(());
@@ -189,7 +194,7 @@
         if health == Health::Down {
             let server = &mut self.servers[number];
             if let Some(door) = server.door.take() {
-                io.shut(door);
+                io.close_listener(door);
                 self.doors.remove(&door);
             }
             let jobs: Vec<Job> =
@@ -198,7 +203,10 @@
             server.connections = 0;
             for job in jobs {
                 let row = &mut self.ledger[job.row];
-                (row.done, row.how) = (io.now(), if row.how == How::Left { How::Left } else { How::Lost });
+                (row.finished_at, row.outcome) = (
+                    io.now(),
+                    if row.outcome == RpcOutcome::Left { RpcOutcome::Left } else { RpcOutcome::Lost },
+                );
             }
             self.jobs.retain(|_, at| *at != number);
             for conn in self.open(number) {
@@ -214,17 +222,17 @@
         } else if was == Health::Silent {
             let stuck = std::mem::take(&mut self.servers[number].stuck);
             stuck.into_iter().for_each(|serial| self.done(io, serial));
-            self.open(number).into_iter().for_each(|conn| self.came(io, conn));
+            self.open(number).into_iter().for_each(|conn| self.on_data(io, conn));
         }
         Ok(())
     }
 
-    fn open(&self, number: usize) -> Vec<Conn> {
+    fn open(&self, number: usize) -> Vec<ConnId> {
         self.conns.iter().filter(|(_, at)| **at == number).map(|(conn, _)| *conn).collect()
     }
 
     /// When this life began, 0 for long ago.
-    pub fn since(&self, number: usize) -> Nanos {
+    pub fn started_at(&self, number: usize) -> Nanos {
         self.servers[number].since
     }
 
@@ -236,28 +244,28 @@
                 return;
             }
             let Some(job) = server.waiting.pop_front() else { return };
-            if self.ledger[job.row].how == How::Left {
-                self.ledger[job.row].done = now; // never started
+            if self.ledger[job.row].outcome == RpcOutcome::Left {
+                self.ledger[job.row].finished_at = now; // never started
                 continue;
             }
             let spec = &server.spec;
             let cold = match server.since {
                 0 => 1.0,
                 since => {
-                    let warmed = (now - since) as f64 / spec.cold_for.max(1) as f64;
+                    let warmed = (now - since) as f64 / spec.warmup.max(1) as f64;
                     (spec.cold_share + (1.0 - spec.cold_share) * warmed).clamp(1e-3, 1.0)
                 }
             };
             let slow = if let Health::Slow(factor) = server.health { factor } else { 1.0 };
-            let median = spec.service.max(1) as f64 * slow / cold;
-            let took = match LogNormal::new(median.ln(), spec.spread.max(0.0)) {
+            let median = spec.median_service.max(1) as f64 * slow / cold;
+            let took = match LogNormal::new(median.ln(), spec.service_sigma.max(0.0)) {
                 Ok(times) => times.sample(&mut self.chance),
                 Err(_) => median,
             };
             self.serial += 1;
             self.jobs.insert(self.serial, number);
             server.running.insert(self.serial, job);
-            io.at(now + (took as Nanos).min(600 * SEC), self.serial);
+            io.set_timer(now + (took as Nanos).min(600 * SEC), self.serial);
         }
     }
 
@@ -270,11 +278,11 @@
         self.jobs.remove(&serial);
         let Some(job) = server.running.remove(&serial) else { return };
         let row = &mut self.ledger[job.row];
-        row.done = io.now();
-        if row.how == How::Open {
-            row.how = How::Served;
+        row.finished_at = io.now();
+        if row.outcome == RpcOutcome::Open {
+            row.outcome = RpcOutcome::Served;
             let held = server.running.len() + server.waiting.len();
-            let report = if server.spec.reports {
+            let report = if server.spec.reports_load {
                 format!("X-Pressure: {{\"busy_reqs\":{held}}}\r\n")
             } else {
                 String::new()
@@ -287,18 +295,18 @@
     }
 }
 
-impl Service for Servers {
-    fn accepted(&mut self, io: &mut Io, conn: Conn, door: Door) {
+impl EventHandler for Servers {
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
         let Some(number) = self.doors.get(&door).copied() else { return io.reset(conn) };
         let server = &mut self.servers[number];
-        if server.connections >= server.spec.connections {
+        if server.connections >= server.spec.max_connections {
             return io.reset(conn);
         }
         server.connections += 1;
         self.conns.insert(conn, number);
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some(number) = self.conns.get(&conn).copied() else { return };
         loop {
             if !io.input(conn).is_empty() {
@@ -308,34 +316,36 @@
             if server.health == Health::Silent {
                 return;
             }
-            let message = match http::request(io.input(conn)) {
+            let message = match http::parse_request(io.input(conn)) {
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(_) => {
-                    self.over(io, conn);
+                    self.on_close(io, conn);
                     return io.close(conn);
                 }
             };
-            io.used(conn, message.length);
+            io.consume(conn, message.length);
             let txn = message.header("x-txn").and_then(|text| u64::from_str_radix(text, 16).ok());
             let row = self.ledger.len();
             let now = io.now();
             let mut entry = Row {
                 server: number as u32,
-                life: server.life,
+                incarnation: server.life,
                 conn,
                 txn: txn.unwrap_or(u64::MAX),
-                begun: self.begun.remove(&conn).unwrap_or(now),
-                at: now,
-                told_ms: message.header("x-remaining-ms").and_then(|text| text.parse().ok()),
-                done: now,
-                how: How::Open,
+                first_byte_at: self.begun.remove(&conn).unwrap_or(now),
+                received_at: now,
+                remaining_ms: message.header("x-remaining-ms").and_then(|text| text.parse().ok()),
+                finished_at: now,
+                outcome: RpcOutcome::Open,
             };
             if server.health == Health::FailsFast {
-                entry.how = How::Failed;
+                entry.outcome = RpcOutcome::Failed;
                 io.send(conn, b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-            } else if server.running.len() >= server.spec.cores && server.waiting.len() >= server.spec.queue {
-                entry.how = How::TurnedAway;
+            } else if server.running.len() >= server.spec.cores
+                && server.waiting.len() >= server.spec.queue_limit
+            {
+                entry.outcome = RpcOutcome::TurnedAway;
                 io.send(conn, b"HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             } else {
                 server.waiting.push_back(Job { conn, row });
@@ -345,23 +355,23 @@
         }
     }
 
-    fn over(&mut self, _io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
         self.begun.remove(&conn);
         let Some(number) = self.conns.remove(&conn) else { return };
         let server = &mut self.servers[number];
         server.connections = server.connections.saturating_sub(1);
         // What runs goes on for nobody; what waits is passed over when its turn comes.
         for job in server.running.values().chain(&server.waiting).filter(|job| job.conn == conn) {
-            self.ledger[job.row].how = How::Left;
+            self.ledger[job.row].outcome = RpcOutcome::Left;
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         if token != SAMPLES {
             return self.done(io, token);
         }
         let open = self.servers.iter().map(|server| server.connections as u32).collect();
-        self.connections.push((io.now(), open));
-        io.at(io.now() + SAMPLE, SAMPLES);
+        self.connection_samples.push((io.now(), open));
+        io.set_timer(io.now() + SAMPLE, SAMPLES);
     }
 }
--- a/crates/standins/tests/links.rs
+++ b/crates/standins/tests/links.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use standins::MS;
 use standins::reactor::{Clock, Handle};
-use standins::relay::{Faults, Gate, Path, Relays};
+use standins::relay::{AcceptMode, Faults, PathFaults, Relays};
 use standins::scripted::{Client, Peer, answer, rpc};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
@@ -19,12 +19,12 @@
 }
 
 fn set(relays: &Handle<Relays>, link: usize, faults: Faults) {
-    relays.with(move |relays, io| relays.set(io, link, faults));
+    relays.with(move |relays, io| relays.set_faults(io, link, faults));
 }
 
 /// Waits until so many connections and datagrams have come to the relays.
 fn came(relays: &Handle<Relays>, count: u64) {
-    while relays.with(|relays, _| relays.came) < count {
+    while relays.with(|relays, _| relays.received) < count {
         std::thread::yield_now();
     }
 }
@@ -33,24 +33,24 @@
 fn a_connection_is_cut_each_way_and_what_waited_comes_when_it_heals() {
     let peer = Peer::new(|_, _| answer(200, "", "here"));
     let (relays, target) = (relays(), peer.address);
-    let (link, at) = relays.with(move |relays, io| relays.link(io, here(), target)).unwrap();
+    let (link, at) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
     let mut client = Client::new(at);
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
     peer.next();
     // There: the message does not arrive until the cut is over.
-    let cut = Path { cut: true, ..Path::default() };
-    set(&relays, link, Faults { there: cut, ..Faults::default() });
+    let cut = PathFaults { cut: true, ..PathFaults::default() };
+    set(&relays, link, Faults { to_target: cut, ..Faults::default() });
     client.send(&rpc("read", 2000));
     // What passes another link meanwhile shows that this one had its time.
-    let (_, other) = relays.with(move |relays, io| relays.link(io, here(), target)).unwrap();
+    let (_, other) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
     assert!(Client::new(other).ask(&rpc("read", 2000)).ends_with("here"));
     assert_eq!(peer.next().0, 1, "only by the other link");
-    assert!(peer.nothing_came());
+    assert!(peer.nothing_received());
     set(&relays, link, Faults::default());
     assert_eq!(peer.next().0, 0);
     assert!(client.answer().unwrap().ends_with("here"));
     // Back: the message arrives, its answer waits.
-    set(&relays, link, Faults { back: cut, ..Faults::default() });
+    set(&relays, link, Faults { from_target: cut, ..Faults::default() });
     client.send(&rpc("verify", 2000));
     assert_eq!(peer.next().0, 0, "it runs");
     set(&relays, link, Faults::default());
@@ -61,24 +61,24 @@
 fn delays_resets_and_silence() {
     let peer = Peer::new(|_, _| answer(200, "", "here"));
     let (relays, target) = (relays(), peer.address);
-    let (link, at) = relays.with(move |relays, io| relays.link(io, here(), target)).unwrap();
-    let slow = Path { delay: 150 * MS, ..Path::default() };
-    set(&relays, link, Faults { there: slow, back: slow, ..Faults::default() });
+    let (link, at) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
+    let slow = PathFaults { delay: 150 * MS, ..PathFaults::default() };
+    set(&relays, link, Faults { to_target: slow, from_target: slow, ..Faults::default() });
     let (mut client, since) = (Client::new(at), Instant::now());
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
     assert!(since.elapsed() >= Duration::from_millis(300), "each way once");
-    set(&relays, link, Faults { gate: Gate::Resets, ..Faults::default() });
+    set(&relays, link, Faults { accept: AcceptMode::Reset, ..Faults::default() });
     assert!(client.is_closed(), "what stood is reset");
     assert!(Client::new(at).try_ask(&rpc("read", 2000)).is_none(), "and so is what comes");
     peer.next();
-    set(&relays, link, Faults { gate: Gate::Silent, ..Faults::default() });
+    set(&relays, link, Faults { accept: AcceptMode::Discard, ..Faults::default() });
     let mut silent = Client::new(at);
     silent.send(&rpc("read", 2000));
     came(&relays, 3);
     set(&relays, link, Faults::default());
     assert!(Client::new(at).ask(&rpc("read", 2000)).ends_with("here"));
     assert_eq!(peer.next().0, 1, "what came to a silent link stays there");
-    assert!(peer.nothing_came());
+    assert!(peer.nothing_received());
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let (relays, got) = (relays(), UdpSocket::bind("127.0.0.1:0").unwrap());
     got.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let target = got.local_addr().unwrap();
-    let (link, at) = relays.with(move |relays, io| relays.datagrams(io, here(), target)).unwrap();
+    let (link, at) = relays.with(move |relays, io| relays.relay_udp(io, here(), target)).unwrap();
     let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     let receive = || -> Option<u8> {
         let mut some = [0; 8];
@@ -100,21 +100,21 @@
     let send = |number: u8| assert_eq!(sender.send_to(&[number], at).unwrap(), 1);
     send(1);
     assert_eq!(receive(), Some(1));
-    let there = |path| Faults { there: path, ..Faults::default() };
-    set(&relays, link, there(Path { cut: true, ..Path::default() }));
+    let there = |path| Faults { to_target: path, ..Faults::default() };
+    set(&relays, link, there(PathFaults { cut: true, ..PathFaults::default() }));
     send(2);
     came(&relays, 2);
-    set(&relays, link, there(Path { double: 1.0, ..Path::default() }));
+    set(&relays, link, there(PathFaults { duplicate: 1.0, ..PathFaults::default() }));
     send(3);
     assert_eq!((receive(), receive()), (Some(3), Some(3)), "what was cut never comes");
     // Half of them overtaken: all come, not in order.
-    set(&relays, link, there(Path { reorder: 0.5, ..Path::default() }));
+    set(&relays, link, there(PathFaults { reorder: 0.5, ..PathFaults::default() }));
     (10..30).for_each(send);
     let got: Vec<u8> = (10..30).map(|_| receive().unwrap()).collect();
     let mut sorted = got.clone();
     sorted.sort_unstable();
     assert!(sorted == (10..30).collect::<Vec<_>>() && got != sorted, "{got:?}");
-    set(&relays, link, there(Path { lose: 0.5, ..Path::default() }));
+    set(&relays, link, there(PathFaults { loss: 0.5, ..PathFaults::default() }));
     (40..140).for_each(send);
     came(&relays, 123);
     set(&relays, link, Faults::default());
