--- a/crates/etcd-standin/src/client.rs
+++ b/crates/etcd-standin/src/client.rs
@@ -1,5 +1,5 @@
-//! A blocking client of the stand-in for tests and measurements: requests, the watch stream, and a loop that
-//! drives the membership watcher until a condition holds. Not for the gateway, whose peers are non-blocking.
+//! Blocking client of the etcd stand-in for tests and benchmarks: requests, watch streams, and a driver that runs
+//! the membership watcher until a condition holds. The gateway can't use it, since its connections are non-blocking.
 
 use crate::Standin;
 use membership::etcd::{self, ChunkedDecoder, WatchStreamDecoder};
@@ -9,53 +9,55 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A node's value as the membership reads it.
-pub fn node(address: &str, state: &str) -> Vec<u8> {
+/// JSON value of a node's key, as the membership parser expects it.
+pub fn node_value(address: &str, state: &str) -> Vec<u8> {
     format!(r#"{{"address":"{address}","zone":"a","state":"{state}"}}"#).into_bytes()
 }
 
-/// Sends one request and gives the connection with the head of the answer read; none if it is refused or cut.
-pub fn request(standin: &Standin, path: &str, body: &str) -> Option<(TcpStream, Vec<u8>)> {
+/// Sends a request and reads the response up to the end of its headers. Returns the connection and the body bytes
+/// read so far, or `None` if the connection was refused or broke.
+pub fn send_request(standin: &Standin, path: &str, body: &str) -> Option<(TcpStream, Vec<u8>)> {
     let mut stream = TcpStream::connect(standin.address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
     let head = format!("POST {path} HTTP/1.1\r\nHost: etcd\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     stream.write_all(head.as_bytes()).ok()?;
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut buffer = [0u8; 4096];
-    while !got.windows(4).any(|four| four == b"\r\n\r\n") {
+    while !received.windows(4).any(|window| window == b"\r\n\r\n") {
         let read = stream.read(&mut buffer).ok().filter(|read| *read > 0)?;
-        got.extend_from_slice(&buffer[..read]);
+        received.extend_from_slice(&buffer[..read]);
     }
-    let at = got.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
-    Some((stream, got.split_off(at)))
+    let body_start = received.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
+    Some((stream, received.split_off(body_start)))
 }
 
-/// A range's whole answer body (Content-Length is read by reading until the JSON is whole).
+/// Sends a range request and returns the parsed response. It reads until the JSON is complete, so it doesn't need
+/// the Content-Length header.
 pub fn range(standin: &Standin, body: &str) -> Option<etcd::Reply> {
-    let (mut stream, mut got) = request(standin, "/v3/kv/range", body)?;
+    let (mut stream, mut received) = send_request(standin, "/v3/kv/range", body)?;
     let mut buffer = [0u8; 65536];
     loop {
-        if let Ok(reply) = etcd::parse_range_reply(&got) {
+        if let Ok(reply) = etcd::parse_range_reply(&received) {
             return Some(reply);
         }
         let read = stream.read(&mut buffer).ok().filter(|read| *read > 0)?;
-        got.extend_from_slice(&buffer[..read]);
+        received.extend_from_slice(&buffer[..read]);
     }
 }
 
-/// An open watch stream.
-pub struct Watch {
+/// Open watch stream.
+pub struct WatchStream {
     stream: TcpStream,
     chunks: ChunkedDecoder,
     messages: WatchStreamDecoder,
     pending: Vec<u8>,
 }
 
-impl Watch {
-    /// Opens a watch with this request.
-    pub fn open(standin: &Standin, body: &str) -> Option<Watch> {
-        let (stream, pending) = request(standin, "/v3/watch", body)?;
-        Some(Watch {
+impl WatchStream {
+    /// Opens a watch with `body` as the create request.
+    pub fn open(standin: &Standin, body: &str) -> Option<WatchStream> {
+        let (stream, pending) = send_request(standin, "/v3/watch", body)?;
+        Some(WatchStream {
             stream,
             chunks: ChunkedDecoder::default(),
             messages: WatchStreamDecoder::default(),
@@ -63,8 +65,8 @@
         })
     }
 
-    /// The next messages, or none when the stream ended or broke.
-    pub fn take(&mut self) -> Option<Vec<serde_json::Value>> {
+    /// Blocks until messages arrive; `None` if the stream ended or broke.
+    pub fn next_messages(&mut self) -> Option<Vec<serde_json::Value>> {
         loop {
             let data = self.chunks.feed(&std::mem::take(&mut self.pending)).ok()?;
             let messages = self.messages.feed(&data).ok()?;
@@ -81,39 +83,48 @@
     }
 }
 
-/// Nanoseconds since `start`: the watcher's clock in tests.
-pub fn now(start: Instant) -> u64 {
+/// Nanoseconds since `start`, the time that tests pass to the watcher.
+pub fn elapsed_nanos(start: Instant) -> u64 {
     start.elapsed().as_nanos() as u64
 }
 
-/// The membership watcher with its members and its open watch, driven over blocking sockets.
-pub struct Follower {
-    /// The state machine that is driven.
+/// Runs the membership watcher, with its member lists and its open watch, over blocking sockets.
+pub struct WatcherDriver {
+    /// Watcher state machine.
     pub watcher: Watcher,
-    /// The node lists merged.
+    /// Members that the watcher updates.
     pub members: Members,
-    /// When it started.
+    /// Origin of the times passed to the watcher.
     pub start: Instant,
-    /// What is to be done next.
-    pub next: Action,
-    watch: Option<Watch>,
+    /// Action that the watcher asked for last and that is still to be carried out.
+    pub next_action: Action,
+    watch: Option<WatchStream>,
 }
 
-impl Follower {
-    /// A follower of this prefix.
-    pub fn new(prefix: &[u8]) -> Follower {
+impl WatcherDriver {
+    /// A driver that watches the keys under `prefix`.
+    pub fn new(prefix: &[u8]) -> WatcherDriver {
         let mut watcher = Watcher::new(prefix, 1);
-        let next = watcher.start_range();
-        Follower { watcher, members: Members::default(), start: Instant::now(), next, watch: None }
+        let next_action = watcher.start_range();
+        WatcherDriver {
+            watcher,
+            members: Members::default(),
+            start: Instant::now(),
+            next_action,
+            watch: None,
+        }
     }
 
-    /// Nanoseconds since its start.
+    /// Nanoseconds since the driver was created.
     pub fn now(&self) -> u64 {
-        now(self.start)
+        elapsed_nanos(self.start)
     }
 
-    /// Drives the watcher on from where it stands until `done` holds of the members; fails after ten seconds.
-    pub fn until(&mut self, standin: &Standin, done: impl Fn(&mut Members) -> bool) {
+    /// Carries out the watcher's actions until `done` returns true for the members.
+    ///
+    /// # Panics
+    /// After ten seconds.
+    pub fn drive_until(&mut self, standin: &Standin, done: impl Fn(&mut Members) -> bool) {
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(10) {
             if done(&mut self.members) {
@@ -121,12 +132,12 @@
             }
             let at = self.now();
             let (watcher, members) = (&mut self.watcher, &mut self.members);
-            self.next = match std::mem::replace(&mut self.next, Action::Nothing) {
+            self.next_action = match std::mem::replace(&mut self.next_action, Action::Nothing) {
                 Action::Range { body, .. } => match range(standin, &body) {
                     Some(reply) => watcher.handle_range_reply(at, reply, members),
                     None => watcher.handle_failure(at),
                 },
-                Action::Watch { body, .. } => match Watch::open(standin, &body) {
+                Action::Watch { body, .. } => match WatchStream::open(standin, &body) {
                     Some(opened) => {
                         self.watch = Some(opened);
                         Action::Nothing
@@ -134,18 +145,18 @@
                     None => watcher.handle_failure(at),
                 },
                 Action::Wait { until } => {
-                    while now(self.start) < until {
+                    while elapsed_nanos(self.start) < until {
                         std::thread::yield_now();
                     }
-                    watcher.handle_timer(now(self.start), members)
+                    watcher.handle_timer(elapsed_nanos(self.start), members)
                 }
-                Action::Nothing => match self.watch.as_mut().and_then(Watch::take) {
+                Action::Nothing => match self.watch.as_mut().and_then(WatchStream::next_messages) {
                     Some(messages) => {
                         let mut next = Action::Nothing;
                         for message in messages {
-                            let reply =
-                                etcd::parse_watch_message(&message).expect("the stand-in's messages read");
-                            next = watcher.handle_watch_message(now(self.start), reply, members);
+                            let reply = etcd::parse_watch_message(&message)
+                                .expect("the stand-in's watch message parses");
+                            next = watcher.handle_watch_message(elapsed_nanos(self.start), reply, members);
                         }
                         next
                     }
@@ -153,6 +164,6 @@
                 },
             };
         }
-        panic!("not done within ten seconds");
+        panic!("condition not met within ten seconds");
     }
 }
--- a/crates/etcd-standin/src/store.rs
+++ b/crates/etcd-standin/src/store.rs
@@ -1,5 +1,5 @@
-//! The stand-in's store: keys with create and mod revisions, a history of changes for watches, compaction and
-//! leases. Revisions count every change, as etcd's do.
+//! Key-value store of the etcd stand-in, with revisions, a history of changes for watches, compaction and leases.
+//! Each put, and each delete request that removes keys, adds one to the revision, as in etcd.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -20,7 +20,7 @@
 struct Change {
     revision: i64,
     key: Vec<u8>,
-    /// None for a delete.
+    /// `None` for a delete.
     kv: Option<Kv>,
 }
 
@@ -31,12 +31,12 @@
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// Keys with revisions, a history and leases.
+/// Keys with their revisions, the history of changes, and the leases.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub revision: i64,
-    /// Revisions up to this one are compacted.
+    /// Revision of the last compaction; the history up to it is gone.
     pub compacted: i64,
     keys: BTreeMap<Vec<u8>, Kv>,
     history: Vec<Change>,
@@ -44,7 +44,8 @@
     next_lease: i64,
 }
 
-fn within(key: &[u8], from: &[u8], end: &[u8]) -> bool {
+/// Whether a key is in an etcd range: `from` alone if `end` is empty, all keys from `from` on if `end` is a zero byte.
+fn in_range(key: &[u8], from: &[u8], end: &[u8]) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
@@ -53,7 +54,7 @@
 }
 
 impl Store {
-    /// The header of every answer.
+    /// Header of a response.
     pub fn header(&self) -> Value {
         json!({"cluster_id": "1", "member_id": "1", "revision": self.revision.to_string(), "raft_term": "1"})
     }
@@ -64,20 +65,20 @@
             "version": kv.version.to_string(), "lease": kv.lease.to_string()})
     }
 
-    /// The answer to a range request.
+    /// Response to a range request.
     pub fn range_json(&self, from: &[u8], end: &[u8]) -> Value {
         let kvs: Vec<Value> = (self.keys.iter())
-            .filter(|(key, _)| within(key, from, end))
+            .filter(|(key, _)| in_range(key, from, end))
             .map(|(key, kv)| Self::kv_json(key, kv))
             .collect();
         json!({"header": self.header(), "count": kvs.len().to_string(), "kvs": kvs})
     }
 
-    /// Changes from a revision on, under a range, as watch events.
+    /// Changes to a key range from `from_revision` on, as watch events.
     pub fn events_json(&self, from_revision: i64, from: &[u8], end: &[u8]) -> Vec<Value> {
         let start = self.history.partition_point(|change| change.revision < from_revision);
         (self.history[start..].iter())
-            .filter(|change| within(&change.key, from, end))
+            .filter(|change| in_range(&change.key, from, end))
             .map(|change| match &change.kv {
                 Some(kv) => json!({"type": "PUT", "kv": Self::kv_json(&change.key, kv)}),
                 None => json!({"type": "DELETE", "kv": {"key": STANDARD.encode(&change.key),
@@ -86,7 +87,7 @@
             .collect()
     }
 
-    /// Sets a key; an error names a lease that there is not.
+    /// Sets a key. Fails with etcd's message if the lease doesn't exist.
     pub fn put(&mut self, key: &[u8], value: &[u8], lease: i64) -> Result<(), String> {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return Err("etcdserver: requested lease not found".into());
@@ -108,21 +109,22 @@
         Ok(())
     }
 
-    /// Deletes a key, or a range of them at one revision; how many went.
+    /// Deletes a key, or a range of keys at one revision; returns the number of keys deleted.
     pub fn delete(&mut self, from: &[u8], end: &[u8]) -> usize {
-        let gone: Vec<Vec<u8>> = self.keys.keys().filter(|key| within(key, from, end)).cloned().collect();
-        if gone.is_empty() {
+        let deleted: Vec<Vec<u8>> =
+            self.keys.keys().filter(|key| in_range(key, from, end)).cloned().collect();
+        if deleted.is_empty() {
             return 0;
         }
         self.revision += 1;
-        for key in &gone {
+        for key in &deleted {
             self.keys.remove(key);
             self.history.push(Change { revision: self.revision, key: key.clone(), kv: None });
         }
-        gone.len()
+        deleted.len()
     }
 
-    /// Forgets the history up to a revision: watches from at or before it are cancelled.
+    /// Removes the history up to and including `revision`; watches that start at or before it are cancelled.
     pub fn compact(&mut self, revision: i64) -> Result<(), String> {
         if revision <= self.compacted {
             return Err("etcdserver: mvcc: required revision has been compacted".into());
@@ -135,7 +137,7 @@
         Ok(())
     }
 
-    /// Grants a lease; its id and its time to live, seconds.
+    /// Grants a lease; returns its id and its time to live in seconds.
     pub fn grant(&mut self, ttl: i64, now: Instant) -> (i64, i64) {
         self.next_lease += 1;
         let ttl = ttl.max(1);
@@ -144,33 +146,33 @@
         (self.next_lease, ttl)
     }
 
-    /// Renews a lease; its time to live, 0 if there is none.
+    /// Renews a lease; returns its time to live in seconds, or 0 if it doesn't exist.
     pub fn keep_alive(&mut self, id: i64, now: Instant) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
         lease.expires = now + Duration::from_secs(lease.ttl as u64);
         lease.ttl
     }
 
-    /// Leases whose time is over take their keys with them.
+    /// Removes expired leases and deletes the keys that are still attached to them.
     pub fn expire(&mut self, now: Instant) {
-        let over: Vec<i64> =
+        let expired: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| lease.expires <= now).map(|(id, _)| *id).collect();
-        for id in over {
+        for id in expired {
             let keys = self.leases.remove(&id).map(|lease| lease.keys).unwrap_or_default();
-            let held: Vec<Vec<u8>> =
+            let attached: Vec<Vec<u8>> =
                 keys.into_iter().filter(|key| self.keys.get(key).is_some_and(|kv| kv.lease == id)).collect();
-            for key in held {
+            for key in attached {
                 self.delete(&key, &[]);
             }
         }
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there is no key.
+    /// Whether the store has no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
