--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! The martenramp gateway on sockets: HTTP/1.1 towards clients and servers, the discovery watch and
-//! the shared counter, built around the admission controller. Each module handles one kind of peer;
-//! only `driver` uses sockets, and `gateway` connects the modules.
+//! the shared counter, built around the admission controller. Modules are divided by kind of peer;
+//! only `driver` uses sockets, and `gateway` connects them all.
 
 pub mod clients;
 pub mod config;
