--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -7,7 +7,7 @@
 mod servers;
 mod steps;
 
-use crate::front::{Call, Customer, Front, Method, Plan};
+use crate::load_generator::{Call, Customer, Front, Method, Plan};
 use crate::measure::Server;
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SEC, Stream, chance, loopback, nanos};
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -8,7 +8,7 @@
 #![deny(missing_docs)]
 
 pub mod fleet;
-pub mod front;
+pub mod load_generator;
 mod loopback;
 pub mod measure;
 pub mod report;
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -2,7 +2,7 @@
 //! of counts), `windows.csv` (over time), `servers.csv` and `gateways.csv`, and SVG charts drawn from them.
 
 use crate::fleet::Outcome;
-use crate::front::{LATE_MOST, Outcome as End, lateness};
+use crate::load_generator::{LATE_MOST, Outcome as End, lateness};
 use crate::measure::{Frame, Quantity, Spread, Visit, Window, by_centre, by_chance, idle, parts, visits};
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SEC};
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What the rig plays, read from TOML and checked before any process starts. `docs/rig.md` documents the format.
 
-use crate::front::Behaviour;
+use crate::load_generator::Behaviour;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -6,7 +6,7 @@
 pub mod judge;
 
 use crate::fleet::{Outcome, play};
-use crate::front::Outcome as End;
+use crate::load_generator::Outcome as End;
 use crate::scenario::{Scenario, SystemCalls};
 use draw::{Kind, Size};
 use judge::Violation;
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -2,7 +2,7 @@
 //! other. Each violation carries what is needed to follow its RPC.
 
 use crate::fleet::Outcome;
-use crate::front::{Call, Outcome as End};
+use crate::load_generator::{Call, Outcome as End};
 use crate::scenario::{Fault, Place, Scenario};
 use crate::{MS, Nanos, SEC, nanos};
 use standins::servers::{How, Row};
--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::ScaleError;
 use rig::Stream;
-use rig::front::{Behaviour, Call, Customer, Front, Method, Plan};
+use rig::load_generator::{Behaviour, Call, Customer, Front, Method, Plan};
 use serde_json::json;
 use standins::discovery::{Discovery, Entry};
 use standins::process::Program;
--- a/crates/scale/src/added/mod.rs
+++ b/crates/scale/src/added/mod.rs
@@ -9,7 +9,7 @@
 use crate::report::{prepare_folder, write_csv};
 use fleet::{Path as LoadPath, Run, Scene};
 use hdrhistogram::Histogram;
-use rig::front::Outcome;
+use rig::load_generator::Outcome;
 use serde::Serialize;
 use standins::Nanos;
 use std::path::PathBuf;
@@ -93,7 +93,7 @@
     let answered = calls.iter().filter(|call| call.outcome == Outcome::Ok);
     answered.for_each(|call| latencies += call.done.saturating_sub(call.due));
     let milliseconds = |share: f64| latencies.value_at_quantile(share) as f64 / 1e6;
-    let late = rig::front::lateness(&calls).1;
+    let late = rig::load_generator::lateness(&calls).1;
     Ok(AddedRow {
         scene: scene.name(),
         rate,
