--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 use martenramp::subsetting::{self, Endpoint};
 use rig::SEC;
 use rig::fleet::{Outcome, play};
-use rig::load_generator::Outcome as End;
+use rig::load_generator::RpcOutcome as End;
 use rig::measure::Quantity;
 use rig::report::Figures;
 use rig::scenario::Scenario;
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,14 +1,14 @@
 //! A short soak: fleets of real processes under random faults that overlap, judged by the invariants. Longer runs over
 //! more seeds are `martenramp-rig soak` (`docs/rig.md`).
 
-use rig::scenario::SystemCalls;
+use rig::scenario::SystemCallFaults;
 use rig::soak;
 use rig::soak::draw::Size;
 use std::path::Path;
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
-fn nothing_is_broken(seed: u64, system_calls: Option<SystemCalls>) {
+fn nothing_is_broken(seed: u64, system_calls: Option<SystemCallFaults>) {
     let size = Size { gateways: 8, servers: 10, seconds: 12.0, faults: 8 };
     let run = soak::run(seed, size, &[], system_calls, Path::new(BIN)).unwrap();
     println!("{}", run.shown());
@@ -38,5 +38,5 @@
 fn nothing_is_broken_by_the_faults_of_another_seed_with_system_calls_that_fail() {
     let test = std::env::current_exe().unwrap();
     let library = test.parent().unwrap().join("libmartenramp_faults.so");
-    nothing_is_broken(2, Some(SystemCalls { library, rate: 0.01 }));
+    nothing_is_broken(2, Some(SystemCallFaults { library, rate: 0.01 }));
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -7,10 +7,10 @@
 mod servers;
 mod steps;
 
-use crate::load_generator::{Call, Customer, Front, Method, Plan};
-use crate::measure::Server;
+use crate::load_generator::{ClientRpc, Customer, LoadGenerator, LoadProfile, Method};
+use crate::measure::ServerHistory;
 use crate::scenario::Scenario;
-use crate::{MS, Nanos, SEC, Stream, chance, loopback, nanos};
+use crate::{MS, Nanos, SEC, Stream, loopback, nanos, stream_rng};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -47,11 +47,11 @@
     /// When, and the open connections of each server.
     pub connections: Vec<(Nanos, Vec<u32>)>,
     /// RPCs as the clients saw them.
-    pub calls: Vec<Call>,
+    pub calls: Vec<ClientRpc>,
     /// Answers that no RPC waited for.
     pub extra_answers: u64,
     /// Each server's weight, and when it was ready.
-    pub servers: Vec<Server>,
+    pub servers: Vec<ServerHistory>,
     /// Names of the classes, as `Call::method` counts them, and whether each may run twice.
     pub methods: Vec<(String, bool)>,
     /// How often each gateway was started, and its log lines behind the one that says so, all its lives together.
@@ -111,11 +111,11 @@
     discovery: Handle<Discovery>,
     counter: Handle<Counter>,
     relays: Handle<Relays>,
-    front: Handle<Front>,
+    front: Handle<LoadGenerator>,
     gateways: Vec<Gateway>,
     /// As discovery lists them, and since when each has been ready.
     listed: Vec<Entry>,
-    weights: Vec<Server>,
+    weights: Vec<ServerHistory>,
     /// Links by the faults that they stand for and whom they lead to, and the links of each fault.
     links: BTreeMap<(Vec<usize>, String), (usize, SocketAddr)>,
     links_of: BTreeMap<usize, Vec<usize>>,
@@ -142,7 +142,7 @@
     fleet.front.with(|front, io| front.run(io, true));
     let from = start + nanos(scenario.warm_seconds);
     let to = from + nanos(scenario.seconds);
-    let mut draws = chance(scenario.seed, Stream::Script);
+    let mut draws = stream_rng(scenario.seed, Stream::Script);
     let mut steps: Vec<TimedStep> = Vec::new();
     for (number, fault) in scenario.faults.iter().enumerate() {
         let planned = fleet.steps(fault, number, &mut draws).into_iter();
@@ -179,7 +179,7 @@
             share: method.share,
             units: method.units,
         });
-        let plan = Plan {
+        let plan = LoadProfile {
             rate: scenario.load.rate * scenario.gateways as f64,
             plan: scenario.load.plan.clone(),
             methods: methods.collect(),
@@ -191,17 +191,17 @@
             scenario,
             program,
             clock,
-            servers: Handle::start(Servers::new(chance(seed, Stream::Servers)), clock)?,
+            servers: Handle::start(Servers::new(stream_rng(seed, Stream::Servers)), clock)?,
             discovery: Handle::start(Discovery::default(), clock)?,
             counter: Handle::start(Counter::new(nanos(scenario.counter.cost_us / 1e6)), clock)?,
-            relays: Handle::start(Relays::new(chance(seed, Stream::Links)), clock)?,
-            front: Handle::start(Front::new(plan, chance(seed, Stream::Arrivals)), clock)?,
+            relays: Handle::start(Relays::new(stream_rng(seed, Stream::Links)), clock)?,
+            front: Handle::start(LoadGenerator::new(plan, stream_rng(seed, Stream::Arrivals)), clock)?,
             gateways: Vec::new(),
             listed: Vec::new(),
             weights: Vec::new(),
             links: BTreeMap::new(),
             links_of: BTreeMap::new(),
-            seeds: chance(seed, Stream::Seeds),
+            seeds: stream_rng(seed, Stream::Seeds),
             crashed: Vec::new(),
             killed: Vec::new(),
             list_changes: Vec::new(),
@@ -282,7 +282,7 @@
 
 /// Customers with shares drawn by the seed, their sets spread round the fleet.
 fn customers(scenario: &Scenario, gateways: usize) -> Vec<Customer> {
-    let mut draws = chance(scenario.seed, Stream::Arrivals);
+    let mut draws = stream_rng(scenario.seed, Stream::Arrivals);
     let shares = LogNormal::new(0.0, scenario.load.skew.max(0.0)).ok();
     let one = |_| Customer {
         share: shares.map_or(1.0, |shares| shares.sample(&mut draws)),
--- a/crates/rig/src/fleet/gateways.rs
+++ b/crates/rig/src/fleet/gateways.rs
@@ -107,7 +107,7 @@
             self.relays.with(move |relays, _| relays.hears_at(member, hears));
             self.gateways[*gateway].listen = listen;
             if fresh {
-                let faults = self.faults_between(*gateway, |place| *place == Place::Front);
+                let faults = self.faults_between(*gateway, |place| *place == Place::LoadGenerator);
                 let at = self.through(faults, &format!("gateway {gateway}"), listen);
                 let at = at.map_err(|e| format!("can't set a link up: {e}"))?;
                 self.front.with(move |front, io| front.add(io, at));
--- a/crates/rig/src/fleet/links.rs
+++ b/crates/rig/src/fleet/links.rs
@@ -19,7 +19,7 @@
         };
         let between = |fault: &Fault| match fault {
             Fault::Link { from, to, .. } => match (Place::parse(from), Place::parse(to)) {
-                (Ok(Place::Front), Ok(to)) => is_mine(&to) && covers(&Place::Front),
+                (Ok(Place::LoadGenerator), Ok(to)) => is_mine(&to) && covers(&Place::LoadGenerator),
                 (Ok(from), Ok(to)) => is_mine(&from) && covers(&to),
                 _ => false,
             },
--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -1,7 +1,7 @@
 //! What a fault of the scenario asks for: steps, each at its time.
 
 use super::Fleet;
-use crate::scenario::{Fault, Wire};
+use crate::scenario::{Fault, LinkEffect};
 use crate::{Nanos, nanos};
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -291,7 +291,7 @@
 }
 
 /// The faults that a link of the scenario puts on what passes it.
-fn faults(wire: &Wire) -> Faults {
+fn faults(wire: &LinkEffect) -> Faults {
     let way = |cut: bool| Way { cut, delay: nanos(wire.delay_ms / 1e3), lose: wire.lose, ..Way::default() };
     let gate = match (wire.reset, wire.silent) {
         (true, _) => Gate::Resets,
--- a/crates/rig/src/fleet/servers.rs
+++ b/crates/rig/src/fleet/servers.rs
@@ -1,8 +1,8 @@
 //! The stand-in servers, and what discovery lists of them.
 
 use super::{Fleet, ListChange};
-use crate::measure::Server;
-use crate::scenario::Servers as Group;
+use crate::measure::ServerHistory;
+use crate::scenario::ServerGroup as Group;
 use crate::{Nanos, nanos};
 use standins::discovery::Entry;
 use standins::servers::Spec;
@@ -31,7 +31,7 @@
         let (_, at) = self.servers.with(move |servers, io| servers.add(io, spec, warm))?;
         let since_ms = if warm { 0 } else { self.clock.unix_ms(self.clock.now()) };
         self.listed.push(Entry { name, address: at, zone, status: "gone", weight, since_ms });
-        self.weights.push(Server { weight, ready: Vec::new() });
+        self.weights.push(ServerHistory { weight, ready: Vec::new() });
         Ok(number)
     }
 
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -39,7 +39,7 @@
 }
 
 /// The stream of one part of the rig.
-pub fn chance(seed: u64, stream: Stream) -> ChaCha8Rng {
+pub fn stream_rng(seed: u64, stream: Stream) -> ChaCha8Rng {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     chance.set_stream(stream as u64);
     chance
--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -63,7 +63,7 @@
 
 /// Shares of the RPCs whose clients do something out of the ordinary.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Behaviour {
+pub struct ClientBehaviour {
     /// The client closes its connection at some moment of its deadline.
     pub leave: f64,
     /// Its connection was opened some time before, and has said nothing.
@@ -78,9 +78,9 @@
 
 /// What the front sends.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadProfile {
     /// What clients do.
-    pub behaviour: Behaviour,
+    pub behaviour: ClientBehaviour,
     /// RPCs a second in all.
     pub rate: f64,
     /// The plan that all customers have.
@@ -95,7 +95,7 @@
 
 /// How an RPC ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RpcOutcome {
     /// Not yet ended.
     Open,
     /// Answered ok.
@@ -116,12 +116,12 @@
 
 /// One RPC as the client saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub struct ClientRpc {
     /// The RPC's id.
     pub txn: u64,
     /// The gateway that it was sent to.
     pub gateway: usize,
-    /// By its place in [`Plan::methods`].
+    /// By its place in [`LoadProfile::methods`].
     pub method: usize,
     /// When it was to be sent.
     pub due: Nanos,
@@ -130,7 +130,7 @@
     /// When it ended.
     pub done: Nanos,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: RpcOutcome,
     /// When it was sent once more, since its connection was closed as it crossed: nothing may have read it by then.
     pub crossed: Option<Nanos>,
     /// Silent connections crowded its gateway, which may shut a new connection unread then.
@@ -178,8 +178,8 @@
 }
 
 /// The open-loop load generator before the gateways.
-pub struct Front {
-    plan: Plan,
+pub struct LoadGenerator {
+    plan: LoadProfile,
     gateways: Vec<Gateway>,
     conns: BTreeMap<Conn, (usize, Use)>,
     /// Messages of the calls that are open.
@@ -187,7 +187,7 @@
     /// RPCs sent once more, since their connection was closed as they crossed.
     pub sent_again: u64,
     /// All RPCs so far.
-    pub calls: Vec<Call>,
+    pub calls: Vec<ClientRpc>,
     chance: ChaCha8Rng,
     customers: Option<WeightedIndex<f64>>,
     methods: Option<WeightedIndex<f64>>,
@@ -202,12 +202,12 @@
     pub extra: u64,
 }
 
-impl Front {
+impl LoadGenerator {
     /// A front that sends nothing yet.
-    pub fn new(plan: Plan, chance: ChaCha8Rng) -> Front {
+    pub fn new(plan: LoadProfile, chance: ChaCha8Rng) -> LoadGenerator {
         let customers = WeightedIndex::new(plan.customers.iter().map(|customer| customer.share)).ok();
         let methods = WeightedIndex::new(plan.methods.iter().map(|method| method.share)).ok();
-        Front {
+        LoadGenerator {
             plan,
             gateways: Vec::new(),
             conns: BTreeMap::new(),
@@ -335,22 +335,22 @@
         let now = io.clock().now();
         let number = self.calls.len();
         if up.is_empty() {
-            return self.calls.push(Call {
+            return self.calls.push(ClientRpc {
                 txn: u64::MAX,
                 gateway: customer.first,
                 method,
                 due,
                 sent: now,
                 done: now,
-                outcome: Outcome::Unreached,
+                outcome: RpcOutcome::Unreached,
                 crossed: None,
                 crowded: false,
             });
         }
         let gateway = up[self.chance.random_range(0..up.len())];
         let txn = (gateway as u64) << 48 | number as u64;
-        let outcome = Outcome::Open;
-        let mut call = Call {
+        let outcome = RpcOutcome::Open;
+        let mut call = ClientRpc {
             txn,
             gateway,
             method,
@@ -370,7 +370,7 @@
         let idle = if early || fresh { None } else { self.idle(io, gateway) };
         let rested = early || idle.is_some();
         let Some(conn) = idle.or_else(|| io.connect(self.gateways[gateway].address).ok()) else {
-            call.outcome = Outcome::Unreached;
+            call.outcome = RpcOutcome::Unreached;
             return self.calls.push(call);
         };
         self.conns.insert(conn, (gateway, Use::Call(number)));
@@ -407,7 +407,7 @@
         let Some(message) = self.messages.get_mut(&number) else { return };
         if message.conn.is_none() {
             let Ok(conn) = io.connect(self.gateways[gateway].address) else {
-                return self.end(io, number, Outcome::Unreached);
+                return self.end(io, number, RpcOutcome::Unreached);
             };
             (message.conn, message.rested) = (Some(conn), false);
             self.conns.insert(conn, (gateway, Use::Call(number)));
@@ -445,9 +445,9 @@
     }
 
     /// Closes the connection of an RPC, since its client leaves or waits no longer.
-    fn leave(&mut self, io: &mut Io, number: usize, outcome: Outcome) {
+    fn leave(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
         // After the run the calls are handed over while their timers still stand.
-        if self.calls.get(number).is_none_or(|call| call.outcome != Outcome::Open) {
+        if self.calls.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
             return;
         }
         let conn = self.messages.get(&number).and_then(|message| message.conn);
@@ -467,7 +467,7 @@
             if message.rested && self.calls[number].sent > io.now() {
                 return; // it was opened early, and nothing is said on it yet
             }
-            return self.end(io, number, Outcome::Unreached);
+            return self.end(io, number, RpcOutcome::Unreached);
         }
         if (message.rested || self.calls[number].crowded) && !message.again {
             message.again = true;
@@ -481,13 +481,13 @@
             return self.write(io, number);
         }
         let wrote = io.waiting(conn) == 0;
-        self.end(io, number, if wrote { Outcome::Cut } else { Outcome::Unreached });
+        self.end(io, number, if wrote { RpcOutcome::Cut } else { RpcOutcome::Unreached });
     }
 
-    fn end(&mut self, io: &mut Io, call: usize, outcome: Outcome) {
+    fn end(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
         self.messages.remove(&call);
         let call = &mut self.calls[call];
-        if call.outcome == Outcome::Open {
+        if call.outcome == RpcOutcome::Open {
             (call.outcome, call.done) = (outcome, io.now());
         }
     }
@@ -551,7 +551,7 @@
     }
 }
 
-impl Service for Front {
+impl Service for LoadGenerator {
     /// What waited for its connection is sent now.
     fn up(&mut self, io: &mut Io, conn: Conn) {
         let Some((_, Use::Call(number))) = self.conns.get(&conn).copied() else { return };
@@ -588,9 +588,9 @@
                     io,
                     call,
                     match answer.status {
-                        200 => Outcome::Ok,
-                        429 | 503 => Outcome::PushedBack,
-                        _ => Outcome::Failed,
+                        200 => RpcOutcome::Ok,
+                        429 | 503 => RpcOutcome::PushedBack,
+                        _ => RpcOutcome::Failed,
                     },
                 );
                 let closes = |value: &str| value.eq_ignore_ascii_case("close");
@@ -631,8 +631,8 @@
                             io.hold(conn, false);
                         }
                     }
-                    LEAVE => self.leave(io, number, Outcome::Left),
-                    _ => self.leave(io, number, Outcome::Lost),
+                    LEAVE => self.leave(io, number, RpcOutcome::Left),
+                    _ => self.leave(io, number, RpcOutcome::Lost),
                 }
             }
         }
@@ -640,7 +640,7 @@
 }
 
 /// How late the front was: due to written, in nanoseconds, at these quantiles and at most.
-pub fn lateness(calls: &[Call]) -> (Nanos, Nanos, Nanos) {
+pub fn lateness(calls: &[ClientRpc]) -> (Nanos, Nanos, Nanos) {
     let mut late: Vec<Nanos> = calls.iter().map(|call| call.sent.saturating_sub(call.due)).collect();
     late.sort_unstable();
     let at = |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
@@ -648,4 +648,4 @@
 }
 
 /// A run whose front was later than this for one RPC in a hundred is void.
-pub const LATE_MOST: Nanos = SEC / 20;
+pub const MAX_LATENESS: Nanos = SEC / 20;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -4,7 +4,7 @@
 use rig::fleet::play;
 use rig::report::Figures;
 use rig::rollouts::Plan;
-use rig::scenario::{Scenario, SystemCalls};
+use rig::scenario::{Scenario, SystemCallFaults};
 use rig::soak;
 use rig::soak::draw::{Kind, Size};
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
     let without: Vec<Kind> =
         options.without.iter().map(|name| Kind::parse(name)).collect::<Result<_, String>>()?;
     let faults = options.faults.clone();
-    let system_calls = faults.map(|library| SystemCalls { library, rate: SYSTEM_CALLS_FAIL });
+    let system_calls = faults.map(|library| SystemCallFaults { library, rate: SYSTEM_CALLS_FAIL });
     let (mut happened, mut broken) = (BTreeMap::<String, usize>::new(), 0);
     let (mut sent, mut served, mut checked) = (0, 0, 0);
     for seed in first..first + seeds {
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -2,20 +2,20 @@
 //! weight, beside two references for the same arrivals. `chance` sends each to a server drawn by weight, `central` is
 //! a dispatcher that sees all and sends each to the server with the least held for its weight.
 
-use crate::{Nanos, Stream, chance};
+use crate::{Nanos, Stream, stream_rng};
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use standins::servers::{How, Row};
 
 /// A server over the run: its weight, and the spans in which it was up and listed as ready.
 #[derive(Clone, Debug)]
-pub struct Server {
+pub struct ServerHistory {
     /// Its weight as listed.
     pub weight: f64,
     /// Spans in which it was ready, open ones up to the largest time.
     pub ready: Vec<(Nanos, Nanos)>,
 }
 
-impl Server {
+impl ServerHistory {
     fn is_ready(&self, from: Nanos, to: Nanos) -> bool {
         self.ready.iter().any(|span| span.0 <= from && span.1 >= to)
     }
@@ -23,7 +23,7 @@
 
 /// An RPC at a server, as far as the measures need it.
 #[derive(Clone, Copy, Debug)]
-pub struct Visit {
+pub struct ServerRpc {
     /// The server.
     pub server: usize,
     /// When it came.
@@ -33,9 +33,9 @@
 }
 
 /// All RPCs that a server took in; what it turned away at once was never held.
-pub fn visits(ledger: &[Row], until: Nanos) -> Vec<Visit> {
+pub fn accepted_rpcs(ledger: &[Row], until: Nanos) -> Vec<ServerRpc> {
     let held = |row: &&Row| row.how != How::TurnedAway;
-    let visit = |row: &Row| Visit {
+    let visit = |row: &Row| ServerRpc {
         server: row.server as usize,
         at: row.at,
         done: if row.how == How::Open { until } else { row.done },
@@ -95,7 +95,7 @@
 
 /// Windows of a run from `from` to `to`, whole ones only.
 #[derive(Clone, Copy, Debug)]
-pub struct Frame {
+pub struct WindowSeries {
     /// When the first window begins.
     pub from: Nanos,
     /// When the last one ends at the latest.
@@ -104,13 +104,18 @@
     pub width: Nanos,
 }
 
-impl Frame {
+impl WindowSeries {
     fn count(&self) -> usize {
         (self.to.saturating_sub(self.from) / self.width.max(1)) as usize
     }
 
     /// The values of each server in each window.
-    pub fn windows(&self, servers: &[Server], visits: &[Visit], quantity: Quantity) -> Vec<Window> {
+    pub fn windows(
+        &self,
+        servers: &[ServerHistory],
+        visits: &[ServerRpc],
+        quantity: Quantity,
+    ) -> Vec<Window> {
         let mut sums = vec![vec![0.0; servers.len()]; self.count()];
         let place = |at: Nanos| (at.saturating_sub(self.from) / self.width) as usize;
         for visit in visits {
@@ -134,7 +139,7 @@
     }
 
     /// Likewise from samples of open connections, the highest of each window.
-    pub fn connections(&self, servers: &[Server], samples: &[(Nanos, Vec<u32>)]) -> Vec<Window> {
+    pub fn connections(&self, servers: &[ServerHistory], samples: &[(Nanos, Vec<u32>)]) -> Vec<Window> {
         let mut most = vec![vec![0.0; servers.len()]; self.count()];
         for (at, open) in samples.iter().filter(|sample| sample.0 >= self.from) {
             if let Some(window) = most.get_mut(((at - self.from) / self.width) as usize) {
@@ -147,7 +152,7 @@
         self.weigh(servers, most)
     }
 
-    fn weigh(&self, servers: &[Server], values: Vec<Vec<f64>>) -> Vec<Window> {
+    fn weigh(&self, servers: &[ServerHistory], values: Vec<Vec<f64>>) -> Vec<Window> {
         let window = |(at, values): (usize, Vec<f64>)| {
             let from = self.from + at as Nanos * self.width;
             let ready = |server: &usize| servers[*server].is_ready(from, from + self.width);
@@ -159,8 +164,8 @@
 }
 
 /// The same arrivals, each at a server drawn by weight from those ready.
-pub fn by_chance(servers: &[Server], visits: &[Visit], seed: u64) -> Vec<Visit> {
-    let mut draws = chance(seed, Stream::References);
+pub fn assign_at_random(servers: &[ServerHistory], visits: &[ServerRpc], seed: u64) -> Vec<ServerRpc> {
+    let mut draws = stream_rng(seed, Stream::References);
     remap(servers, visits, |ready, _| {
         let weights = WeightedIndex::new(ready.iter().map(|at| servers[*at].weight)).ok()?;
         Some(ready[weights.sample(&mut draws)])
@@ -169,7 +174,7 @@
 
 /// The same arrivals, each at the ready server that holds least for its weight just then; of equals, the one whose turn
 /// it is by weight.
-pub fn by_centre(servers: &[Server], visits: &[Visit]) -> Vec<Visit> {
+pub fn assign_to_least_loaded(servers: &[ServerHistory], visits: &[ServerRpc]) -> Vec<ServerRpc> {
     let (mut next, mut turn) = (vec![0.0; servers.len()], 0.0);
     remap(servers, visits, |ready, held| {
         let cost = |at: usize| (held[at] / servers[at].weight, f64::max(next[at], turn));
@@ -184,10 +189,10 @@
 }
 
 fn remap(
-    servers: &[Server],
-    visits: &[Visit],
+    servers: &[ServerHistory],
+    visits: &[ServerRpc],
     mut pick: impl FnMut(&[usize], &[f64]) -> Option<usize>,
-) -> Vec<Visit> {
+) -> Vec<ServerRpc> {
     let mut sorted = visits.to_vec();
     sorted.sort_by_key(|visit| visit.at);
     let mut held = vec![0.0; servers.len()];
@@ -245,7 +250,7 @@
     }
 
     /// The middle of several, figure by figure.
-    pub fn middle(several: &[Spread]) -> Spread {
+    pub fn median(several: &[Spread]) -> Spread {
         let middle = |pick: fn(&Spread) -> f64| {
             let mut some: Vec<f64> = several.iter().map(pick).collect();
             some.sort_by(f64::total_cmp);
@@ -262,13 +267,18 @@
 }
 
 /// Servers that were ready for a whole window and got no RPC in it, over all windows whose mean is above `above` RPCs.
-pub fn idle(windows: &[Window], above: f64) -> usize {
+pub fn count_idle_servers(windows: &[Window], above: f64) -> usize {
     let busy = windows.iter().filter(|window| window.mean() > above);
     busy.flat_map(|window| &window.values).filter(|value| value.1 == 0.0).count()
 }
 
 /// How many gateways each server was sent RPCs by, for those ready throughout: lowest, mean, highest.
-pub fn parts(servers: &[Server], ledger: &[Row], from: Nanos, to: Nanos) -> (usize, f64, usize) {
+pub fn gateways_per_server(
+    servers: &[ServerHistory],
+    ledger: &[Row],
+    from: Nanos,
+    to: Nanos,
+) -> (usize, f64, usize) {
     let mut met: Vec<std::collections::BTreeSet<usize>> = vec![Default::default(); servers.len()];
     for row in ledger.iter().filter(|row| row.at >= from && row.at < to) {
         met[row.server as usize].insert(row.gateway());
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -2,8 +2,11 @@
 //! of counts), `windows.csv` (over time), `servers.csv` and `gateways.csv`, and SVG charts drawn from them.
 
 use crate::fleet::Outcome;
-use crate::load_generator::{LATE_MOST, Outcome as End, lateness};
-use crate::measure::{Frame, Quantity, Spread, Visit, Window, by_centre, by_chance, idle, parts, visits};
+use crate::load_generator::{MAX_LATENESS, RpcOutcome as End, lateness};
+use crate::measure::{
+    Quantity, ServerRpc, Spread, Window, WindowSeries, accepted_rpcs, assign_at_random,
+    assign_to_least_loaded, count_idle_servers, gateways_per_server,
+};
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SEC};
 use lab::report::{chart, write_csv};
@@ -157,16 +160,16 @@
 
 /// The RPCs at the servers as they were, and where two references would have sent them.
 struct Arrivals {
-    seen: Vec<Visit>,
-    by_chance: Vec<Vec<Visit>>,
-    by_centre: Vec<Visit>,
+    seen: Vec<ServerRpc>,
+    by_chance: Vec<Vec<ServerRpc>>,
+    by_centre: Vec<ServerRpc>,
 }
 
 impl Arrivals {
     fn of(scenario: &Scenario, outcome: &Outcome) -> Arrivals {
-        let seen = visits(&outcome.ledger, outcome.to + 10 * SEC);
-        let by_centre = by_centre(&outcome.servers, &seen);
-        let drawn = |nth| by_chance(&outcome.servers, &seen, scenario.seed ^ nth << 32);
+        let seen = accepted_rpcs(&outcome.ledger, outcome.to + 10 * SEC);
+        let by_centre = assign_to_least_loaded(&outcome.servers, &seen);
+        let drawn = |nth| assign_at_random(&outcome.servers, &seen, scenario.seed ^ nth << 32);
         let by_chance = (0..CHANCES).map(drawn).collect();
         Arrivals { seen, by_chance, by_centre }
     }
@@ -178,10 +181,10 @@
     outcome: &Outcome,
     arrivals: &Arrivals,
     part: &'static str,
-    frame: Frame,
+    frame: WindowSeries,
     quantity: Quantity,
 ) -> Option<SpreadRow> {
-    let windows = |visits: &[Visit]| frame.windows(&outcome.servers, visits, quantity);
+    let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
     let has_references = quantity != Quantity::Connections;
     let seen = match has_references {
         true => windows(&arrivals.seen),
@@ -190,12 +193,12 @@
     if seen.is_empty() {
         return None;
     }
-    let reference = |several: &[Vec<Visit>]| {
+    let reference = |several: &[Vec<ServerRpc>]| {
         if !has_references {
             return Spread::default();
         }
         let spreads: Vec<Spread> = several.iter().map(|one| Spread::of(&windows(one))).collect();
-        Spread::middle(&spreads)
+        Spread::median(&spreads)
     };
     let chance = reference(&arrivals.by_chance);
     let centre = reference(std::slice::from_ref(&arrivals.by_centre));
@@ -223,8 +226,13 @@
 }
 
 /// A row for each window, beside both references.
-fn window_rows(outcome: &Outcome, arrivals: &Arrivals, frame: Frame, quantity: Quantity) -> Vec<WindowRow> {
-    let windows = |visits: &[Visit]| frame.windows(&outcome.servers, visits, quantity);
+fn window_rows(
+    outcome: &Outcome,
+    arrivals: &Arrivals,
+    frame: WindowSeries,
+    quantity: Quantity,
+) -> Vec<WindowRow> {
+    let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
     let references = windows(&arrivals.by_chance[0]).into_iter().zip(windows(&arrivals.by_centre));
     let rows = windows(&arrivals.seen).into_iter().zip(references);
     let row = |(seen, (chance, centre)): (Window, (Window, Window))| {
@@ -269,14 +277,17 @@
         let mut spreads = Vec::new();
         for (part, from, to) in [("health", outcome.from, until), ("fault", until, outcome.to)] {
             for width in [SEC, 5 * SEC] {
-                let frame = Frame { from, to, width };
+                let frame = WindowSeries { from, to, width };
                 let row = |quantity| spread_row(scenario, outcome, &arrivals, part, frame, quantity);
                 spreads.extend(Quantity::ALL.into_iter().filter_map(row));
             }
         }
-        let whole = Frame { from: outcome.from, to: outcome.to, width: 5 * SEC };
-        let idle = idle(&whole.windows(&outcome.servers, &arrivals.seen, Quantity::Rpcs), IDLE_ABOVE * 5.0);
-        let seconds = Frame { width: SEC, ..whole };
+        let whole = WindowSeries { from: outcome.from, to: outcome.to, width: 5 * SEC };
+        let idle = count_idle_servers(
+            &whole.windows(&outcome.servers, &arrivals.seen, Quantity::Rpcs),
+            IDLE_ABOVE * 5.0,
+        );
+        let seconds = WindowSeries { width: SEC, ..whole };
         let windows = [Quantity::Rpcs, Quantity::Held].into_iter();
         Figures {
             run: run_row(scenario, outcome, until, idle),
@@ -405,7 +416,7 @@
     for row in outcome.ledger.iter().filter(|row| row.how != How::TurnedAway && once(row.txn)) {
         *ran.entry(row.txn).or_default() += 1;
     }
-    let (least, mean, most) = parts(&outcome.servers, &outcome.ledger, outcome.from, until);
+    let (least, mean, most) = gateways_per_server(&outcome.servers, &outcome.ledger, outcome.from, until);
     let (p50, p99, late_most) = lateness(&outcome.calls);
     let mut at_gateway = vec![0usize; outcome.lines.len()];
     calls.iter().for_each(|call| at_gateway[call.gateway.min(outcome.lines.len() - 1)] += 1);
@@ -439,13 +450,13 @@
         late_p50_ms: ms(p50),
         late_p99_ms: ms(p99),
         late_most_ms: ms(late_most),
-        void: p99 > LATE_MOST,
+        void: p99 > MAX_LATENESS,
     }
 }
 
 fn server_rows(outcome: &Outcome) -> Vec<ServerRow> {
     let rows = |at: usize| outcome.ledger.iter().filter(move |row| row.server as usize == at);
-    let row = |(at, server): (usize, &crate::measure::Server)| {
+    let row = |(at, server): (usize, &crate::measure::ServerHistory)| {
         let gateways: std::collections::BTreeSet<usize> = rows(at).map(|row| row.gateway()).collect();
         ServerRow {
             server: at,
--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -6,7 +6,7 @@
 
 pub use fleet::Fleet;
 
-use crate::{MS, Nanos, SEC, Stream, chance};
+use crate::{MS, Nanos, SEC, Stream, stream_rng};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -169,7 +169,7 @@
 
 /// Plays so many rollouts one after another, each under a fault drawn by turns; every fault is over before the next.
 pub fn play(fleet: &mut Fleet, count: usize) -> Result<Vec<Played>, String> {
-    let mut draws = chance(fleet.plan.seed, Stream::Script);
+    let mut draws = stream_rng(fleet.plan.seed, Stream::Script);
     let (mut played, mut last_start) = (Vec::new(), 0);
     for at in 0..count {
         let rollout = Rollout::draw(fleet, at, last_start, &mut draws);
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::contradictions::{Interval, OPEN_END};
 use super::{Plan, Record, unix};
-use crate::{MS, Nanos, SEC, Stream, chance, loopback};
+use crate::{MS, Nanos, SEC, Stream, loopback, stream_rng};
 use rand::Rng;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -76,7 +76,7 @@
     pub fn start(plan: Plan, program: &Path) -> Result<Fleet, String> {
         let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
         let clock = Clock::start();
-        let relays = Handle::start(Relays::new(chance(plan.seed, Stream::Links)), clock).map_err(fail)?;
+        let relays = Handle::start(Relays::new(stream_rng(plan.seed, Stream::Links)), clock).map_err(fail)?;
         let discovery = Handle::start(Discovery::default(), clock).map_err(fail)?;
         let mut fleet = Fleet {
             plan,
@@ -86,7 +86,7 @@
             gateways: Vec::new(),
             started: unix(),
         };
-        let (mut clocks, skew) = (chance(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
+        let (mut clocks, skew) = (stream_rng(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
         for _ in 0..fleet.plan.gateways {
             let (_, all) =
                 fleet.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT)).map_err(fail)?;
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What the rig plays, read from TOML and checked before any process starts. `docs/rig.md` documents the format.
 
-use crate::load_generator::Behaviour;
+use crate::load_generator::ClientBehaviour;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
@@ -31,7 +31,7 @@
     /// What the front sends.
     pub load: Load,
     /// Groups of servers.
-    pub servers: Vec<Servers>,
+    pub servers: Vec<ServerGroup>,
     /// The size of the fleet that gateways are told, if it is another than that of the scenario.
     #[serde(default)]
     pub told_gateways: Option<usize>,
@@ -40,7 +40,7 @@
     pub sockets: u32,
     /// The shared counter.
     #[serde(default)]
-    pub counter: Counter,
+    pub counter: CounterModel,
     /// The settings have a version on which the gateways agree.
     #[serde(default)]
     pub agreement: Option<Agreement>,
@@ -49,13 +49,13 @@
     pub faults: Vec<Fault>,
     /// The gateways' system calls fail now and then.
     #[serde(default)]
-    pub system_calls: Option<SystemCalls>,
+    pub system_calls: Option<SystemCallFaults>,
 }
 
 /// A share of the gateways' system calls fails, by a library loaded into each process (`crates/faults`).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct SystemCalls {
+pub struct SystemCallFaults {
     /// The library.
     pub library: PathBuf,
     /// The share of calls that fail.
@@ -101,8 +101,8 @@
 
 impl Load {
     /// What clients do.
-    pub fn behaviour(&self) -> Behaviour {
-        Behaviour {
+    pub fn behaviour(&self) -> ClientBehaviour {
+        ClientBehaviour {
             leave: self.leave,
             early: self.early,
             pieces: self.pieces,
@@ -128,7 +128,7 @@
 /// A group of alike servers, in the zones by turns.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Servers {
+pub struct ServerGroup {
     /// How many servers.
     pub count: usize,
     /// Only in this zone.
@@ -176,14 +176,14 @@
 /// The shared counter.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Counter {
+pub struct CounterModel {
     /// Time that one call takes of it, microseconds.
     pub cost_us: f64,
 }
 
-impl Default for Counter {
+impl Default for CounterModel {
     fn default() -> Self {
-        Counter { cost_us: 20.0 }
+        CounterModel { cost_us: 20.0 }
     }
 }
 
@@ -191,7 +191,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Place {
     /// The front.
-    Front,
+    LoadGenerator,
     /// Discovery.
     Discovery,
     /// The counter.
@@ -213,7 +213,7 @@
         };
         let bad = || format!("no such place: '{text}'");
         match text.split_once(':') {
-            None if text == "front" => Ok(Place::Front),
+            None if text == "front" => Ok(Place::LoadGenerator),
             None if text == "discovery" => Ok(Place::Discovery),
             None if text == "counter" => Ok(Place::Counter),
             Some(("gateways", which)) => range(which).map(Place::Gateways).ok_or_else(bad),
@@ -227,7 +227,7 @@
 /// What a link does to what passes it. Ways are seen from `from`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Wire {
+pub struct LinkEffect {
     /// Nothing passes from `from`.
     pub cut_there: bool,
     /// Nothing passes to `from`.
@@ -479,7 +479,7 @@
         /// The other end.
         to: String,
         /// What it does to what passes.
-        wire: Wire,
+        wire: LinkEffect,
     },
 }
 
@@ -674,8 +674,8 @@
 /// Whether a link can lead from one place to another.
 fn can_link(from: &Place, to: &Place) -> bool {
     match (from, to) {
-        (Place::Front, Place::Gateways(_) | Place::Zone(_)) => true,
-        (Place::Gateways(_) | Place::Zone(_), to) => !matches!(to, Place::Front | Place::Gateways(_)),
+        (Place::LoadGenerator, Place::Gateways(_) | Place::Zone(_)) => true,
+        (Place::Gateways(_) | Place::Zone(_), to) => !matches!(to, Place::LoadGenerator | Place::Gateways(_)),
         _ => false,
     }
 }
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -6,8 +6,8 @@
 pub mod judge;
 
 use crate::fleet::{Outcome, play};
-use crate::load_generator::Outcome as End;
-use crate::scenario::{Scenario, SystemCalls};
+use crate::load_generator::RpcOutcome as End;
+use crate::scenario::{Scenario, SystemCallFaults};
 use draw::{Kind, Size};
 use judge::Violation;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     seed: u64,
     size: Size,
     without: &[Kind],
-    system_calls: Option<SystemCalls>,
+    system_calls: Option<SystemCallFaults>,
     program: &Path,
 ) -> Result<Run, String> {
     let scenario = Scenario { system_calls, ..draw::scenario(seed, size, without)? };
--- a/crates/rig/src/soak/draw.rs
+++ b/crates/rig/src/soak/draw.rs
@@ -1,6 +1,6 @@
 //! Scenarios drawn by a seed: settings, load and a dozen faults at random times, which overlap.
 
-use crate::scenario::{Fault, Scenario, Wire};
+use crate::scenario::{Fault, LinkEffect, Scenario};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -268,13 +268,13 @@
         Kind::Flap => vec![Fault::Flap { at, seconds, every: FLAP_LEAST + part * 0.2 }],
         Kind::Burst => vec![Fault::Burst { at, factor: 1.0 + 3.0 * part, seconds }],
         Kind::Links => {
-            let wire = Wire {
+            let wire = LinkEffect {
                 cut_there: part < 0.2,
                 cut_back: (0.2..0.4).contains(&part),
                 delay_ms: if part > 0.8 { 80.0 * part } else { 0.0 },
                 reset: (0.4..0.6).contains(&part),
                 silent: (0.6..0.8).contains(&part),
-                ..Wire::default()
+                ..LinkEffect::default()
             };
             let to = format!("servers:0-{}", (size.servers / 3).max(1) - 1);
             vec![Fault::Link { at, seconds, from: format!("zone:{zone}"), to, wire }]
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -2,7 +2,7 @@
 //! other. Each violation carries what is needed to follow its RPC.
 
 use crate::fleet::Outcome;
-use crate::load_generator::{Call, Outcome as End};
+use crate::load_generator::{ClientRpc, RpcOutcome as End};
 use crate::scenario::{Fault, Place, Scenario};
 use crate::{MS, Nanos, SEC, nanos};
 use standins::servers::{How, Row};
@@ -120,7 +120,7 @@
 }
 
 /// What one RPC shows.
-fn of_call(scenario: &Scenario, outcome: &Outcome, call: &Call, rows: &[&Row]) -> Vec<Violation> {
+fn of_call(scenario: &Scenario, outcome: &Outcome, call: &ClientRpc, rows: &[&Row]) -> Vec<Violation> {
     let name = &scenario.load.methods[call.method].name;
     let effect = scenario.idempotency(name);
     let deadline = nanos(scenario.deadline(name));
@@ -170,7 +170,7 @@
 }
 
 /// Whether a crowd's gateway shut a new connection with nothing read from it: no server and no log line knows the RPC.
-fn was_shut_unread(outcome: &Outcome, call: &Call, rows: &[&Row]) -> bool {
+fn was_shut_unread(outcome: &Outcome, call: &ClientRpc, rows: &[&Row]) -> bool {
     let id = format!("{:016x}", call.txn);
     call.outcome == End::Cut
         && call.crowded
@@ -184,12 +184,19 @@
 }
 
 /// Whether a fault killed the gateway while it had the RPC.
-fn was_killed(outcome: &Outcome, call: &Call) -> bool {
+fn was_killed(outcome: &Outcome, call: &ClientRpc) -> bool {
     let until = if call.outcome == End::Open { Nanos::MAX } else { call.done };
     outcome.killed.iter().any(|(gateway, at)| *gateway == call.gateway && *at >= call.sent && *at <= until)
 }
 
-fn of_rpc(rule: Rule, what: &str, outcome: &Outcome, call: &Call, method: &str, rows: &[&Row]) -> Violation {
+fn of_rpc(
+    rule: Rule,
+    what: &str,
+    outcome: &Outcome,
+    call: &ClientRpc,
+    method: &str,
+    rows: &[&Row],
+) -> Violation {
     let ms = |at: Nanos| at / MS;
     let servers: Vec<String> = rows
         .iter()
--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::ScaleError;
 use rig::Stream;
-use rig::load_generator::{Behaviour, Call, Customer, Front, Method, Plan};
+use rig::load_generator::{ClientBehaviour, ClientRpc, Customer, LoadGenerator, LoadProfile, Method};
 use serde_json::json;
 use standins::discovery::{Discovery, Entry};
 use standins::process::Program;
@@ -85,7 +85,7 @@
     clock: Clock,
     servers: Handle<Servers>,
     discovery: Handle<Discovery>,
-    front: Handle<Front>,
+    front: Handle<LoadGenerator>,
     entries: Vec<Entry>,
     /// Ends its process when dropped.
     _gateway: Option<Program>,
@@ -101,7 +101,7 @@
 
 impl Run<'_> {
     /// Plays it and brings back the RPCs that were due in the measured part.
-    pub fn play(&self) -> Result<Vec<Call>, ScaleError> {
+    pub fn play(&self) -> Result<Vec<ClientRpc>, ScaleError> {
         let fleet = self.set_up().map_err(failed)?;
         fleet.wait_ready(if self.path == Path::Direct { SERVERS } else { 1 })?;
         fleet.front.with(|front, io| front.run(io, true));
@@ -125,10 +125,10 @@
 
     fn set_up(&self) -> std::io::Result<Fleet> {
         let clock = Clock::start();
-        let servers = Handle::start(Servers::new(rig::chance(self.seed, Stream::Servers)), clock)?;
+        let servers = Handle::start(Servers::new(rig::stream_rng(self.seed, Stream::Servers)), clock)?;
         let discovery = Handle::start(Discovery::default(), clock)?;
         let width = if self.path == Path::Direct { SERVERS } else { 1 };
-        let front = Front::new(plan(self.rate, width), rig::chance(self.seed, Stream::Arrivals));
+        let front = LoadGenerator::new(plan(self.rate, width), rig::stream_rng(self.seed, Stream::Arrivals));
         let front = Handle::start(front, clock)?;
         let mut entries = Vec::new();
         for number in 0..SERVERS {
@@ -224,7 +224,7 @@
     }
 }
 
-fn plan(rate: f64, width: usize) -> Plan {
+fn plan(rate: f64, width: usize) -> LoadProfile {
     let method = Method {
         name: "read".to_string(),
         idempotency: "free".to_string(),
@@ -233,13 +233,13 @@
         units: 1.0,
     };
     let customer = Customer { share: 1.0, first: 0, width };
-    Plan {
+    LoadProfile {
         rate,
         plan: "team".to_string(),
         methods: vec![method],
         customers: vec![customer; CUSTOMERS],
         notice: 500 * MS,
-        behaviour: Behaviour::default(),
+        behaviour: ClientBehaviour::default(),
     }
 }
 
--- a/crates/scale/src/added/mod.rs
+++ b/crates/scale/src/added/mod.rs
@@ -9,7 +9,7 @@
 use crate::report::{prepare_folder, write_csv};
 use fleet::{Path as LoadPath, Run, Scene};
 use hdrhistogram::Histogram;
-use rig::load_generator::Outcome;
+use rig::load_generator::RpcOutcome;
 use serde::Serialize;
 use standins::Nanos;
 use std::path::PathBuf;
@@ -90,7 +90,7 @@
     let calls = run.play()?;
     let mut latencies = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
         .map_err(|why| ScaleError::Measurement { what: "a histogram".to_string(), why: why.to_string() })?;
-    let answered = calls.iter().filter(|call| call.outcome == Outcome::Ok);
+    let answered = calls.iter().filter(|call| call.outcome == RpcOutcome::Ok);
     answered.for_each(|call| latencies += call.done.saturating_sub(call.due));
     let milliseconds = |share: f64| latencies.value_at_quantile(share) as f64 / 1e6;
     let late = rig::load_generator::lateness(&calls).1;
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -14,7 +14,7 @@
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Exp1, LogNormal};
-use rig::measure::Visit;
+use rig::measure::ServerRpc;
 
 const MS: Nanos = 1_000_000;
 /// What the program takes off a client's deadline.
@@ -59,7 +59,7 @@
     count_wait: Nanos,
     dial: Nanos,
     /// Call-outs that servers took, where they are kept.
-    pub visits: Option<Vec<Visit>>,
+    pub visits: Option<Vec<ServerRpc>>,
 }
 
 impl Load {
@@ -227,7 +227,7 @@
             Disposition::Held => return,
             Disposition::Serving { after, ok } => {
                 if let Some(visits) = self.load.visits.as_mut().filter(|_| now >= self.frame.from) {
-                    visits.push(Visit { server: server as usize, at: now, done: now + after });
+                    visits.push(ServerRpc { server: server as usize, at: now, done: now + after });
                 }
                 self.queue.after(after, Event::Freed { server, server_life });
                 (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -6,7 +6,7 @@
 use super::traffic::{ControlLoad, Direction, Peer, Tally};
 use super::{Nanos, SEC};
 use crate::ScaleError;
-use rig::measure::{Frame, Quantity, Server, Spread};
+use rig::measure::{Quantity, ServerHistory, Spread, WindowSeries};
 use serde::Serialize;
 use std::path::Path;
 
@@ -279,11 +279,12 @@
 }
 
 /// All servers with the spans in which each was listed as ready.
-fn ready_servers(fleet: &Fleet) -> Vec<Server> {
+fn ready_servers(fleet: &Fleet) -> Vec<ServerHistory> {
     let listed_first = |server: usize| server < fleet.scenario.servers;
     let first = |server| if listed_first(server) { vec![(0, Nanos::MAX)] } else { Vec::new() };
     let all = 0..fleet.scenario.servers_in_all();
-    let mut servers: Vec<Server> = all.map(|server| Server { weight: 1.0, ready: first(server) }).collect();
+    let mut servers: Vec<ServerHistory> =
+        all.map(|server| ServerHistory { weight: 1.0, ready: first(server) }).collect();
     for change in &fleet.discovery.changes {
         let spans = &mut servers[change.server as usize].ready;
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
@@ -301,7 +302,7 @@
     let visits = fleet.load.visits.as_ref()?;
     let (from, to) = (fleet.frame.from, fleet.frame.from + fleet.frame.seconds as u64 * SEC);
     let servers = ready_servers(fleet);
-    let windows = Frame { from, to, width: SPREAD_WINDOW }.windows(&servers, visits, Quantity::Rpcs);
+    let windows = WindowSeries { from, to, width: SPREAD_WINDOW }.windows(&servers, visits, Quantity::Rpcs);
     Some(Spread::of(&windows))
 }
 
