--- a/crates/gateway/tests/cold_servers.rs
+++ b/crates/gateway/tests/cold_servers.rs
@@ -1,7 +1,7 @@
 //! Thirty processes of the program against servers that start cold: what all together send one in the told span stays
 //! under N + 2 root(N) + 2, N being what the settings allow it then.
 
-use rig::fleet::{Outcome, play};
+use rig::fleet::{RunResult, run_scenario};
 use rig::scenario::Scenario;
 use rig::{Nanos, nanos};
 use std::collections::BTreeMap;
@@ -58,14 +58,17 @@
     }
 }
 
-fn worst_spans(outcome: &Outcome, terms: &Terms) -> Vec<Worst> {
+fn worst_spans(outcome: &RunResult, terms: &Terms) -> Vec<Worst> {
     let mut came: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
     for (server, state) in outcome.servers.iter().enumerate() {
         // Up and listed a second time, or listed only after the run began: it started cold then. What drains at
         // once is left out.
-        let last = state.ready.last().filter(|span| span.0 > outcome.from && span.1 > span.0 + terms.span);
+        let last = state
+            .ready_spans
+            .last()
+            .filter(|span| span.0 > outcome.measured_from && span.1 > span.0 + terms.span);
         let Some(since) = last.map(|span| span.0) else { continue };
-        let rows = outcome.ledger.iter().filter(|row| row.server as usize == server && row.at >= since);
+        let rows = outcome.server_rpcs.iter().filter(|row| row.server as usize == server && row.at >= since);
         let mut at: Vec<Nanos> = rows.map(|row| row.at - since).collect();
         at.sort_unstable();
         came.insert(server as u32, at);
@@ -89,12 +92,12 @@
 #[test]
 fn thirty_unequal_gateways_push_no_cold_server_over_under_a_burst_and_restarts() {
     let scenario = scenario("cold-burst");
-    let outcome = play(&scenario, Path::new(BIN)).unwrap();
+    let outcome = run_scenario(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
     // The story is what it says: some gateways see several times the mean, and many were started anew.
     let mut seen = vec![0; scenario.gateways];
-    outcome.calls.iter().for_each(|call| seen[call.gateway] += 1);
-    let mean = outcome.calls.len() / scenario.gateways;
+    outcome.client_rpcs.iter().for_each(|call| seen[call.gateway] += 1);
+    let mean = outcome.client_rpcs.len() / scenario.gateways;
     assert!(seen.iter().any(|one| *one > 5 * mean / 2) && seen.iter().any(|one| *one < mean / 2), "{seen:?}");
     assert!(outcome.starts.iter().filter(|starts| **starts > 1).count() > scenario.gateways / 2);
     let worst = worst_spans(&outcome, &Terms::of(&scenario));
@@ -111,7 +114,7 @@
     scenario.gateways = gateways;
     scenario.load.rate = thirty.load.rate * thirty.gateways as f64 / gateways as f64;
     scenario.load.width = thirty.load.width.min(gateways);
-    let outcome = play(&scenario, Path::new(BIN)).unwrap();
+    let outcome = run_scenario(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
     assert!(outcome.starts.iter().any(|starts| *starts > 1), "some were started anew");
     let worst = worst_spans(&outcome, &Terms::of(&scenario));
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -35,21 +35,21 @@
 const MEMORY_MB: u32 = 64;
 
 /// What a run brought.
-pub struct Outcome {
+pub struct RunResult {
     /// From the first measured arrival to the last.
-    pub from: Nanos,
+    pub measured_from: Nanos,
     /// The last measured arrival.
-    pub to: Nanos,
+    pub measured_until: Nanos,
     /// When the first fault began, if there was one.
-    pub fault_at: Option<Nanos>,
+    pub first_fault_at: Option<Nanos>,
     /// RPCs as the servers had them.
-    pub ledger: Vec<Row>,
+    pub server_rpcs: Vec<Row>,
     /// When, and the open connections of each server.
-    pub connections: Vec<(Nanos, Vec<u32>)>,
+    pub open_connections: Vec<(Nanos, Vec<u32>)>,
     /// RPCs as the clients saw them.
-    pub calls: Vec<ClientRpc>,
+    pub client_rpcs: Vec<ClientRpc>,
     /// Answers that no RPC waited for.
-    pub extra_answers: u64,
+    pub unexpected_answers: u64,
     /// Each server's weight, and when it was ready.
     pub servers: Vec<ServerHistory>,
     /// Names of the classes, as `Call::method` counts them, and whether each may run twice.
@@ -57,7 +57,7 @@
     /// How often each gateway was started, and its log lines behind the one that says so, all its lives together.
     pub starts: Vec<usize>,
     /// Each gateway's log lines.
-    pub lines: Vec<Vec<String>>,
+    pub log_lines: Vec<Vec<String>>,
     /// Gateways that ended unasked, not with 0 after SIGTERM, or not in their time.
     pub crashed: Vec<String>,
     /// Gateways that a fault killed, and when.
@@ -65,11 +65,11 @@
     /// Every change of the list: the server, when, and whether it is ready from then on.
     pub list_changes: Vec<ListChange>,
     /// How often each kind of step was carried out.
-    pub steps: BTreeMap<String, usize>,
+    pub step_counts: BTreeMap<String, usize>,
     /// RPCs that clients sent once more, since their connection was closed as they crossed.
-    pub sent_again: u64,
+    pub resent_rpcs: u64,
     /// Calls that the counter got.
-    pub count_calls: u64,
+    pub counter_calls: u64,
     /// Bytes of the lines that told gateways lists or changes.
     pub list_bytes: u64,
 }
@@ -129,7 +129,7 @@
 }
 
 /// Plays a scenario with this program.
-pub fn play(scenario: &Scenario, program: &Path) -> Result<Outcome, String> {
+pub fn run_scenario(scenario: &Scenario, program: &Path) -> Result<RunResult, String> {
     let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
     let mut fleet = Fleet::set_up(scenario, program).map_err(fail)?;
     let all: Vec<usize> = (0..scenario.gateways).collect();
@@ -139,7 +139,7 @@
     fleet.start(&all)?;
     fleet.wait_ready(all.len())?;
     let start = fleet.clock.now();
-    fleet.front.with(|front, io| front.run(io, true));
+    fleet.front.with(|front, io| front.set_running(io, true));
     let from = start + nanos(scenario.warm_seconds);
     let to = from + nanos(scenario.seconds);
     let mut draws = stream_rng(scenario.seed, Stream::Script);
@@ -160,9 +160,9 @@
         steps.extend(fleet.carry_out(next.step)?);
     }
     fleet.sleep_until(to);
-    fleet.front.with(|front, io| front.run(io, false));
+    fleet.front.with(|front, io| front.set_running(io, false));
     let until = fleet.clock.now() + LINGER;
-    while fleet.front.with(|front, _| front.open()) > 0 && fleet.clock.now() < until {
+    while fleet.front.with(|front, _| front.open_rpcs()) > 0 && fleet.clock.now() < until {
         fleet.sleep_until(fleet.clock.now() + 50 * MS);
     }
     Ok(fleet.finish(from, to))
@@ -184,7 +184,7 @@
             plan: scenario.load.plan.clone(),
             methods: methods.collect(),
             customers: customers(scenario, scenario.gateways),
-            notice: nanos(scenario.load.notice),
+            detection_delay: nanos(scenario.load.notice),
             behaviour: scenario.load.behaviour(),
         };
         let mut fleet = Fleet {
@@ -207,7 +207,7 @@
             list_changes: Vec::new(),
             steps_done: BTreeMap::new(),
             at_counter: loopback::COUNTER,
-            servers_at: loopback::servers_of_a_fleet(),
+            servers_at: loopback::next_server_address(),
         };
         fleet.at_counter = fleet.counter.with(|counter, io| counter.open(io, loopback::COUNTER))?;
         for group in &scenario.servers {
@@ -221,9 +221,9 @@
 
     fn wait_ready(&mut self, count: usize) -> Result<(), String> {
         let until = self.clock.now() + READY_WITHIN;
-        while self.front.with(|front, _| front.admitted()) < count {
+        while self.front.with(|front, _| front.admitted_gateways()) < count {
             if self.clock.now() > until {
-                let ready = self.front.with(|front, _| front.admitted());
+                let ready = self.front.with(|front, _| front.admitted_gateways());
                 return Err(format!("only {ready} of {count} gateways were ready within a minute"));
             }
             self.sleep_until(self.clock.now() + 20 * MS);
@@ -235,7 +235,7 @@
         std::thread::sleep(Duration::from_nanos(at.saturating_sub(self.clock.now())));
     }
 
-    fn finish(mut self, from: Nanos, to: Nanos) -> Outcome {
+    fn finish(mut self, from: Nanos, to: Nanos) -> RunResult {
         for gateway in 0..self.gateways.len() {
             let at = &mut self.gateways[gateway];
             if let Some(program) = &mut at.program {
@@ -251,30 +251,31 @@
         let (ledger, connections) = self.servers.with(|servers, _| {
             (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connections))
         });
-        let (calls, extra_answers, sent_again) =
-            self.front.with(|front, _| (std::mem::take(&mut front.calls), front.extra, front.sent_again));
+        let (calls, extra_answers, sent_again) = self
+            .front
+            .with(|front, _| (std::mem::take(&mut front.rpcs), front.unexpected_answers, front.resent_rpcs));
         let classes = self.scenario.load.methods.iter();
         let first = self.scenario.faults.iter().map(|fault| nanos(fault.at())).min();
-        Outcome {
-            from,
-            to,
-            fault_at: first.map(|at| from + at),
-            ledger,
-            connections,
-            calls,
-            extra_answers,
+        RunResult {
+            measured_from: from,
+            measured_until: to,
+            first_fault_at: first.map(|at| from + at),
+            server_rpcs: ledger,
+            open_connections: connections,
+            client_rpcs: calls,
+            unexpected_answers: extra_answers,
             servers: self.weights,
             methods: classes
                 .map(|method| (method.name.clone(), self.scenario.idempotency(&method.name) == "free"))
                 .collect(),
             starts: self.gateways.iter().map(|gateway| gateway.starts).collect(),
-            lines: self.gateways.into_iter().map(|gateway| gateway.lines).collect(),
+            log_lines: self.gateways.into_iter().map(|gateway| gateway.lines).collect(),
             crashed: self.crashed,
             killed: self.killed,
             list_changes: self.list_changes,
-            steps: self.steps_done,
-            sent_again,
-            count_calls: self.counter.with(|counter, _| counter.calls),
+            step_counts: self.steps_done,
+            resent_rpcs: sent_again,
+            counter_calls: self.counter.with(|counter, _| counter.calls),
             list_bytes: self.discovery.with(|discovery, _| discovery.told_bytes),
         }
     }
@@ -286,8 +287,8 @@
     let shares = LogNormal::new(0.0, scenario.load.skew.max(0.0)).ok();
     let one = |_| Customer {
         share: shares.map_or(1.0, |shares| shares.sample(&mut draws)),
-        first: draws.random_range(0..gateways),
-        width: scenario.load.width,
+        first_gateway: draws.random_range(0..gateways),
+        gateway_count: scenario.load.width,
     };
     (0..scenario.load.customers).map(one).collect()
 }
--- a/crates/rig/src/fleet/gateways.rs
+++ b/crates/rig/src/fleet/gateways.rs
@@ -32,7 +32,7 @@
         let faults = self.faults_between(number, |place| *place == Place::Counter);
         let counter = self.through(faults, "counter", self.at_counter)?;
         let listen = loopback::GATEWAYS;
-        let (_, all) = self.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT))?;
+        let (_, all) = self.relays.with(|relays, io| relays.member(io, loopback::BROADCAST_RELAY))?;
         self.gateways.push(Gateway {
             number,
             fleet,
@@ -110,7 +110,7 @@
                 let faults = self.faults_between(*gateway, |place| *place == Place::LoadGenerator);
                 let at = self.through(faults, &format!("gateway {gateway}"), listen);
                 let at = at.map_err(|e| format!("can't set a link up: {e}"))?;
-                self.front.with(move |front, io| front.add(io, at));
+                self.front.with(move |front, io| front.add_gateway(io, at));
             }
         }
         Ok(())
--- a/crates/rig/src/fleet/servers.rs
+++ b/crates/rig/src/fleet/servers.rs
@@ -31,7 +31,7 @@
         let (_, at) = self.servers.with(move |servers, io| servers.add(io, spec, warm))?;
         let since_ms = if warm { 0 } else { self.clock.unix_ms(self.clock.now()) };
         self.listed.push(Entry { name, address: at, zone, status: "gone", weight, since_ms });
-        self.weights.push(ServerHistory { weight, ready: Vec::new() });
+        self.weights.push(ServerHistory { weight, ready_spans: Vec::new() });
         Ok(number)
     }
 
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn mark(&mut self, number: usize, ready: bool) {
-        let (now, spans) = (self.clock.now(), &mut self.weights[number].ready);
+        let (now, spans) = (self.clock.now(), &mut self.weights[number].ready_spans);
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
         match (open, ready) {
             (None, true) => spans.push((now, Nanos::MAX)),
--- a/crates/rig/src/fleet/steps.rs
+++ b/crates/rig/src/fleet/steps.rs
@@ -45,7 +45,7 @@
             Step::Grow { count, share } => return self.grow(count, share).map(Some),
             Step::PlaceCustomers => {
                 let customers = customers(self.scenario, self.gateways.len());
-                self.front.with(move |front, _| front.place(customers));
+                self.front.with(move |front, _| front.set_customers(customers));
             }
             Step::ReplaceServer { server, drain } => {
                 let gone = self.drain_server(server, drain);
@@ -70,8 +70,10 @@
                 self.counter.with(move |counter, io| counter.become_(io, state)).map_err(failed)?;
             }
             Step::EmptyCounter => self.counter.with(|counter, _| counter.empty()),
-            Step::Crowd { rate } => self.front.with(move |front, io| front.crowd(io, rate)),
-            Step::Burst { factor } => self.front.with(move |front, _| front.burst(factor)),
+            Step::Crowd { rate } => {
+                self.front.with(move |front, io| front.set_silent_connection_rate(io, rate))
+            }
+            Step::Burst { factor } => self.front.with(move |front, _| front.set_rate_factor(factor)),
             Step::Links { links, faults } => {
                 self.relays.with(move |relays, io| {
                     links.into_iter().for_each(|link| relays.set(io, link, faults));
--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -56,24 +56,24 @@
     /// The share of all arrivals.
     pub share: f64,
     /// Its first gateway.
-    pub first: usize,
+    pub first_gateway: usize,
     /// How many gateways in a row it uses.
-    pub width: usize,
+    pub gateway_count: usize,
 }
 
 /// Shares of the RPCs whose clients do something out of the ordinary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehaviour {
     /// The client closes its connection at some moment of its deadline.
-    pub leave: f64,
+    pub abandon_share: f64,
     /// Its connection was opened some time before, and has said nothing.
-    pub early: f64,
+    pub early_connection_share: f64,
     /// Its message comes in two pieces.
-    pub pieces: f64,
+    pub split_write_share: f64,
     /// Its connection is its own, and closed behind the answer.
-    pub fresh: f64,
+    pub own_connection_share: f64,
     /// The client reads nothing for a while once it has sent.
-    pub slow: f64,
+    pub slow_read_share: f64,
 }
 
 /// What the front sends.
@@ -90,7 +90,7 @@
     /// Who sends.
     pub customers: Vec<Customer>,
     /// How long until the front notices a dead gateway.
-    pub notice: Nanos,
+    pub detection_delay: Nanos,
 }
 
 /// How an RPC ended at its client.
@@ -124,17 +124,17 @@
     /// By its place in [`LoadProfile::methods`].
     pub method: usize,
     /// When it was to be sent.
-    pub due: Nanos,
+    pub scheduled_at: Nanos,
     /// When it was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// When it ended.
-    pub done: Nanos,
+    pub ended_at: Nanos,
     /// How it ended.
     pub outcome: RpcOutcome,
     /// When it was sent once more, since its connection was closed as it crossed: nothing may have read it by then.
-    pub crossed: Option<Nanos>,
+    pub resent_at: Option<Nanos>,
     /// Silent connections crowded its gateway, which may shut a new connection unread then.
-    pub crowded: bool,
+    pub during_connection_flood: bool,
 }
 
 /// The state of a gateway as the front sees it. `Front::set_state` is the one place that changes it.
@@ -185,9 +185,9 @@
     /// Messages of the calls that are open.
     messages: BTreeMap<usize, Message>,
     /// RPCs sent once more, since their connection was closed as they crossed.
-    pub sent_again: u64,
+    pub resent_rpcs: u64,
     /// All RPCs so far.
-    pub calls: Vec<ClientRpc>,
+    pub rpcs: Vec<ClientRpc>,
     chance: ChaCha8Rng,
     customers: Option<WeightedIndex<f64>>,
     methods: Option<WeightedIndex<f64>>,
@@ -199,7 +199,7 @@
     crowd_owed: f64,
     crowded_until: Nanos,
     /// Answers that came when none was owed.
-    pub extra: u64,
+    pub unexpected_answers: u64,
 }
 
 impl LoadGenerator {
@@ -212,8 +212,8 @@
             gateways: Vec::new(),
             conns: BTreeMap::new(),
             messages: BTreeMap::new(),
-            sent_again: 0,
-            calls: Vec::new(),
+            resent_rpcs: 0,
+            rpcs: Vec::new(),
             chance,
             customers,
             methods,
@@ -223,12 +223,12 @@
             crowd: 0.0,
             crowd_owed: 0.0,
             crowded_until: 0,
-            extra: 0,
+            unexpected_answers: 0,
         }
     }
 
     /// One more gateway, probed from now on.
-    pub fn add(&mut self, io: &mut Io, address: SocketAddr) {
+    pub fn add_gateway(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
             io.at(io.now(), PROBES);
         }
@@ -236,12 +236,12 @@
     }
 
     /// Gateways that it sends to.
-    pub fn admitted(&self) -> usize {
+    pub fn admitted_gateways(&self) -> usize {
         self.gateways.iter().filter(|gateway| gateway.state == GatewayState::Admitted).count()
     }
 
     /// Arrivals come from now on, or stop.
-    pub fn run(&mut self, io: &mut Io, running: bool) {
+    pub fn set_running(&mut self, io: &mut Io, running: bool) {
         self.running = running;
         if running {
             self.next = io.now();
@@ -250,12 +250,12 @@
     }
 
     /// All arrivals come so many times as often.
-    pub fn burst(&mut self, factor: f64) {
+    pub fn set_rate_factor(&mut self, factor: f64) {
         self.factor = factor;
     }
 
     /// So many connections a second are opened to each gateway from now on, and nothing is said on them.
-    pub fn crowd(&mut self, io: &mut Io, rate: f64) {
+    pub fn set_silent_connection_rate(&mut self, io: &mut Io, rate: f64) {
         let begins = self.crowd == 0.0 && rate > 0.0;
         self.crowd = rate;
         self.crowded_until = io.now() + CROWD_AFTER;
@@ -288,13 +288,13 @@
     }
 
     /// The customers' gateways go over to a fleet of another size.
-    pub fn place(&mut self, customers: Vec<Customer>) {
+    pub fn set_customers(&mut self, customers: Vec<Customer>) {
         self.customers = WeightedIndex::new(customers.iter().map(|customer| customer.share)).ok();
         self.plan.customers = customers;
     }
 
     /// RPCs that wait for their answers.
-    pub fn open(&self) -> usize {
+    pub fn open_rpcs(&self) -> usize {
         // One whose connection went before it was sent is among them: it is sent on another.
         self.messages.len()
     }
@@ -324,7 +324,7 @@
         let key = customers.sample(&mut self.chance);
         let method = methods.sample(&mut self.chance);
         let customer = self.plan.customers[key];
-        let set = (0..customer.width).map(|at| (customer.first + at) % self.gateways.len());
+        let set = (0..customer.gateway_count).map(|at| (customer.first_gateway + at) % self.gateways.len());
         // Open connections are used until the gateway ends them, also of one that takes no new ones.
         let can = |at: &usize| {
             let gateway = &self.gateways[*at];
@@ -333,18 +333,18 @@
         };
         let up: Vec<usize> = set.filter(can).collect();
         let now = io.clock().now();
-        let number = self.calls.len();
+        let number = self.rpcs.len();
         if up.is_empty() {
-            return self.calls.push(ClientRpc {
+            return self.rpcs.push(ClientRpc {
                 txn: u64::MAX,
-                gateway: customer.first,
+                gateway: customer.first_gateway,
                 method,
-                due,
-                sent: now,
-                done: now,
+                scheduled_at: due,
+                sent_at: now,
+                ended_at: now,
                 outcome: RpcOutcome::Unreached,
-                crossed: None,
-                crowded: false,
+                resent_at: None,
+                during_connection_flood: false,
             });
         }
         let gateway = up[self.chance.random_range(0..up.len())];
@@ -354,36 +354,38 @@
             txn,
             gateway,
             method,
-            due,
-            sent: now,
-            done: now,
+            scheduled_at: due,
+            sent_at: now,
+            ended_at: now,
             outcome,
-            crossed: None,
-            crowded: now < self.crowded_until,
+            resent_at: None,
+            during_connection_flood: now < self.crowded_until,
         };
         let how = &self.plan.methods[method];
         let (text, deadline) =
             (request(&self.plan.plan, how, txn, key, &customer).into_bytes(), how.deadline);
         let behaviour = self.plan.behaviour;
-        let early = behaviour.early > 0.0 && self.chance.random_bool(behaviour.early);
-        let fresh = behaviour.fresh > 0.0 && self.chance.random_bool(behaviour.fresh);
+        let early = behaviour.early_connection_share > 0.0
+            && self.chance.random_bool(behaviour.early_connection_share);
+        let fresh =
+            behaviour.own_connection_share > 0.0 && self.chance.random_bool(behaviour.own_connection_share);
         let idle = if early || fresh { None } else { self.idle(io, gateway) };
         let rested = early || idle.is_some();
         let Some(conn) = idle.or_else(|| io.connect(self.gateways[gateway].address).ok()) else {
             call.outcome = RpcOutcome::Unreached;
-            return self.calls.push(call);
+            return self.rpcs.push(call);
         };
         self.conns.insert(conn, (gateway, Use::Call(number)));
         let hold = if early { self.chance.random_range(0..EARLY_MOST) } else { 0 };
-        call.due += hold;
-        call.sent += hold;
-        if behaviour.leave > 0.0 && self.chance.random_bool(behaviour.leave) {
-            io.at(call.due + self.chance.random_range(0..deadline), LEAVE | number as u64);
+        call.scheduled_at += hold;
+        call.sent_at += hold;
+        if behaviour.abandon_share > 0.0 && self.chance.random_bool(behaviour.abandon_share) {
+            io.at(call.scheduled_at + self.chance.random_range(0..deadline), LEAVE | number as u64);
         }
-        io.at(call.due + deadline + SLACK, number as u64);
+        io.at(call.scheduled_at + deadline + SLACK, number as u64);
         self.messages
             .insert(number, Message { text, conn: Some(conn), rested, fresh, written: false, again: false });
-        self.calls.push(call);
+        self.rpcs.push(call);
         if early {
             io.at(due + hold, BEGIN | number as u64);
         } else {
@@ -403,7 +405,7 @@
 
     /// Writes an RPC's message, or its first piece; on a new connection where the one that was opened for it is gone.
     fn write(&mut self, io: &mut Io, number: usize) {
-        let gateway = self.calls[number].gateway;
+        let gateway = self.rpcs[number].gateway;
         let Some(message) = self.messages.get_mut(&number) else { return };
         if message.conn.is_none() {
             let Ok(conn) = io.connect(self.gateways[gateway].address) else {
@@ -412,7 +414,7 @@
             (message.conn, message.rested) = (Some(conn), false);
             self.conns.insert(conn, (gateway, Use::Call(number)));
         }
-        let pieces = self.plan.behaviour.pieces;
+        let pieces = self.plan.behaviour.split_write_share;
         let in_pieces = pieces > 0.0 && !message.again && self.chance.random_bool(pieces);
         let first = if in_pieces { message.text.len() / 2 } else { message.text.len() };
         message.written = !in_pieces;
@@ -421,12 +423,12 @@
         }
         if !message.again {
             // Not when it was to be: a front that is late gives its RPCs their time from when it sends them.
-            self.calls[number].sent = io.clock().now();
+            self.rpcs[number].sent_at = io.clock().now();
         }
         if in_pieces {
             io.at(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
         }
-        let slow = self.plan.behaviour.slow;
+        let slow = self.plan.behaviour.slow_read_share;
         if slow > 0.0 && self.chance.random_bool(slow) {
             let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) else { return };
             io.hold(conn, true);
@@ -447,7 +449,7 @@
     /// Closes the connection of an RPC, since its client leaves or waits no longer.
     fn leave(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
         // After the run the calls are handed over while their timers still stand.
-        if self.calls.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
+        if self.rpcs.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
             return;
         }
         let conn = self.messages.get(&number).and_then(|message| message.conn);
@@ -464,19 +466,19 @@
         let Some(message) = self.messages.get_mut(&number) else { return };
         message.conn = None;
         if !message.written {
-            if message.rested && self.calls[number].sent > io.now() {
+            if message.rested && self.rpcs[number].sent_at > io.now() {
                 return; // it was opened early, and nothing is said on it yet
             }
             return self.end(io, number, RpcOutcome::Unreached);
         }
-        if (message.rested || self.calls[number].crowded) && !message.again {
+        if (message.rested || self.rpcs[number].during_connection_flood) && !message.again {
             message.again = true;
-            self.sent_again += 1;
-            self.calls[number].crossed = Some(io.now());
+            self.resent_rpcs += 1;
+            self.rpcs[number].resent_at = Some(io.now());
             // It tells the time that is left by then.
-            let call = self.calls[number];
+            let call = self.rpcs[number];
             let deadline = self.plan.methods[call.method].deadline;
-            let left = (call.sent + deadline).saturating_sub(io.now());
+            let left = (call.sent_at + deadline).saturating_sub(io.now());
             message.text = with_remaining(&message.text, left);
             return self.write(io, number);
         }
@@ -486,9 +488,9 @@
 
     fn end(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
         self.messages.remove(&call);
-        let call = &mut self.calls[call];
+        let call = &mut self.rpcs[call];
         if call.outcome == RpcOutcome::Open {
-            (call.outcome, call.done) = (outcome, io.now());
+            (call.outcome, call.ended_at) = (outcome, io.now());
         }
     }
 
@@ -502,7 +504,7 @@
     fn probe(&mut self, io: &mut Io) {
         for gateway in 0..self.gateways.len() {
             if let GatewayState::Failing(since) = self.gateways[gateway].state
-                && io.now() >= since + self.plan.notice
+                && io.now() >= since + self.plan.detection_delay
             {
                 self.set_state(gateway, GatewayState::Down);
             }
@@ -538,8 +540,8 @@
         method.name,
         method.deadline / MS,
         method.units,
-        customer.width,
-        customer.first
+        customer.gateway_count,
+        customer.first_gateway
     );
     let path = format!("/api/{key:016x}");
     match method.idempotency.as_str() {
@@ -556,7 +558,7 @@
     fn up(&mut self, io: &mut Io, conn: Conn) {
         let Some((_, Use::Call(number))) = self.conns.get(&conn).copied() else { return };
         if self.messages.get(&number).is_some_and(|message| message.written && !message.again) {
-            self.calls[number].sent = io.clock().now();
+            self.rpcs[number].sent_at = io.clock().now();
         }
     }
 
@@ -580,7 +582,7 @@
                     self.set_state(gateway, GatewayState::Admitted);
                 }
             }
-            Use::Idle => self.extra += 1,
+            Use::Idle => self.unexpected_answers += 1,
             Use::Silent => {} // the error that whoever says nothing gets
             Use::Call(call) => {
                 let fresh = self.messages.get(&call).is_some_and(|message| message.fresh);
@@ -641,7 +643,8 @@
 
 /// How late the front was: due to written, in nanoseconds, at these quantiles and at most.
 pub fn lateness(calls: &[ClientRpc]) -> (Nanos, Nanos, Nanos) {
-    let mut late: Vec<Nanos> = calls.iter().map(|call| call.sent.saturating_sub(call.due)).collect();
+    let mut late: Vec<Nanos> =
+        calls.iter().map(|call| call.sent_at.saturating_sub(call.scheduled_at)).collect();
     late.sort_unstable();
     let at = |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
     (at(0.5).copied().unwrap_or(0), at(0.99).copied().unwrap_or(0), late.last().copied().unwrap_or(0))
--- a/crates/rig/src/loopback.rs
+++ b/crates/rig/src/loopback.rs
@@ -11,7 +11,7 @@
 pub(crate) const GATEWAYS: SocketAddr = any_port(3);
 /// The stand-in servers of one fleet, at an address of their own: a server that is down comes back at its port, which other
 /// fleets of this process or of others must not have taken meanwhile.
-pub(crate) fn servers_of_a_fleet() -> SocketAddr {
+pub(crate) fn next_server_address() -> SocketAddr {
     static FLEETS: AtomicU8 = AtomicU8::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
@@ -25,7 +25,7 @@
 /// Links that faults are put on.
 pub(crate) const LINKS: SocketAddr = any_port(7);
 /// Where gateways send what all others are to hear.
-pub(crate) const FAN_OUT: SocketAddr = any_port(8);
+pub(crate) const BROADCAST_RELAY: SocketAddr = any_port(8);
 /// The gateways listen for others' datagrams.
 pub(crate) const PEERS: SocketAddr = any_port(9);
 
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line: `martenramp-rig run SCENARIO.toml`, `martenramp-rig check SCENARIO.toml`.
 
 use lexopt::prelude::*;
-use rig::fleet::play;
+use rig::fleet::run_scenario;
 use rig::report::Figures;
 use rig::rollouts::Plan;
 use rig::scenario::{Scenario, SystemCallFaults};
@@ -97,9 +97,9 @@
 fn run() -> Result<(), String> {
     let options = Options::parse()?;
     match options.command.as_deref() {
-        Some("run") => run_scenario(&options),
-        Some("rollouts") => run_rollouts(&options),
-        Some("soak") => run_soak(&options),
+        Some("run") => run_command(&options),
+        Some("rollouts") => rollouts_command(&options),
+        Some("soak") => soak_command(&options),
         Some("check") => {
             let scenario = options.scenario()?;
             println!("{}: {} gateways, {} faults", scenario.name, scenario.gateways, scenario.faults.len());
@@ -114,23 +114,23 @@
 }
 
 /// Plays a scenario, writes its tables and charts and prints its figures.
-fn run_scenario(options: &Options) -> Result<(), String> {
+fn run_command(options: &Options) -> Result<(), String> {
     let program = options.program()?;
     let scenario = options.scenario()?;
     let out = options.out.clone().unwrap_or_else(|| PathBuf::from("rig-out"));
-    let outcome = play(&scenario, &program)?;
-    let figures = Figures::of(&scenario, &outcome);
+    let outcome = run_scenario(&scenario, &program)?;
+    let figures = Figures::compute(&scenario, &outcome);
     figures.write(&out)?;
     if options.logs {
-        for (gateway, lines) in outcome.lines.iter().enumerate() {
+        for (gateway, lines) in outcome.log_lines.iter().enumerate() {
             let file = out.join(format!("n{gateway}.log"));
             std::fs::write(&file, lines.join("\n")).map_err(|e| format!("{}: {e}", file.display()))?;
         }
     }
-    print!("{}", figures.shown());
+    print!("{}", figures.summary_text());
     println!(
         "{} RPCs sent once more, since their connections were closed as they crossed",
-        outcome.sent_again
+        outcome.resent_rpcs
     );
     outcome.crashed.iter().for_each(|crashed| println!("{crashed}"));
     println!("wrote {}", out.display());
@@ -138,7 +138,7 @@
 }
 
 /// Plays random overlapping faults, a fleet for each seed, and says what was broken and what happened.
-fn run_soak(options: &Options) -> Result<(), String> {
+fn soak_command(options: &Options) -> Result<(), String> {
     let program = options.program()?;
     let mut size = Size { gateways: 24, servers: 24, seconds: 25.0, faults: 12 };
     let (mut first, mut seeds) = (1_u64, 10_u64);
@@ -193,7 +193,7 @@
 }
 
 /// Plays rollouts of settings with versions and prints their figures.
-fn run_rollouts(options: &Options) -> Result<(), String> {
+fn rollouts_command(options: &Options) -> Result<(), String> {
     let program = options.program()?;
     let mut plan = Plan { gateways: 20, lease: 1.0, clock: 0.25, seed: 1, skew_ms: 0 };
     let mut count = 40;
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -12,12 +12,12 @@
     /// Its weight as listed.
     pub weight: f64,
     /// Spans in which it was ready, open ones up to the largest time.
-    pub ready: Vec<(Nanos, Nanos)>,
+    pub ready_spans: Vec<(Nanos, Nanos)>,
 }
 
 impl ServerHistory {
     fn is_ready(&self, from: Nanos, to: Nanos) -> bool {
-        self.ready.iter().any(|span| span.0 <= from && span.1 >= to)
+        self.ready_spans.iter().any(|span| span.0 <= from && span.1 >= to)
     }
 }
 
@@ -27,9 +27,9 @@
     /// The server.
     pub server: usize,
     /// When it came.
-    pub at: Nanos,
+    pub arrived_at: Nanos,
     /// When it left.
-    pub done: Nanos,
+    pub ended_at: Nanos,
 }
 
 /// All RPCs that a server took in; what it turned away at once was never held.
@@ -37,8 +37,8 @@
     let held = |row: &&Row| row.how != How::TurnedAway;
     let visit = |row: &Row| ServerRpc {
         server: row.server as usize,
-        at: row.at,
-        done: if row.how == How::Open { until } else { row.done },
+        arrived_at: row.at,
+        ended_at: if row.how == How::Open { until } else { row.done },
     };
     ledger.iter().filter(held).map(visit).collect()
 }
@@ -120,12 +120,12 @@
         let place = |at: Nanos| (at.saturating_sub(self.from) / self.width) as usize;
         for visit in visits {
             if quantity == Quantity::Rpcs {
-                if visit.at >= self.from && place(visit.at) < sums.len() {
-                    sums[place(visit.at)][visit.server] += 1.0;
+                if visit.arrived_at >= self.from && place(visit.arrived_at) < sums.len() {
+                    sums[place(visit.arrived_at)][visit.server] += 1.0;
                 }
                 continue;
             }
-            let (at, done) = (visit.at.max(self.from), visit.done);
+            let (at, done) = (visit.arrived_at.max(self.from), visit.ended_at);
             for (window, sum) in sums.iter_mut().enumerate().skip(place(at)) {
                 let start = self.from + window as Nanos * self.width;
                 if done <= start {
@@ -194,21 +194,22 @@
     mut pick: impl FnMut(&[usize], &[f64]) -> Option<usize>,
 ) -> Vec<ServerRpc> {
     let mut sorted = visits.to_vec();
-    sorted.sort_by_key(|visit| visit.at);
+    sorted.sort_by_key(|visit| visit.arrived_at);
     let mut held = vec![0.0; servers.len()];
     let mut ends = std::collections::BinaryHeap::new();
     for visit in &mut sorted {
         while let Some(std::cmp::Reverse((done, server))) = ends.peek().copied()
-            && done <= visit.at
+            && done <= visit.arrived_at
         {
             ends.pop();
             held[server] -= 1.0;
         }
-        let ready: Vec<usize> =
-            (0..servers.len()).filter(|at| servers[*at].is_ready(visit.at, visit.at)).collect();
+        let ready: Vec<usize> = (0..servers.len())
+            .filter(|at| servers[*at].is_ready(visit.arrived_at, visit.arrived_at))
+            .collect();
         visit.server = pick(&ready, &held).unwrap_or(visit.server);
         held[visit.server] += 1.0;
-        ends.push(std::cmp::Reverse((visit.done, visit.server)));
+        ends.push(std::cmp::Reverse((visit.ended_at, visit.server)));
     }
     sorted
 }
--- a/crates/rig/src/measure/tests.rs
+++ b/crates/rig/src/measure/tests.rs
@@ -5,18 +5,18 @@
 const SEC: Nanos = 1_000_000_000;
 
 fn servers(count: usize) -> Vec<ServerHistory> {
-    vec![ServerHistory { weight: 1.0, ready: vec![(0, 100 * SEC)] }; count]
+    vec![ServerHistory { weight: 1.0, ready_spans: vec![(0, 100 * SEC)] }; count]
 }
 
 #[test]
 fn windows_count_rpcs_and_time_held_for_servers_that_are_ready() {
     let mut servers = servers(3);
     servers[1].weight = 2.0;
-    servers[2].ready = vec![(0, SEC / 2)];
+    servers[2].ready_spans = vec![(0, SEC / 2)];
     let visits = [
-        ServerRpc { server: 0, at: SEC / 2, done: 3 * SEC / 2 },
-        ServerRpc { server: 1, at: 0, done: SEC },
-        ServerRpc { server: 1, at: 0, done: 2 * SEC },
+        ServerRpc { server: 0, arrived_at: SEC / 2, ended_at: 3 * SEC / 2 },
+        ServerRpc { server: 1, arrived_at: 0, ended_at: SEC },
+        ServerRpc { server: 1, arrived_at: 0, ended_at: 2 * SEC },
     ];
     let frame = WindowSeries { from: 0, to: 2 * SEC, width: SEC };
     let rpcs = frame.windows(&servers, &visits, Quantity::Rpcs);
@@ -32,8 +32,9 @@
 #[test]
 fn the_centre_is_even_and_chance_is_not() {
     let servers = servers(10);
-    let visits: Vec<ServerRpc> =
-        (0..1000).map(|at| ServerRpc { server: 0, at: at * SEC / 100, done: at * SEC / 100 + 1 }).collect();
+    let visits: Vec<ServerRpc> = (0..1000)
+        .map(|at| ServerRpc { server: 0, arrived_at: at * SEC / 100, ended_at: at * SEC / 100 + 1 })
+        .collect();
     let frame = WindowSeries { from: 0, to: 10 * SEC, width: 5 * SEC };
     let spread = |visits: &[ServerRpc]| Spread::of(&frame.windows(&servers, visits, Quantity::Rpcs));
     assert_eq!(spread(&assign_to_least_loaded(&servers, &visits)).peak, 1.0);
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -1,7 +1,7 @@
 //! Tables and charts of a run: `summary.csv` (one row for each part of the run, window and quantity), `run.csv` (one row
 //! of counts), `windows.csv` (over time), `servers.csv` and `gateways.csv`, and SVG charts drawn from them.
 
-use crate::fleet::Outcome;
+use crate::fleet::RunResult;
 use crate::load_generator::{MAX_LATENESS, RpcOutcome as End, lateness};
 use crate::measure::{
     Quantity, ServerRpc, Spread, Window, WindowSeries, accepted_rpcs, assign_at_random,
@@ -26,7 +26,8 @@
     /// The scenario's name.
     pub scenario: String,
     /// `health` or `fault`: before or after the first fault.
-    pub part: &'static str,
+    #[serde(rename = "part")]
+    pub phase: &'static str,
     /// Width of the windows, seconds.
     pub window_s: f64,
     /// What is looked at.
@@ -46,17 +47,23 @@
     /// The worst of it.
     pub least_worst: f64,
     /// The peak where each RPC goes to a server drawn by weight.
-    pub chance_peak: f64,
+    #[serde(rename = "chance_peak")]
+    pub random_peak: f64,
     /// The worst of it.
-    pub chance_peak_worst: f64,
+    #[serde(rename = "chance_peak_worst")]
+    pub random_peak_worst: f64,
     /// The least where each RPC goes to a server drawn by weight.
-    pub chance_least: f64,
+    #[serde(rename = "chance_least")]
+    pub random_least: f64,
     /// The worst of it.
-    pub chance_least_worst: f64,
+    #[serde(rename = "chance_least_worst")]
+    pub random_least_worst: f64,
     /// The peak of a dispatcher that sees all.
-    pub centre_peak: f64,
+    #[serde(rename = "centre_peak")]
+    pub central_peak: f64,
     /// The worst of it.
-    pub centre_peak_worst: f64,
+    #[serde(rename = "centre_peak_worst")]
+    pub central_peak_worst: f64,
 }
 
 /// Counts of one run.
@@ -75,7 +82,8 @@
     /// Answered ok.
     pub ok: usize,
     /// Rejected: 429 or 503.
-    pub pushed_back: usize,
+    #[serde(rename = "pushed_back")]
+    pub rejected: usize,
     /// Any other answer.
     pub failed: usize,
     /// Their connection broke.
@@ -85,21 +93,29 @@
     /// Without an answer.
     pub lost: usize,
     /// Answers that no RPC waited for.
-    pub extra_answers: u64,
+    #[serde(rename = "extra_answers")]
+    pub unexpected_answers: u64,
     /// RPCs that may run once only and ran twice.
-    pub twice: usize,
+    #[serde(rename = "twice")]
+    pub executed_twice: usize,
     /// Attempts at servers.
-    pub call_outs: usize,
+    #[serde(rename = "call_outs")]
+    pub attempts: usize,
     /// Attempts that a full server turned away.
-    pub turned_away: usize,
+    #[serde(rename = "turned_away")]
+    pub refused_attempts: usize,
     /// 5 s windows of single servers that were ready and got nothing while the mean was above 2 RPCs a second.
-    pub idle: usize,
+    #[serde(rename = "idle")]
+    pub idle_server_windows: usize,
     /// Gateways that sent to a server before the first fault: lowest, mean and highest.
-    pub parts_least: usize,
+    #[serde(rename = "parts_least")]
+    pub gateways_per_server_min: usize,
     /// The mean of it.
-    pub parts_mean: f64,
+    #[serde(rename = "parts_mean")]
+    pub gateways_per_server_mean: f64,
     /// The highest of it.
-    pub parts_most: usize,
+    #[serde(rename = "parts_most")]
+    pub gateways_per_server_max: usize,
     /// The busiest gateway's RPCs over the mean.
     pub gateway_peak: f64,
     /// Median latency of ok answers, milliseconds.
@@ -107,7 +123,8 @@
     /// 99th percentile of it.
     pub p99_ms: f64,
     /// Calls that the counter got.
-    pub count_calls: u64,
+    #[serde(rename = "count_calls")]
+    pub counter_calls: u64,
     /// Bytes of lists that discovery sent.
     pub list_bytes: u64,
     /// Gateways that ended unasked, or badly.
@@ -117,7 +134,8 @@
     /// 99th percentile of it.
     pub late_p99_ms: f64,
     /// The highest of it.
-    pub late_most_ms: f64,
+    #[serde(rename = "late_most_ms")]
+    pub late_max_ms: f64,
     /// The front was too late: the figures are worth nothing.
     pub void: bool,
 }
@@ -166,8 +184,8 @@
 }
 
 impl Arrivals {
-    fn of(scenario: &Scenario, outcome: &Outcome) -> Arrivals {
-        let seen = accepted_rpcs(&outcome.ledger, outcome.to + 10 * SEC);
+    fn compute(scenario: &Scenario, outcome: &RunResult) -> Arrivals {
+        let seen = accepted_rpcs(&outcome.server_rpcs, outcome.measured_until + 10 * SEC);
         let by_centre = assign_to_least_loaded(&outcome.servers, &seen);
         let drawn = |nth| assign_at_random(&outcome.servers, &seen, scenario.seed ^ nth << 32);
         let by_chance = (0..CHANCES).map(drawn).collect();
@@ -178,7 +196,7 @@
 /// The row of a part of the run, a width of windows and a quantity; none where there is no window.
 fn spread_row(
     scenario: &Scenario,
-    outcome: &Outcome,
+    outcome: &RunResult,
     arrivals: &Arrivals,
     part: &'static str,
     frame: WindowSeries,
@@ -188,7 +206,7 @@
     let has_references = quantity != Quantity::Connections;
     let seen = match has_references {
         true => windows(&arrivals.seen),
-        false => frame.connections(&outcome.servers, &outcome.connections),
+        false => frame.connections(&outcome.servers, &outcome.open_connections),
     };
     if seen.is_empty() {
         return None;
@@ -206,7 +224,7 @@
     let mean = seen.iter().map(Window::mean).sum::<f64>() / seen.len() as f64;
     Some(SpreadRow {
         scenario: scenario.name.clone(),
-        part,
+        phase: part,
         window_s: frame.width as f64 / SEC as f64,
         quantity: quantity.name(),
         windows: seen.len(),
@@ -216,18 +234,18 @@
         p99: round(spread.p99),
         least: round(spread.least),
         least_worst: round(spread.least_worst),
-        chance_peak: round(chance.peak),
-        chance_peak_worst: round(chance.peak_worst),
-        chance_least: round(chance.least),
-        chance_least_worst: round(chance.least_worst),
-        centre_peak: round(centre.peak),
-        centre_peak_worst: round(centre.peak_worst),
+        random_peak: round(chance.peak),
+        random_peak_worst: round(chance.peak_worst),
+        random_least: round(chance.least),
+        random_least_worst: round(chance.least_worst),
+        central_peak: round(centre.peak),
+        central_peak_worst: round(centre.peak_worst),
     })
 }
 
 /// A row for each window, beside both references.
 fn window_rows(
-    outcome: &Outcome,
+    outcome: &RunResult,
     arrivals: &Arrivals,
     frame: WindowSeries,
     quantity: Quantity,
@@ -238,7 +256,7 @@
     let row = |(seen, (chance, centre)): (Window, (Window, Window))| {
         let spread = seen.spread()?;
         Some(WindowRow {
-            t_s: round((seen.from - outcome.from) as f64 / SEC as f64),
+            t_s: round((seen.from - outcome.measured_from) as f64 / SEC as f64),
             quantity: quantity.name(),
             mean: round(seen.mean()),
             peak: round(spread[0]),
@@ -265,24 +283,26 @@
     /// The row for a part (`health` or `fault`), window width in seconds and quantity.
     pub fn spread(&self, part: &str, window_s: f64, quantity: Quantity) -> Option<&SpreadRow> {
         let is = |row: &&SpreadRow| {
-            row.part == part && row.window_s == window_s && row.quantity == quantity.name()
+            row.phase == part && row.window_s == window_s && row.quantity == quantity.name()
         };
         self.spreads.iter().find(is)
     }
 
     /// Works the figures out.
-    pub fn of(scenario: &Scenario, outcome: &Outcome) -> Figures {
-        let arrivals = Arrivals::of(scenario, outcome);
-        let until = outcome.fault_at.unwrap_or(outcome.to);
+    pub fn compute(scenario: &Scenario, outcome: &RunResult) -> Figures {
+        let arrivals = Arrivals::compute(scenario, outcome);
+        let until = outcome.first_fault_at.unwrap_or(outcome.measured_until);
         let mut spreads = Vec::new();
-        for (part, from, to) in [("health", outcome.from, until), ("fault", until, outcome.to)] {
+        for (part, from, to) in
+            [("health", outcome.measured_from, until), ("fault", until, outcome.measured_until)]
+        {
             for width in [SEC, 5 * SEC] {
                 let frame = WindowSeries { from, to, width };
                 let row = |quantity| spread_row(scenario, outcome, &arrivals, part, frame, quantity);
                 spreads.extend(Quantity::ALL.into_iter().filter_map(row));
             }
         }
-        let whole = WindowSeries { from: outcome.from, to: outcome.to, width: 5 * SEC };
+        let whole = WindowSeries { from: outcome.measured_from, to: outcome.measured_until, width: 5 * SEC };
         let idle = count_idle_servers(
             &whole.windows(&outcome.servers, &arrivals.seen, Quantity::Rpcs),
             IDLE_ABOVE * 5.0,
@@ -339,7 +359,7 @@
     }
 
     /// The figures for a person.
-    pub fn shown(&self) -> String {
+    pub fn summary_text(&self) -> String {
         let run = &self.run;
         let mut text = format!(
             "{}: {} gateways, {} servers, {} RPCs: {} ok, {} pushed back, {} failed, {} cut, {} unreached, {} lost; \
@@ -352,31 +372,31 @@
             run.servers,
             run.rpcs,
             run.ok,
-            run.pushed_back,
+            run.rejected,
             run.failed,
             run.cut,
             run.unreached,
             run.lost,
-            run.call_outs,
-            run.turned_away,
-            run.twice,
+            run.attempts,
+            run.refused_attempts,
+            run.executed_twice,
             run.p50_ms,
             run.p99_ms,
-            run.parts_least,
-            run.parts_mean,
-            run.parts_most,
-            run.idle,
+            run.gateways_per_server_min,
+            run.gateways_per_server_mean,
+            run.gateways_per_server_max,
+            run.idle_server_windows,
             run.gateway_peak,
             run.crashed,
             run.late_p99_ms,
-            run.late_most_ms,
+            run.late_max_ms,
             if run.void { " VOID" } else { "" },
         );
         for row in &self.spreads {
             text += &format!(
                 "{:<7} {:>2}s {:<11} {:>5.1} | {:<5.2} {:<5.2} | {:<5.2} | {:<5.2} {:<5.2} | \
                  {:>11.2} {:<5.2} {:<5.2} {:<5.2} | {:>11.2} {:<5.2}\n",
-                row.part,
+                row.phase,
                 row.window_s,
                 row.quantity,
                 row.mean,
@@ -385,23 +405,27 @@
                 row.p99,
                 row.least,
                 row.least_worst,
-                row.chance_peak,
-                row.chance_peak_worst,
-                row.chance_least,
-                row.chance_least_worst,
-                row.centre_peak,
-                row.centre_peak_worst,
+                row.random_peak,
+                row.random_peak_worst,
+                row.random_least,
+                row.random_least_worst,
+                row.central_peak,
+                row.central_peak_worst,
             );
         }
         text
     }
 }
 
-fn run_row(scenario: &Scenario, outcome: &Outcome, until: Nanos, idle: usize) -> RunRow {
-    let calls: Vec<_> = outcome.calls.iter().filter(|call| call.due >= outcome.from).collect();
+fn run_row(scenario: &Scenario, outcome: &RunResult, until: Nanos, idle: usize) -> RunRow {
+    let calls: Vec<_> =
+        outcome.client_rpcs.iter().filter(|call| call.scheduled_at >= outcome.measured_from).collect();
     let count = |end: End| calls.iter().filter(|call| call.outcome == end).count();
-    let mut times: Vec<Nanos> =
-        calls.iter().filter(|call| call.outcome == End::Ok).map(|call| call.done - call.due).collect();
+    let mut times: Vec<Nanos> = calls
+        .iter()
+        .filter(|call| call.outcome == End::Ok)
+        .map(|call| call.ended_at - call.scheduled_at)
+        .collect();
     times.sort_unstable();
     let quantile = |share: f64| {
         let at = ((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1));
@@ -409,53 +433,54 @@
     };
     // What ran: an RPC may do so once, unless its class says otherwise. Work of a server that died may have been done.
     let once = |txn: u64| {
-        let call = outcome.calls.get((txn & 0xffff_ffff_ffff) as usize);
+        let call = outcome.client_rpcs.get((txn & 0xffff_ffff_ffff) as usize);
         call.is_some_and(|call| !outcome.methods[call.method].1)
     };
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
-    for row in outcome.ledger.iter().filter(|row| row.how != How::TurnedAway && once(row.txn)) {
+    for row in outcome.server_rpcs.iter().filter(|row| row.how != How::TurnedAway && once(row.txn)) {
         *ran.entry(row.txn).or_default() += 1;
     }
-    let (least, mean, most) = gateways_per_server(&outcome.servers, &outcome.ledger, outcome.from, until);
-    let (p50, p99, late_most) = lateness(&outcome.calls);
-    let mut at_gateway = vec![0usize; outcome.lines.len()];
-    calls.iter().for_each(|call| at_gateway[call.gateway.min(outcome.lines.len() - 1)] += 1);
+    let (least, mean, most) =
+        gateways_per_server(&outcome.servers, &outcome.server_rpcs, outcome.measured_from, until);
+    let (p50, p99, late_most) = lateness(&outcome.client_rpcs);
+    let mut at_gateway = vec![0usize; outcome.log_lines.len()];
+    calls.iter().for_each(|call| at_gateway[call.gateway.min(outcome.log_lines.len() - 1)] += 1);
     let busiest = at_gateway.iter().max().copied().unwrap_or(0) as f64;
     RunRow {
         scenario: scenario.name.clone(),
         seed: scenario.seed,
-        gateways: outcome.lines.len(),
+        gateways: outcome.log_lines.len(),
         servers: outcome.servers.len(),
         rpcs: calls.len(),
         ok: count(End::Ok),
-        pushed_back: count(End::PushedBack),
+        rejected: count(End::PushedBack),
         failed: count(End::Failed),
         cut: count(End::Cut),
         unreached: count(End::Unreached),
         lost: count(End::Lost) + count(End::Open),
-        extra_answers: outcome.extra_answers,
-        twice: ran.values().filter(|count| **count > 1).count(),
-        call_outs: outcome.ledger.len(),
-        turned_away: outcome.ledger.iter().filter(|row| row.how == How::TurnedAway).count(),
-        idle,
-        parts_least: least,
-        parts_mean: round(mean),
-        parts_most: most,
-        gateway_peak: round(busiest * outcome.lines.len() as f64 / calls.len().max(1) as f64),
+        unexpected_answers: outcome.unexpected_answers,
+        executed_twice: ran.values().filter(|count| **count > 1).count(),
+        attempts: outcome.server_rpcs.len(),
+        refused_attempts: outcome.server_rpcs.iter().filter(|row| row.how == How::TurnedAway).count(),
+        idle_server_windows: idle,
+        gateways_per_server_min: least,
+        gateways_per_server_mean: round(mean),
+        gateways_per_server_max: most,
+        gateway_peak: round(busiest * outcome.log_lines.len() as f64 / calls.len().max(1) as f64),
         p50_ms: quantile(0.5),
         p99_ms: quantile(0.99),
-        count_calls: outcome.count_calls,
+        counter_calls: outcome.counter_calls,
         list_bytes: outcome.list_bytes,
         crashed: outcome.crashed.len(),
         late_p50_ms: ms(p50),
         late_p99_ms: ms(p99),
-        late_most_ms: ms(late_most),
+        late_max_ms: ms(late_most),
         void: p99 > MAX_LATENESS,
     }
 }
 
-fn server_rows(outcome: &Outcome) -> Vec<ServerRow> {
-    let rows = |at: usize| outcome.ledger.iter().filter(move |row| row.server as usize == at);
+fn server_rows(outcome: &RunResult) -> Vec<ServerRow> {
+    let rows = |at: usize| outcome.server_rpcs.iter().filter(move |row| row.server as usize == at);
     let row = |(at, server): (usize, &crate::measure::ServerHistory)| {
         let gateways: std::collections::BTreeSet<usize> = rows(at).map(|row| row.gateway()).collect();
         ServerRow {
@@ -469,17 +494,17 @@
     outcome.servers.iter().enumerate().map(row).collect()
 }
 
-fn gateway_rows(outcome: &Outcome) -> Vec<GatewayRow> {
+fn gateway_rows(outcome: &RunResult) -> Vec<GatewayRow> {
     let mut met: Vec<(usize, std::collections::BTreeSet<u32>)> =
-        vec![Default::default(); outcome.lines.len()];
-    for row in &outcome.ledger {
+        vec![Default::default(); outcome.log_lines.len()];
+    for row in &outcome.server_rpcs {
         if let Some(at) = met.get_mut(row.gateway()) {
             at.0 += 1;
             at.1.insert(row.server);
         }
     }
-    let mut calls = vec![0; outcome.lines.len()];
-    outcome.calls.iter().for_each(|call| calls[call.gateway.min(outcome.lines.len() - 1)] += 1);
+    let mut calls = vec![0; outcome.log_lines.len()];
+    outcome.client_rpcs.iter().for_each(|call| calls[call.gateway.min(outcome.log_lines.len() - 1)] += 1);
     let row = |(gateway, (call_outs, servers)): (usize, (usize, std::collections::BTreeSet<u32>))| {
         GatewayRow { gateway, rpcs: calls[gateway], call_outs, servers: servers.len() }
     };
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -89,7 +89,7 @@
         let (mut clocks, skew) = (stream_rng(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
         for _ in 0..fleet.plan.gateways {
             let (_, all) =
-                fleet.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT)).map_err(fail)?;
+                fleet.relays.with(|relays, io| relays.member(io, loopback::BROADCAST_RELAY)).map_err(fail)?;
             let agent = fleet
                 .discovery
                 .with(|discovery, io| discovery.agent(io, loopback::DISCOVERY, Default::default()));
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -103,11 +103,11 @@
     /// What clients do.
     pub fn behaviour(&self) -> ClientBehaviour {
         ClientBehaviour {
-            leave: self.leave,
-            early: self.early,
-            pieces: self.pieces,
-            fresh: self.fresh,
-            slow: self.slow,
+            abandon_share: self.leave,
+            early_connection_share: self.early,
+            split_write_share: self.pieces,
+            own_connection_share: self.fresh,
+            slow_read_share: self.slow,
         }
     }
 }
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -5,7 +5,7 @@
 pub mod draw;
 pub mod judge;
 
-use crate::fleet::{Outcome, play};
+use crate::fleet::{RunResult, run_scenario};
 use crate::load_generator::RpcOutcome as End;
 use crate::scenario::{Scenario, SystemCallFaults};
 use draw::{Kind, Size};
@@ -42,22 +42,22 @@
     program: &Path,
 ) -> Result<Run, String> {
     let scenario = Scenario { system_calls, ..draw::scenario(seed, size, without)? };
-    let outcome = play(&scenario, program)?;
+    let outcome = run_scenario(&scenario, program)?;
     let violations = judge::violations(&scenario, &outcome);
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-    for call in &outcome.calls {
+    for call in &outcome.client_rpcs {
         *ends.entry(format!("{:?}", call.outcome)).or_default() += 1;
     }
-    let served = outcome.calls.iter().filter(|call| call.outcome == End::Ok).count();
-    let counts = judge::OwnCounts::of(&outcome.lines);
+    let served = outcome.client_rpcs.iter().filter(|call| call.outcome == End::Ok).count();
+    let counts = judge::OwnCounts::of(&outcome.log_lines);
     let happened = happened(&outcome, &ends);
-    Ok(Run { seed, sent: outcome.calls.len(), served, ends, happened, counts, violations, scenario })
+    Ok(Run { seed, sent: outcome.client_rpcs.len(), served, ends, happened, counts, violations, scenario })
 }
 
-fn happened(outcome: &Outcome, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
-    let mut happened = outcome.steps.clone();
+fn happened(outcome: &RunResult, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
+    let mut happened = outcome.step_counts.clone();
     happened.insert("client left".into(), ends.get("Left").copied().unwrap_or(0));
-    happened.insert("crossed a close and sent again".into(), outcome.sent_again as usize);
+    happened.insert("crossed a close and sent again".into(), outcome.resent_rpcs as usize);
     happened
 }
 
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -1,7 +1,7 @@
 //! What a run has against the invariants: the clients' view, the servers' ledgers and the gateways' own logs beside each
 //! other. Each violation carries what is needed to follow its RPC.
 
-use crate::fleet::Outcome;
+use crate::fleet::RunResult;
 use crate::load_generator::{ClientRpc, RpcOutcome as End};
 use crate::scenario::{Fault, Place, Scenario};
 use crate::{MS, Nanos, SEC, nanos};
@@ -91,13 +91,13 @@
 }
 
 /// All that a run broke.
-pub fn violations(scenario: &Scenario, outcome: &Outcome) -> Vec<Violation> {
+pub fn violations(scenario: &Scenario, outcome: &RunResult) -> Vec<Violation> {
     let mut rows: BTreeMap<u64, Vec<&Row>> = BTreeMap::new();
-    for row in &outcome.ledger {
+    for row in &outcome.server_rpcs {
         rows.entry(row.txn).or_default().push(row);
     }
     let mut found = processes(outcome);
-    for call in outcome.calls.iter().filter(|call| call.txn != u64::MAX) {
+    for call in outcome.client_rpcs.iter().filter(|call| call.txn != u64::MAX) {
         let at_servers = rows.get(&call.txn).map_or(&[][..], Vec::as_slice);
         found.extend(of_call(scenario, outcome, call, at_servers));
     }
@@ -105,22 +105,22 @@
     found
 }
 
-fn processes(outcome: &Outcome) -> Vec<Violation> {
+fn processes(outcome: &RunResult) -> Vec<Violation> {
     let plain = |rule, text: String| Violation { rule, text, lines: Vec::new() };
     let mut found: Vec<Violation> =
         outcome.crashed.iter().map(|text| plain(Rule::Process, text.clone())).collect();
-    let own = outcome.lines.iter().flatten().filter(|line| {
+    let own = outcome.log_lines.iter().flatten().filter(|line| {
         line.contains("\"msg\":\"invariant broken\"") || line.contains("\"msg\":\"refusal withheld\"")
     });
     found.extend(own.map(|line| plain(Rule::Own, line.clone())));
-    if outcome.extra_answers > 0 {
-        found.push(plain(Rule::ExtraAnswer, format!("{} answers", outcome.extra_answers)));
+    if outcome.unexpected_answers > 0 {
+        found.push(plain(Rule::ExtraAnswer, format!("{} answers", outcome.unexpected_answers)));
     }
     found
 }
 
 /// What one RPC shows.
-fn of_call(scenario: &Scenario, outcome: &Outcome, call: &ClientRpc, rows: &[&Row]) -> Vec<Violation> {
+fn of_call(scenario: &Scenario, outcome: &RunResult, call: &ClientRpc, rows: &[&Row]) -> Vec<Violation> {
     let name = &scenario.load.methods[call.method].name;
     let effect = scenario.idempotency(name);
     let deadline = nanos(scenario.deadline(name));
@@ -132,7 +132,7 @@
         broken(Rule::Lost, &format!("{:?}", call.outcome));
     }
     // What reached a server before its client sent it again had been read, so that its connection was no longer resting.
-    let read_before = |row: &&&Row| call.crossed.is_some_and(|crossed| row.begun + WAY < crossed);
+    let read_before = |row: &&&Row| call.resent_at.is_some_and(|crossed| row.begun + WAY < crossed);
     if rows.iter().find(read_before).is_some() && !was_killed(outcome, call) && !any_link(scenario, rows) {
         broken(Rule::Lost, "read, and its connection ended");
     }
@@ -143,12 +143,17 @@
         broken(Rule::FalseRefusal, "refused, though it may have run");
     }
     let late = |row: &&&Row| {
-        call.outcome == End::Left && !behind_a_link(scenario, row) && row.begun > call.done + LEFT_GRACE + WAY
+        call.outcome == End::Left
+            && !behind_a_link(scenario, row)
+            && row.begun > call.ended_at + LEFT_GRACE + WAY
     };
     if let Some(row) = rows.iter().find(late) {
-        broken(Rule::ClientLeft, &format!("sent {} ms after its client left", (row.begun - call.done) / MS));
+        broken(
+            Rule::ClientLeft,
+            &format!("sent {} ms after its client left", (row.begun - call.ended_at) / MS),
+        );
     }
-    let left = |row: &Row| (call.sent + deadline).saturating_sub(row.begun);
+    let left = |row: &Row| (call.sent_at + deadline).saturating_sub(row.begun);
     let told = |row: &Row| row.told_ms.unwrap_or(0) * MS;
     if let Some(row) =
         rows.iter().find(|row| !behind_a_link(scenario, row) && told(row) > left(row) + TOLD_SLACK)
@@ -170,12 +175,12 @@
 }
 
 /// Whether a crowd's gateway shut a new connection with nothing read from it: no server and no log line knows the RPC.
-fn was_shut_unread(outcome: &Outcome, call: &ClientRpc, rows: &[&Row]) -> bool {
+fn was_shut_unread(outcome: &RunResult, call: &ClientRpc, rows: &[&Row]) -> bool {
     let id = format!("{:016x}", call.txn);
     call.outcome == End::Cut
-        && call.crowded
+        && call.during_connection_flood
         && rows.is_empty()
-        && !outcome.lines.iter().flatten().any(|line| line.contains(&id))
+        && !outcome.log_lines.iter().flatten().any(|line| line.contains(&id))
 }
 
 /// Whether a link stands before one of these servers.
@@ -184,15 +189,15 @@
 }
 
 /// Whether a fault killed the gateway while it had the RPC.
-fn was_killed(outcome: &Outcome, call: &ClientRpc) -> bool {
-    let until = if call.outcome == End::Open { Nanos::MAX } else { call.done };
-    outcome.killed.iter().any(|(gateway, at)| *gateway == call.gateway && *at >= call.sent && *at <= until)
+fn was_killed(outcome: &RunResult, call: &ClientRpc) -> bool {
+    let until = if call.outcome == End::Open { Nanos::MAX } else { call.ended_at };
+    outcome.killed.iter().any(|(gateway, at)| *gateway == call.gateway && *at >= call.sent_at && *at <= until)
 }
 
 fn of_rpc(
     rule: Rule,
     what: &str,
-    outcome: &Outcome,
+    outcome: &RunResult,
     call: &ClientRpc,
     method: &str,
     rows: &[&Row],
@@ -206,25 +211,25 @@
         "{what}; {method} {:016x} to n{} sent {}{} ended {} {:?}; servers: [{}]",
         call.txn,
         call.gateway,
-        ms(call.sent),
-        call.crossed.map_or(String::new(), |at| format!(" and again {}", ms(at))),
-        ms(call.done),
+        ms(call.sent_at),
+        call.resent_at.map_or(String::new(), |at| format!(" and again {}", ms(at))),
+        ms(call.ended_at),
         call.outcome,
         servers.join(", ")
     );
     let id = format!("{:016x}", call.txn);
-    let lines = outcome.lines.iter().flatten().filter(|line| line.contains(&id));
+    let lines = outcome.log_lines.iter().flatten().filter(|line| line.contains(&id));
     Violation { rule, text, lines: lines.take(LINES_SHOWN).cloned().collect() }
 }
 
 /// New work to servers whose drain had been told.
-fn drains(scenario: &Scenario, outcome: &Outcome) -> Vec<Violation> {
+fn drains(scenario: &Scenario, outcome: &RunResult) -> Vec<Violation> {
     let in_trouble = |fault: &Fault| {
         matches!(fault, Fault::DiscoveryDown { .. } | Fault::ListLate { .. } | Fault::Pause { .. })
     };
     let told_within = if scenario.faults.iter().any(in_trouble) { TOLD_LATEST } else { 0 };
     let mut found = Vec::new();
-    for row in outcome.ledger.iter().filter(|row| !behind_a_link(scenario, row)) {
+    for row in outcome.server_rpcs.iter().filter(|row| !behind_a_link(scenario, row)) {
         let mut before = outcome.list_changes.iter().filter(|change| change.server == row.server as usize);
         let last = before.rfind(|change| change.at <= row.begun);
         let Some(change) = last.filter(|change| !change.ready) else { continue };
--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -104,7 +104,7 @@
     pub fn play(&self) -> Result<Vec<ClientRpc>, ScaleError> {
         let fleet = self.set_up().map_err(failed)?;
         fleet.wait_ready(if self.path == Path::Direct { SERVERS } else { 1 })?;
-        fleet.front.with(|front, io| front.run(io, true));
+        fleet.front.with(|front, io| front.set_running(io, true));
         let from = fleet.clock.now() + WARM;
         let to = from + nanos(self.seconds);
         fleet.sleep_until(from);
@@ -117,10 +117,10 @@
             }
         }
         fleet.sleep_until(to);
-        fleet.front.with(|front, io| front.run(io, false));
+        fleet.front.with(|front, io| front.set_running(io, false));
         fleet.sleep_until(to + nanos(DEADLINE_SECONDS).min(SEC));
-        let calls = fleet.front.with(|front, _| std::mem::take(&mut front.calls));
-        Ok(calls.into_iter().filter(|call| (from..to).contains(&call.due)).collect())
+        let calls = fleet.front.with(|front, _| std::mem::take(&mut front.rpcs));
+        Ok(calls.into_iter().filter(|call| (from..to).contains(&call.scheduled_at)).collect())
     }
 
     fn set_up(&self) -> std::io::Result<Fleet> {
@@ -142,7 +142,9 @@
         let gateway = match self.path {
             Path::Direct => {
                 let addresses: Vec<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
-                front.with(move |front, io| addresses.iter().for_each(|address| front.add(io, *address)));
+                front.with(move |front, io| {
+                    addresses.iter().for_each(|address| front.add_gateway(io, *address))
+                });
                 None
             }
             Path::Gateway => {
@@ -152,7 +154,7 @@
                     Program::spawn(&mut Command::new(self.program), &configuration(agent, self.seed))?;
                 program.wait_started();
                 let address = program.address;
-                front.with(move |front, io| front.add(io, address));
+                front.with(move |front, io| front.add_gateway(io, address));
                 Some(program)
             }
         };
@@ -167,7 +169,7 @@
 
     fn wait_ready(&self, count: usize) -> Result<(), ScaleError> {
         let until = self.clock.now() + READY_WITHIN;
-        while self.front.with(|front, _| front.admitted()) < count {
+        while self.front.with(|front, _| front.admitted_gateways()) < count {
             if self.clock.now() > until {
                 return Err(ScaleError::Measurement {
                     what: "starting the gateway".to_string(),
@@ -232,13 +234,13 @@
         share: 1.0,
         units: 1.0,
     };
-    let customer = Customer { share: 1.0, first: 0, width };
+    let customer = Customer { share: 1.0, first_gateway: 0, gateway_count: width };
     LoadProfile {
         rate,
         plan: "team".to_string(),
         methods: vec![method],
         customers: vec![customer; CUSTOMERS],
-        notice: 500 * MS,
+        detection_delay: 500 * MS,
         behaviour: ClientBehaviour::default(),
     }
 }
--- a/crates/scale/src/added/mod.rs
+++ b/crates/scale/src/added/mod.rs
@@ -91,7 +91,7 @@
     let mut latencies = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
         .map_err(|why| ScaleError::Measurement { what: "a histogram".to_string(), why: why.to_string() })?;
     let answered = calls.iter().filter(|call| call.outcome == RpcOutcome::Ok);
-    answered.for_each(|call| latencies += call.done.saturating_sub(call.due));
+    answered.for_each(|call| latencies += call.ended_at.saturating_sub(call.scheduled_at));
     let milliseconds = |share: f64| latencies.value_at_quantile(share) as f64 / 1e6;
     let late = rig::load_generator::lateness(&calls).1;
     Ok(AddedRow {
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -227,7 +227,11 @@
             Disposition::Held => return,
             Disposition::Serving { after, ok } => {
                 if let Some(visits) = self.load.visits.as_mut().filter(|_| now >= self.frame.from) {
-                    visits.push(ServerRpc { server: server as usize, at: now, done: now + after });
+                    visits.push(ServerRpc {
+                        server: server as usize,
+                        arrived_at: now,
+                        ended_at: now + after,
+                    });
                 }
                 self.queue.after(after, Event::Freed { server, server_life });
                 (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -284,9 +284,9 @@
     let first = |server| if listed_first(server) { vec![(0, Nanos::MAX)] } else { Vec::new() };
     let all = 0..fleet.scenario.servers_in_all();
     let mut servers: Vec<ServerHistory> =
-        all.map(|server| ServerHistory { weight: 1.0, ready: first(server) }).collect();
+        all.map(|server| ServerHistory { weight: 1.0, ready_spans: first(server) }).collect();
     for change in &fleet.discovery.changes {
-        let spans = &mut servers[change.server as usize].ready;
+        let spans = &mut servers[change.server as usize].ready_spans;
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
         match (open, change.status) {
             (None, Status::Ready) => spans.push((change.at, Nanos::MAX)),
