--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -11,9 +11,9 @@
 fn nothing_is_broken(seed: u64, system_calls: Option<SystemCalls>) {
     let size = Size { gateways: 8, servers: 10, seconds: 12.0, faults: 8 };
     let run = soak::run(seed, size, &[], system_calls, Path::new(BIN)).unwrap();
-    println!("{}", run.shown());
-    assert!(run.violations.is_empty(), "{}", run.shown());
-    assert!(run.sent > 200 && run.counts.checked > 0, "{}", run.shown());
+    println!("{}", run.summary());
+    assert!(run.violations.is_empty(), "{}", run.summary());
+    assert!(run.sent > 200 && run.counts.checked > 0, "{}", run.summary());
 }
 
 /// A seed whose clients keep few gateways with few descriptors busy while silent connections crowd them.
@@ -23,10 +23,10 @@
 fn nothing_is_broken_while_silent_connections_crowd_busy_gateways() {
     let size = Size { gateways: 4, servers: 8, seconds: 6.0, faults: 4 };
     let run = soak::run(CROWDED, size, &[], None, Path::new(BIN)).unwrap();
-    println!("{}", run.shown());
-    assert!(run.violations.is_empty(), "{}", run.shown());
-    assert!(run.scenario.sockets < 200 && run.sent > 500 && run.served > run.sent / 3, "{}", run.shown());
-    assert!(run.happened.get("Crowd").is_some_and(|count| *count > 0), "{:?}", run.happened);
+    println!("{}", run.summary());
+    assert!(run.violations.is_empty(), "{}", run.summary());
+    assert!(run.scenario.sockets < 200 && run.sent > 500 && run.served > run.sent / 3, "{}", run.summary());
+    assert!(run.event_counts.get("Crowd").is_some_and(|count| *count > 0), "{:?}", run.event_counts);
 }
 
 #[test]
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -3,10 +3,10 @@
 use lexopt::prelude::*;
 use rig::fleet::play;
 use rig::report::Figures;
-use rig::rollouts::Plan;
+use rig::rollouts::FleetConfig;
 use rig::scenario::{Scenario, SystemCalls};
 use rig::soak;
-use rig::soak::draw::{Kind, Size};
+use rig::soak::draw::{FaultKind, Size};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -154,20 +154,20 @@
             _ => return Err(format!("--set {assignment}: no such field")),
         }
     }
-    let without: Vec<Kind> =
-        options.without.iter().map(|name| Kind::parse(name)).collect::<Result<_, String>>()?;
+    let without: Vec<FaultKind> =
+        options.without.iter().map(|name| FaultKind::parse(name)).collect::<Result<_, String>>()?;
     let faults = options.faults.clone();
     let system_calls = faults.map(|library| SystemCalls { library, rate: SYSTEM_CALLS_FAIL });
     let (mut happened, mut broken) = (BTreeMap::<String, usize>::new(), 0);
     let (mut sent, mut served, mut checked) = (0, 0, 0);
     for seed in first..first + seeds {
         let run = soak::run(seed, size, &without, system_calls.clone(), &program)?;
-        print!("{}", run.shown());
-        run.happened.iter().for_each(|(step, count)| *happened.entry(step.clone()).or_default() += count);
+        print!("{}", run.summary());
+        run.event_counts.iter().for_each(|(step, count)| *happened.entry(step.clone()).or_default() += count);
         broken += run.violations.len();
         if options.leave_one_out && !run.violations.is_empty() {
-            for kind in Kind::ALL.into_iter().filter(|kind| !without.contains(kind)) {
-                let fewer: Vec<Kind> = without.iter().copied().chain([kind]).collect();
+            for kind in FaultKind::ALL.into_iter().filter(|kind| !without.contains(kind)) {
+                let fewer: Vec<FaultKind> = without.iter().copied().chain([kind]).collect();
                 let left = soak::run(seed, size, &fewer, system_calls.clone(), &program)?;
                 if left.scenario.faults.len() < run.scenario.faults.len() {
                     println!("  without {kind:?}: {} violations", left.violations.len());
@@ -195,7 +195,7 @@
 /// Plays rollouts of settings with versions and prints their figures.
 fn run_rollouts(options: &Options) -> Result<(), String> {
     let program = options.program()?;
-    let mut plan = Plan { gateways: 20, lease: 1.0, clock: 0.25, seed: 1, skew_ms: 0 };
+    let mut plan = FleetConfig { gateways: 20, lease: 1.0, clock: 0.25, seed: 1, skew_ms: 0 };
     let mut count = 40;
     for assignment in &options.set {
         let (name, number) = assigned(assignment)?;
--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -16,7 +16,7 @@
 
 /// What is told to the whole fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetConfig {
     /// How many processes.
     pub gateways: usize,
     /// Seconds.
@@ -39,13 +39,13 @@
     /// Its digest.
     pub digest: String,
     /// The version itself, or only its ground.
-    pub whole: bool,
+    pub acts_on_version: bool,
     /// Why that changed.
     pub why: String,
 }
 
 /// Unix time, as the gateways' records have it.
-pub fn unix() -> Nanos {
+pub fn unix_now() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as Nanos)
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// Plays rollouts and shows what came of them, by the fault they were played under.
-pub fn run(plan: &Plan, count: usize, program: &Path) -> Result<String, String> {
+pub fn run(plan: &FleetConfig, count: usize, program: &Path) -> Result<String, String> {
     let mut fleet = Fleet::start(plan.clone(), program)?;
     let played = play(&mut fleet, count)?;
     let mut shown = format!(
@@ -123,7 +123,7 @@
     let seconds = fleet.age() as f64 / SEC as f64;
     shown += &format!(
         "{:.1} datagrams a second in all, over {seconds:.0} s\n",
-        fleet.datagrams() as f64 / seconds
+        fleet.datagram_count() as f64 / seconds
     );
     Ok(shown)
 }
@@ -195,7 +195,7 @@
 impl Rollout {
     fn draw(fleet: &Fleet, at: usize, last_start: Nanos, draws: &mut ChaCha8Rng) -> Rollout {
         let lease = (fleet.plan.lease * SEC as f64) as Nanos;
-        let began = unix();
+        let began = unix_now();
         let start = began + 2 * lease + draws.random_range(0..lease);
         let mut order: Vec<usize> = (0..fleet.count()).collect();
         order.shuffle(draws);
@@ -215,21 +215,21 @@
         self.disturb_links(fleet);
         self.hand_out(fleet, draws);
         let killed = self.disturb_processes(fleet, draws)?;
-        fleet.pass_until(self.start + 2 * self.lease);
+        fleet.sleep_until(self.start + 2 * self.lease);
         // All is well again, and who did not get the file gets it now.
-        fleet.heal();
+        fleet.clear_path_faults();
         let late: &[usize] = if self.trouble == Trouble::ThirdNeverTold { self.third() } else { &killed };
-        fleet.give(late, self.version, self.version, self.start);
-        let healed = unix();
+        fleet.roll_out(late, self.version, self.version, self.start);
+        let healed = unix_now();
         let all: Vec<usize> = (0..fleet.count()).collect();
-        fleet.wait(&all, |record| record.version == self.version && record.whole)?;
-        let (contradicted, who) = fleet.contradicted(self.began);
+        fleet.wait_for_records(&all, |record| record.version == self.version && record.acts_on_version)?;
+        let (contradicted, who) = fleet.longest_contradiction(self.began);
         if contradicted > 0 {
             let (name, version) = (self.trouble.name(), self.version);
             println!("{name}, version {version}: {:.1} ms, {who}", contradicted as f64 / MS as f64);
         }
-        let fallback_seconds = fleet.on_ground(self.began);
-        let settled = unix() - healed;
+        let fallback_seconds = fleet.fallback_seconds(self.began);
+        let settled = unix_now() - healed;
         Ok(Played { trouble: self.trouble, contradicted, fallback_seconds, settled })
     }
 
@@ -238,13 +238,13 @@
         let cut = Way { cut: true, ..Way::default() };
         match self.trouble {
             Trouble::HalvesCut => {
-                fleet.ways(half, rest, cut);
-                fleet.ways(rest, half, cut);
+                fleet.set_paths(half, rest, cut);
+                fleet.set_paths(rest, half, cut);
             }
-            Trouble::OneWay => fleet.ways(half, rest, cut),
+            Trouble::OneWay => fleet.set_paths(half, rest, cut),
             Trouble::Noise => {
                 let noise = Way { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.1, ..Way::default() };
-                fleet.ways(&self.order, &self.order, noise);
+                fleet.set_paths(&self.order, &self.order, noise);
             }
             _ => {}
         }
@@ -255,8 +255,8 @@
         let skipped = if self.trouble == Trouble::ThirdNeverTold { self.third().len() } else { 0 };
         let told = &self.order[skipped..];
         for group in told.chunks(told.len().div_ceil(GROUPS).max(1)) {
-            fleet.give(group, self.version, self.version, self.start);
-            fleet.pass(draws.random_range(0..self.lease / 4));
+            fleet.roll_out(group, self.version, self.version, self.start);
+            fleet.sleep(draws.random_range(0..self.lease / 4));
         }
     }
 
@@ -264,20 +264,20 @@
     fn disturb_processes(&self, fleet: &mut Fleet, draws: &mut ChaCha8Rng) -> Result<Vec<usize>, String> {
         let killed = match self.trouble {
             Trouble::Paused => {
-                fleet.pass_until(self.start - self.lease / 2);
+                fleet.sleep_until(self.start - self.lease / 2);
                 fleet.pause(self.third());
-                fleet.pass_until(self.start + self.lease);
-                fleet.wake(self.third());
+                fleet.sleep_until(self.start + self.lease);
+                fleet.resume(self.third());
                 return Ok(Vec::new());
             }
             Trouble::KilledOlder => self.third().to_vec(),
             Trouble::VotersKilled => (0..fleet.count().min(KILLED_VOTERS)).collect(),
             _ => return Ok(Vec::new()),
         };
-        fleet.pass_until(self.start - draws.random_range(0..self.lease));
+        fleet.sleep_until(self.start - draws.random_range(0..self.lease));
         fleet.kill(&killed);
-        fleet.write(&killed, self.version - 1, self.version - 1, self.last_start);
-        fleet.start_again(&killed)?;
+        fleet.write_files(&killed, self.version - 1, self.version - 1, self.last_start);
+        fleet.restart(&killed)?;
         Ok(killed)
     }
 }
--- a/crates/rig/src/rollouts/contradictions.rs
+++ b/crates/rig/src/rollouts/contradictions.rs
@@ -1,6 +1,6 @@
 //! For how long gateways contradicted each other or were on a fallback, from their own records.
 
-use super::{Fleet, unix};
+use super::{Fleet, unix_now};
 use crate::{Nanos, SEC};
 
 /// The end of an interval that has not ended.
@@ -41,8 +41,10 @@
         self.read();
         let mut acted = Vec::new();
         for (number, gateway) in self.gateways.iter().enumerate() {
-            for (at, record) in gateway.records.iter().enumerate().filter(|(_, record)| record.whole) {
-                let until = gateway.records.get(at + 1).map_or(unix(), |next| next.at);
+            for (at, record) in
+                gateway.records.iter().enumerate().filter(|(_, record)| record.acts_on_version)
+            {
+                let until = gateway.records.get(at + 1).map_or(unix_now(), |next| next.at);
                 let mut pieces = vec![Interval { from: record.at, until }];
                 for away in &gateway.away {
                     pieces = pieces.into_iter().flat_map(|piece| piece.without(*away)).collect();
@@ -60,7 +62,7 @@
 
     /// The longest that any two gateways acted on different contents at the same time since `from`, over all pairs; and
     /// which two.
-    pub fn contradicted(&mut self, from: Nanos) -> (Nanos, String) {
+    pub fn longest_contradiction(&mut self, from: Nanos) -> (Nanos, String) {
         let acted: Vec<Acted> = self.acted().into_iter().filter(|one| one.interval.until > from).collect();
         let mut worst = (0, String::new());
         for (at, one) in acted.iter().enumerate() {
@@ -78,8 +80,8 @@
     }
 
     /// For how long gateways were on a fallback since `from`, seconds summed over all that were there.
-    pub fn on_ground(&mut self, from: Nanos) -> f64 {
-        let now = unix();
+    pub fn fallback_seconds(&mut self, from: Nanos) -> f64 {
+        let now = unix_now();
         let since = Interval { from, until: OPEN_END };
         let whole: Nanos = self.acted().iter().map(|one| one.interval.overlap(since)).sum();
         let played = Interval { from, until: now };
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -1,7 +1,7 @@
 //! The processes of rollouts, the stand-in discovery and the links between the gateways.
 
 use super::contradictions::{Interval, OPEN_END};
-use super::{Plan, Record, unix};
+use super::{FleetConfig, Record, unix_now};
 use crate::{MS, Nanos, SEC, Stream, chance, loopback};
 use rand::Rng;
 use rustix::process::Signal;
@@ -46,13 +46,13 @@
 impl Gateway {
     /// From now on it can't act.
     fn went_away(&mut self) {
-        self.away.push(Interval { from: unix(), until: OPEN_END });
+        self.away.push(Interval { from: unix_now(), until: OPEN_END });
     }
 
     /// From now on it can act again.
     fn came_back(&mut self) {
         if let Some(open) = self.away.last_mut().filter(|away| away.until == OPEN_END) {
-            open.until = unix();
+            open.until = unix_now();
         }
     }
 
@@ -63,7 +63,7 @@
 
 /// A fleet with a discovery, and links between any two of its gateways.
 pub struct Fleet {
-    pub(super) plan: Plan,
+    pub(super) plan: FleetConfig,
     program: PathBuf,
     discovery: Handle<Discovery>,
     relays: Handle<Relays>,
@@ -73,7 +73,7 @@
 
 impl Fleet {
     /// Starts all gateways on version 1, and waits until each has it confirmed.
-    pub fn start(plan: Plan, program: &Path) -> Result<Fleet, String> {
+    pub fn start(plan: FleetConfig, program: &Path) -> Result<Fleet, String> {
         let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
         let clock = Clock::start();
         let relays = Handle::start(Relays::new(chance(plan.seed, Stream::Links)), clock).map_err(fail)?;
@@ -84,7 +84,7 @@
             discovery,
             relays,
             gateways: Vec::new(),
-            started: unix(),
+            started: unix_now(),
         };
         let (mut clocks, skew) = (chance(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
         for _ in 0..fleet.plan.gateways {
@@ -108,7 +108,7 @@
         }
         let all: Vec<usize> = (0..fleet.plan.gateways).collect();
         fleet.spawn(&all)?;
-        fleet.wait(&all, |record| record.version == 1 && record.whole)?;
+        fleet.wait_for_records(&all, |record| record.version == 1 && record.acts_on_version)?;
         Ok(fleet)
     }
 
@@ -165,51 +165,51 @@
     }
 
     /// Waits until the last record of each of these is as wanted.
-    pub fn wait(&mut self, which: &[usize], is: impl Fn(&Record) -> bool) -> Result<(), String> {
-        let until = unix() + PATIENCE;
+    pub fn wait_for_records(&mut self, which: &[usize], is: impl Fn(&Record) -> bool) -> Result<(), String> {
+        let until = unix_now() + PATIENCE;
         loop {
             self.read();
             let not = |gateway: &&usize| !self.gateways[**gateway].records.last().is_some_and(&is);
             let Some(missing) = which.iter().find(not) else { return Ok(()) };
-            if unix() > until {
+            if unix_now() > until {
                 let last: Vec<String> =
                     self.gateways.iter().map(|at| format!("{:?}", at.records.last())).collect();
                 return Err(format!("gateway {missing} never got there: {last:#?}"));
             }
-            self.pass(5 * MS);
+            self.sleep(5 * MS);
         }
     }
 
     /// Waits until one of these has written a line that holds this, from the start of the fleet on.
-    pub fn wait_line(&mut self, gateway: usize, part: &str) -> Result<(), String> {
-        let until = unix() + PATIENCE;
+    pub fn wait_for_line(&mut self, gateway: usize, part: &str) -> Result<(), String> {
+        let until = unix_now() + PATIENCE;
         loop {
             self.read();
             if self.gateways[gateway].lines.iter().any(|line| line.contains(part)) {
                 return Ok(());
             }
-            if unix() > until {
+            if unix_now() > until {
                 return Err(format!(
                     "gateway {gateway} never wrote {part}: {:#?}",
                     self.gateways[gateway].lines
                 ));
             }
-            self.pass(5 * MS);
+            self.sleep(5 * MS);
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&self, time: Nanos) {
+    pub fn sleep(&self, time: Nanos) {
         std::thread::sleep(Duration::from_nanos(time));
     }
 
     /// Lets time pass until then, Unix time.
-    pub fn pass_until(&self, at: Nanos) {
-        self.pass(at.saturating_sub(unix()));
+    pub fn sleep_until(&self, at: Nanos) {
+        self.sleep(at.saturating_sub(unix_now()));
     }
 
     /// Writes a file without telling the process.
-    pub fn write(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
+    pub fn write_files(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
         for gateway in which {
             self.gateways[*gateway].file = SettingsFile { version, content, starts_ms: start / MS };
             let text = self.configuration(*gateway);
@@ -220,13 +220,13 @@
     }
 
     /// Gives a version to these gateways; the same number with another `content` is another content.
-    pub fn give(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
-        self.write(which, version, content, start);
+    pub fn roll_out(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
+        self.write_files(which, version, content, start);
         self.signal(which, Signal::HUP);
     }
 
     /// The time at which a version starts, as it was given last.
-    pub fn start_of(&self, version: u64) -> Nanos {
+    pub fn start_time_of(&self, version: u64) -> Nanos {
         let files = self.gateways.iter().filter(|gateway| gateway.file.version == version);
         files.map(|gateway| gateway.file.starts_ms * MS).max().unwrap_or(0)
     }
@@ -237,7 +237,7 @@
     }
 
     /// Gives a version with this quota and a ground of half of it.
-    pub fn give_quota(&mut self, which: &[usize], version: u64, quota: f64, start: Nanos) {
+    pub fn roll_out_quota(&mut self, which: &[usize], version: u64, quota: f64, start: Nanos) {
         for gateway in which {
             let other = SettingsFile { version, content: 0, starts_ms: start / MS };
             let file = std::mem::replace(&mut self.gateways[*gateway].file, other);
@@ -253,7 +253,7 @@
     }
 
     /// Overwrites files with what is no configuration, and tells the processes.
-    pub fn spoil(&mut self, which: &[usize]) {
+    pub fn corrupt_files(&mut self, which: &[usize]) {
         let programs = which.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
         programs.for_each(|program| program.rewrite("{\"agreement\": {\"version\": 2,"));
         self.signal(which, Signal::HUP);
@@ -282,7 +282,7 @@
     }
 
     /// Lets them go on by SIGCONT.
-    pub fn wake(&mut self, which: &[usize]) {
+    pub fn resume(&mut self, which: &[usize]) {
         self.signal(which, Signal::CONT);
     }
 
@@ -307,41 +307,41 @@
     }
 
     /// Starts gateways again that were killed, on the file as it stands.
-    pub fn start_again(&mut self, which: &[usize]) -> Result<(), String> {
+    pub fn restart(&mut self, which: &[usize]) -> Result<(), String> {
         self.spawn(which)
     }
 
     /// From its next file or start on a gateway takes its clock to be so far ahead.
-    pub fn clock_off(&mut self, gateway: usize, ms: i64) {
+    pub fn set_clock_offset(&mut self, gateway: usize, ms: i64) {
         self.gateways[gateway].clock_off_ms = ms;
     }
 
     /// Lists a server, or changes it, at discovery.
-    pub fn list(&mut self, name: &str, address: SocketAddr, status: &'static str) {
+    pub fn list_server(&mut self, name: &str, address: SocketAddr, status: &'static str) {
         let (name, zone) = (name.to_string(), "a".to_string());
         let entry = Entry { name, address, zone, status, weight: 1.0, since_ms: 0 };
         self.discovery.with(move |discovery, io| discovery.change(io, entry));
     }
 
     /// What a gateway's agent of discovery does, and an older version it is thrown back to.
-    pub fn agent(&mut self, gateway: usize, mode: Mode, back_to: Option<u64>) -> Result<(), String> {
+    pub fn set_agent_mode(&mut self, gateway: usize, mode: Mode, back_to: Option<u64>) -> Result<(), String> {
         let set = self.discovery.with(move |discovery, io| discovery.set(io, gateway, mode, back_to));
         set.map_err(|e| format!("can't set an agent: {e}"))
     }
 
     /// The newest version of discovery's list.
-    pub fn index(&self) -> u64 {
+    pub fn discovery_index(&self) -> u64 {
         self.discovery.with(|discovery, _| discovery.index())
     }
 
     /// From its next start on a gateway begins with the list that its agent tells now.
-    pub fn keep_known(&mut self, gateway: usize) {
+    pub fn save_known_list(&mut self, gateway: usize) {
         let known = self.discovery.with(move |discovery, _| discovery.known(gateway));
         self.gateways[gateway].known = serde_json::from_str(&known).unwrap_or_default();
     }
 
     /// Sets the ways from some gateways to others.
-    pub fn ways(&mut self, from: &[usize], to: &[usize], way: Way) {
+    pub fn set_paths(&mut self, from: &[usize], to: &[usize], way: Way) {
         for from in from.iter().copied() {
             for to in to.iter().copied().filter(|to| *to != from) {
                 self.relays.with(move |relays, _| relays.between(from, to, way));
@@ -350,13 +350,13 @@
     }
 
     /// All ways whole again.
-    pub fn heal(&mut self) {
+    pub fn clear_path_faults(&mut self) {
         let all: Vec<usize> = (0..self.count()).collect();
-        self.ways(&all, &all, Way::default());
+        self.set_paths(&all, &all, Way::default());
     }
 
     /// Datagrams that were sent so far, each once.
-    pub fn datagrams(&self) -> u64 {
+    pub fn datagram_count(&self) -> u64 {
         self.relays.with(|relays, _| relays.came)
     }
 
@@ -368,7 +368,7 @@
 
     /// Since when this fleet runs.
     pub fn age(&self) -> Nanos {
-        unix() - self.started
+        unix_now() - self.started
     }
 }
 
@@ -378,7 +378,7 @@
         at: line["at"].as_u64()?,
         version: line["version"].as_u64()?,
         digest: line["digest"].as_str()?.to_string(),
-        whole: line["acts_on"].as_str()? == "version",
+        acts_on_version: line["acts_on"].as_str()? == "version",
         why: line["why"].as_str()?.to_string(),
     })
 }
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Outcome, play};
 use crate::front::Outcome as End;
 use crate::scenario::{Scenario, SystemCalls};
-use draw::{Kind, Size};
+use draw::{FaultKind, Size};
 use judge::Violation;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -28,7 +28,7 @@
     /// RPCs by how they ended.
     pub ends: BTreeMap<String, usize>,
     /// How often each step was carried out, and what clients did out of the ordinary.
-    pub happened: BTreeMap<String, usize>,
+    pub event_counts: BTreeMap<String, usize>,
     /// Sums of the gateways' own counts over the processes that ended by themselves.
     pub counts: judge::OwnCounts,
 }
@@ -37,7 +37,7 @@
 pub fn run(
     seed: u64,
     size: Size,
-    without: &[Kind],
+    without: &[FaultKind],
     system_calls: Option<SystemCalls>,
     program: &Path,
 ) -> Result<Run, String> {
@@ -50,20 +50,20 @@
     }
     let served = outcome.calls.iter().filter(|call| call.outcome == End::Ok).count();
     let counts = judge::OwnCounts::of(&outcome.lines);
-    let happened = happened(&outcome, &ends);
-    Ok(Run { seed, sent: outcome.calls.len(), served, ends, happened, counts, violations, scenario })
+    let event_counts = event_counts(&outcome, &ends);
+    Ok(Run { seed, sent: outcome.calls.len(), served, ends, event_counts, counts, violations, scenario })
 }
 
-fn happened(outcome: &Outcome, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
-    let mut happened = outcome.steps.clone();
-    happened.insert("client left".into(), ends.get("Left").copied().unwrap_or(0));
-    happened.insert("crossed a close and sent again".into(), outcome.sent_again as usize);
-    happened
+fn event_counts(outcome: &Outcome, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
+    let mut event_counts = outcome.steps.clone();
+    event_counts.insert("client left".into(), ends.get("Left").copied().unwrap_or(0));
+    event_counts.insert("crossed a close and sent again".into(), outcome.sent_again as usize);
+    event_counts
 }
 
 impl Run {
     /// One line for a person, and one for each violation.
-    pub fn shown(&self) -> String {
+    pub fn summary(&self) -> String {
         let ends: Vec<String> = self.ends.iter().map(|(end, count)| format!("{end} {count}")).collect();
         let mut text = format!(
             "seed {}: {} faults, {} RPCs ({}), own checks {}, withheld {}, broken {}; {} violations\n",
--- a/crates/rig/src/soak/draw.rs
+++ b/crates/rig/src/soak/draw.rs
@@ -20,7 +20,7 @@
 
 /// The kinds of faults that are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// SIGTERM, SIGKILL in its time, a new process.
     Restart,
     /// SIGKILL and a new process.
@@ -57,31 +57,31 @@
     Flap,
 }
 
-impl Kind {
+impl FaultKind {
     /// All of them.
-    pub const ALL: [Kind; 17] = [
-        Kind::Restart,
-        Kind::Kill,
-        Kind::Reload,
-        Kind::Pause,
-        Kind::Silent,
-        Kind::Slow,
-        Kind::FailsFast,
-        Kind::Replace,
-        Kind::ZoneDown,
-        Kind::Discovery,
-        Kind::Counter,
-        Kind::Burst,
-        Kind::Links,
-        Kind::Signals,
-        Kind::Crowd,
-        Kind::Throttle,
-        Kind::Flap,
+    pub const ALL: [FaultKind; 17] = [
+        FaultKind::Restart,
+        FaultKind::Kill,
+        FaultKind::Reload,
+        FaultKind::Pause,
+        FaultKind::Silent,
+        FaultKind::Slow,
+        FaultKind::FailsFast,
+        FaultKind::Replace,
+        FaultKind::ZoneDown,
+        FaultKind::Discovery,
+        FaultKind::Counter,
+        FaultKind::Burst,
+        FaultKind::Links,
+        FaultKind::Signals,
+        FaultKind::Crowd,
+        FaultKind::Throttle,
+        FaultKind::Flap,
     ];
 
     /// The kind of this name.
-    pub fn parse(name: &str) -> Result<Kind, String> {
-        let known = Kind::ALL.iter().find(|kind| format!("{kind:?}").eq_ignore_ascii_case(name));
+    pub fn parse(name: &str) -> Result<FaultKind, String> {
+        let known = FaultKind::ALL.iter().find(|kind| format!("{kind:?}").eq_ignore_ascii_case(name));
         known.copied().ok_or_else(|| format!("no kind of fault named '{name}'"))
     }
 }
@@ -111,7 +111,7 @@
 const BODIES: [usize; 4] = [2, 2, 2_000, 60_000];
 
 /// The scenario of a seed. A kind that is left out leaves the other draws as they are.
-pub fn scenario(seed: u64, size: Size, without: &[Kind]) -> Result<Scenario, String> {
+pub fn scenario(seed: u64, size: Size, without: &[FaultKind]) -> Result<Scenario, String> {
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let text = settings(&mut chance, seed, size);
     let mut scenario = Scenario::from_toml(&text)?;
@@ -127,22 +127,22 @@
 }
 
 /// Makes some runs such that room has to be made while answers are under way.
-fn crowd_throughout(scenario: &mut Scenario, size: Size, without: &[Kind], chance: &mut ChaCha8Rng) {
+fn crowd_throughout(scenario: &mut Scenario, size: Size, without: &[FaultKind], chance: &mut ChaCha8Rng) {
     let busy = chance.random_bool(BUSY_SHARE);
     let rate = chance.random_range(BUSY_RATE);
     let sockets = BUSY_SOCKETS.choose(chance).copied().unwrap_or(BUSY_SOCKETS[0]);
-    if busy && !without.contains(&Kind::Crowd) {
+    if busy && !without.contains(&FaultKind::Crowd) {
         (scenario.load.rate, scenario.sockets) = (rate, sockets);
         scenario.faults.push(Fault::Crowd { at: 0.0, seconds: size.seconds, rate: BUSY_CROWD });
     }
 }
 
 /// Restarts are drawn as often as all others together: what comes with them is what they are to be tried under.
-fn draw_kind(chance: &mut ChaCha8Rng) -> Kind {
+fn draw_kind(chance: &mut ChaCha8Rng) -> FaultKind {
     if chance.random_bool(0.4) {
-        return Kind::Restart;
+        return FaultKind::Restart;
     }
-    Kind::ALL.choose(chance).copied().unwrap_or(Kind::Restart)
+    FaultKind::ALL.choose(chance).copied().unwrap_or(FaultKind::Restart)
 }
 
 fn settings(chance: &mut ChaCha8Rng, seed: u64, size: Size) -> String {
@@ -225,7 +225,7 @@
 }
 
 /// The faults of one draw. All draws are made whatever the kind, so that each fault's do not hang on the others'.
-fn faults(kind: Kind, size: Size, chance: &mut ChaCha8Rng) -> Vec<Fault> {
+fn faults(kind: FaultKind, size: Size, chance: &mut ChaCha8Rng) -> Vec<Fault> {
     let at = chance.random_range(0.0..size.seconds * 0.8);
     let seconds = chance.random_range(0.5..(size.seconds * 0.4).max(1.0));
     let share = chance.random_range(0.1..0.6);
@@ -233,7 +233,7 @@
     let zone = ZONES.choose(chance).copied().unwrap_or(ZONES[0]).to_string();
     match kind {
         // One after another, as a fleet is rolled; half of the time servers hang through it.
-        Kind::Restart => {
+        FaultKind::Restart => {
             let hang = Fault::Silent { at: (at - HANG_BEFORE).max(0.0), share, seconds: HANG_THROUGH };
             let groups = 1 + (part * 3.0) as usize;
             let group = |nth: usize| Fault::Restart {
@@ -243,31 +243,33 @@
             };
             (0..groups).map(group).chain((part < 0.5).then_some(hang)).collect()
         }
-        Kind::Kill => vec![Fault::Kill { at, share: share * 0.5, back_after: Some(0.3) }],
-        Kind::Reload => vec![Fault::Reload { at, share }],
-        Kind::Pause => vec![Fault::Pause { at, share, seconds: part * PAUSE_MOST }],
-        Kind::Silent => vec![Fault::Silent { at, share, seconds }],
-        Kind::Slow => vec![Fault::Slow { at, share, factor: 2.0 + 20.0 * part, seconds }],
-        Kind::FailsFast => vec![Fault::FailsFast { at, share, seconds }],
-        Kind::Replace => vec![Fault::Replace { at, share, seconds, drain: 2.5 + part }],
-        Kind::ZoneDown => {
+        FaultKind::Kill => vec![Fault::Kill { at, share: share * 0.5, back_after: Some(0.3) }],
+        FaultKind::Reload => vec![Fault::Reload { at, share }],
+        FaultKind::Pause => vec![Fault::Pause { at, share, seconds: part * PAUSE_MOST }],
+        FaultKind::Silent => vec![Fault::Silent { at, share, seconds }],
+        FaultKind::Slow => vec![Fault::Slow { at, share, factor: 2.0 + 20.0 * part, seconds }],
+        FaultKind::FailsFast => vec![Fault::FailsFast { at, share, seconds }],
+        FaultKind::Replace => vec![Fault::Replace { at, share, seconds, drain: 2.5 + part }],
+        FaultKind::ZoneDown => {
             let told_after = (part < 0.5).then_some(seconds * part);
             vec![Fault::ZoneDown { at, zone, seconds, told_after }]
         }
-        Kind::Discovery if part < 0.5 => vec![Fault::DiscoveryDown { at, share, seconds }],
-        Kind::Discovery => vec![Fault::ListLate { at, share, seconds, late: part }],
-        Kind::Counter if part < 0.4 => vec![Fault::CounterStall { at, seconds }],
-        Kind::Counter if part < 0.8 => vec![Fault::CounterDown { at, seconds }],
-        Kind::Counter => vec![Fault::CounterEmpty { at }],
-        Kind::Signals => {
+        FaultKind::Discovery if part < 0.5 => vec![Fault::DiscoveryDown { at, share, seconds }],
+        FaultKind::Discovery => vec![Fault::ListLate { at, share, seconds, late: part }],
+        FaultKind::Counter if part < 0.4 => vec![Fault::CounterStall { at, seconds }],
+        FaultKind::Counter if part < 0.8 => vec![Fault::CounterDown { at, seconds }],
+        FaultKind::Counter => vec![Fault::CounterEmpty { at }],
+        FaultKind::Signals => {
             let apart = part * SIGNALS_APART;
             vec![Fault::SignalSeries { at, share, apart, back_after: 0.2 }]
         }
-        Kind::Crowd => vec![Fault::Crowd { at, seconds, rate: part * CROWD_MOST }],
-        Kind::Throttle => vec![Fault::Throttle { at, share, seconds, core: THROTTLE_LEAST + part * 0.5 }],
-        Kind::Flap => vec![Fault::Flap { at, seconds, every: FLAP_LEAST + part * 0.2 }],
-        Kind::Burst => vec![Fault::Burst { at, factor: 1.0 + 3.0 * part, seconds }],
-        Kind::Links => {
+        FaultKind::Crowd => vec![Fault::Crowd { at, seconds, rate: part * CROWD_MOST }],
+        FaultKind::Throttle => {
+            vec![Fault::Throttle { at, share, seconds, core: THROTTLE_LEAST + part * 0.5 }]
+        }
+        FaultKind::Flap => vec![Fault::Flap { at, seconds, every: FLAP_LEAST + part * 0.2 }],
+        FaultKind::Burst => vec![Fault::Burst { at, factor: 1.0 + 3.0 * part, seconds }],
+        FaultKind::Links => {
             let wire = Wire {
                 cut_there: part < 0.2,
                 cut_back: (0.2..0.4).contains(&part),
