--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -51,7 +51,16 @@
     let served = outcome.client_rpcs.iter().filter(|call| call.outcome == End::Ok).count();
     let counts = judge::OwnCounts::of(&outcome.log_lines);
     let event_counts = event_counts(&outcome, &ends);
-    Ok(Run { seed, sent: outcome.client_rpcs.len(), served, ends, event_counts, counts, violations, scenario })
+    Ok(Run {
+        seed,
+        sent: outcome.client_rpcs.len(),
+        served,
+        ends,
+        event_counts,
+        counts,
+        violations,
+        scenario,
+    })
 }
 
 fn event_counts(outcome: &RunResult, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
