--- a/crates/gateway/tests/cold_servers.rs
+++ b/crates/gateway/tests/cold_servers.rs
@@ -68,8 +68,11 @@
             .last()
             .filter(|span| span.0 > outcome.measured_from && span.1 > span.0 + terms.span);
         let Some(since) = last.map(|span| span.0) else { continue };
-        let rows = outcome.server_rpcs.iter().filter(|row| row.server as usize == server && row.at >= since);
-        let mut at: Vec<Nanos> = rows.map(|row| row.at - since).collect();
+        let rows = outcome
+            .server_rpcs
+            .iter()
+            .filter(|row| row.server as usize == server && row.received_at >= since);
+        let mut at: Vec<Nanos> = rows.map(|row| row.received_at - since).collect();
         at.sort_unstable();
         came.insert(server as u32, at);
     }
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -11,7 +11,7 @@
 use crate::{MS, Nanos, SEC};
 use lab::report::{chart, write_csv};
 use serde::Serialize;
-use standins::servers::How;
+use standins::servers::RpcOutcome;
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -437,7 +437,8 @@
         call.is_some_and(|call| !outcome.methods[call.method].1)
     };
     let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
-    for row in outcome.server_rpcs.iter().filter(|row| row.how != How::TurnedAway && once(row.txn)) {
+    for row in outcome.server_rpcs.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && once(row.txn))
+    {
         *ran.entry(row.txn).or_default() += 1;
     }
     let (least, mean, most) =
@@ -461,7 +462,11 @@
         unexpected_answers: outcome.unexpected_answers,
         executed_twice: ran.values().filter(|count| **count > 1).count(),
         attempts: outcome.server_rpcs.len(),
-        refused_attempts: outcome.server_rpcs.iter().filter(|row| row.how == How::TurnedAway).count(),
+        refused_attempts: outcome
+            .server_rpcs
+            .iter()
+            .filter(|row| row.outcome == RpcOutcome::TurnedAway)
+            .count(),
         idle_server_windows: idle,
         gateways_per_server_min: least,
         gateways_per_server_mean: round(mean),
@@ -487,7 +492,7 @@
             server: at,
             weight: server.weight,
             rpcs: rows(at).count(),
-            turned_away: rows(at).filter(|row| row.how == How::TurnedAway).count(),
+            turned_away: rows(at).filter(|row| row.outcome == RpcOutcome::TurnedAway).count(),
             gateways: gateways.len(),
         }
     };
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -5,7 +5,7 @@
 use crate::load_generator::{ClientRpc, RpcOutcome as End};
 use crate::scenario::{Fault, Place, Scenario};
 use crate::{MS, Nanos, SEC, nanos};
-use standins::servers::{How, Row};
+use standins::servers::{Row, RpcOutcome};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -124,7 +124,7 @@
     let name = &scenario.load.methods[call.method].name;
     let effect = scenario.idempotency(name);
     let deadline = nanos(scenario.deadline(name));
-    let ran: Vec<&&Row> = rows.iter().filter(|row| row.how != How::TurnedAway).collect();
+    let ran: Vec<&&Row> = rows.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway).collect();
     let mut found = Vec::new();
     let mut broken = |rule, what: &str| found.push(of_rpc(rule, what, outcome, call, name, rows));
     let ended_badly = matches!(call.outcome, End::Lost | End::Cut | End::Open);
@@ -132,7 +132,7 @@
         broken(Rule::Lost, &format!("{:?}", call.outcome));
     }
     // What reached a server before its client sent it again had been read, so that its connection was no longer resting.
-    let read_before = |row: &&&Row| call.resent_at.is_some_and(|crossed| row.begun + WAY < crossed);
+    let read_before = |row: &&&Row| call.resent_at.is_some_and(|crossed| row.first_byte_at + WAY < crossed);
     if rows.iter().find(read_before).is_some() && !was_killed(outcome, call) && !any_link(scenario, rows) {
         broken(Rule::Lost, "read, and its connection ended");
     }
@@ -145,16 +145,16 @@
     let late = |row: &&&Row| {
         call.outcome == End::Left
             && !behind_a_link(scenario, row)
-            && row.begun > call.ended_at + LEFT_GRACE + WAY
+            && row.first_byte_at > call.ended_at + LEFT_GRACE + WAY
     };
     if let Some(row) = rows.iter().find(late) {
         broken(
             Rule::ClientLeft,
-            &format!("sent {} ms after its client left", (row.begun - call.ended_at) / MS),
+            &format!("sent {} ms after its client left", (row.first_byte_at - call.ended_at) / MS),
         );
     }
-    let left = |row: &Row| (call.sent_at + deadline).saturating_sub(row.begun);
-    let told = |row: &Row| row.told_ms.unwrap_or(0) * MS;
+    let left = |row: &Row| (call.sent_at + deadline).saturating_sub(row.first_byte_at);
+    let told = |row: &Row| row.remaining_ms.unwrap_or(0) * MS;
     if let Some(row) =
         rows.iter().find(|row| !behind_a_link(scenario, row) && told(row) > left(row) + TOLD_SLACK)
     {
@@ -205,7 +205,15 @@
     let ms = |at: Nanos| at / MS;
     let servers: Vec<String> = rows
         .iter()
-        .map(|row| format!("s{:04} at {} to {} {:?}", row.server, ms(row.begun), ms(row.done), row.how))
+        .map(|row| {
+            format!(
+                "s{:04} at {} to {} {:?}",
+                row.server,
+                ms(row.first_byte_at),
+                ms(row.finished_at),
+                row.outcome
+            )
+        })
         .collect();
     let text = format!(
         "{what}; {method} {:016x} to n{} sent {}{} ended {} {:?}; servers: [{}]",
@@ -231,9 +239,9 @@
     let mut found = Vec::new();
     for row in outcome.server_rpcs.iter().filter(|row| !behind_a_link(scenario, row)) {
         let mut before = outcome.list_changes.iter().filter(|change| change.server == row.server as usize);
-        let last = before.rfind(|change| change.at <= row.begun);
+        let last = before.rfind(|change| change.at <= row.first_byte_at);
         let Some(change) = last.filter(|change| !change.ready) else { continue };
-        let since = row.begun - change.at;
+        let since = row.first_byte_at - change.at;
         if since > STOP_WITHIN + told_within + WAY {
             let text = format!(
                 "s{:04} got {:016x} from n{} {} ms after its drain was listed",
