--- a/crates/standins/src/counter.rs
+++ b/crates/standins/src/counter.rs
@@ -1,87 +1,92 @@
-//! A stand-in for the shared counter: RESP2 `INCRTTL NAME AMOUNT LIFE`, served one after another, with calls told apart
-//! by name. A script may stall it, empty it, or shut it.
+//! Substitute for the shared counter: serves the RESP2 command `INCRTTL NAME AMOUNT TTL`, one call after another, with
+//! a total per name. A test can stall it, clear its totals, or take it down.
 
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What the counter does. `Counter::become_` is the one place that changes it.
+/// State of the counter, set by [`Counter::set_state`] only. The names of the variants, as `Debug` writes them, are part
+/// of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It answers calls.
+    /// Answers calls.
     Serves,
-    /// Takes calls and answers none until it serves again.
+    /// Accepts calls, but answers them only once it serves again.
     Stalls,
-    /// Nobody listens.
+    /// Doesn't listen; open connections were reset.
     Down,
 }
 
-/// The counter: every call takes `cost` of its time.
+/// Counter that handles one call at a time, each of which takes `call_time`.
 pub struct Counter {
     state: State,
-    cost: Nanos,
+    call_time: Nanos,
     free_at: Nanos,
     address: SocketAddr,
-    door: Option<SocketId>,
+    listener: Option<SocketId>,
+    /// Total and expiry time of each name.
     totals: HashMap<Vec<u8>, (f64, Nanos)>,
-    conns: BTreeSet<ConnId>,
-    line: VecDeque<(Nanos, ConnId, Vec<u8>)>,
-    /// Calls that came so far.
+    connections: BTreeSet<ConnId>,
+    /// Answers in the order in which they are due: when, on which connection, and the text.
+    answers: VecDeque<(Nanos, ConnId, Vec<u8>)>,
+    /// Number of `INCRTTL` calls received so far.
     pub calls: u64,
 }
 
 impl Counter {
-    /// A counter that takes this long for a call.
-    pub fn new(cost: Nanos) -> Counter {
+    /// A counter that is still down and will take `call_time` for each call.
+    pub fn new(call_time: Nanos) -> Counter {
         Counter {
             state: State::Down,
-            cost,
+            call_time,
             free_at: 0,
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            door: None,
+            listener: None,
             totals: HashMap::new(),
-            conns: BTreeSet::new(),
-            line: VecDeque::new(),
+            connections: BTreeSet::new(),
+            answers: VecDeque::new(),
             calls: 0,
         }
     }
 
-    /// Begins to listen; where.
+    /// Starts to listen and to serve; returns the address, with the port that was picked if `address` has port 0.
     pub fn listen(&mut self, io: &mut Io, address: SocketAddr) -> std::io::Result<SocketAddr> {
-        let (door, address) = io.listen(address)?;
-        (self.door, self.address, self.state) = (Some(door), address, State::Serves);
+        let (listener, address) = io.listen(address)?;
+        (self.listener, self.address, self.state) = (Some(listener), address, State::Serves);
         Ok(address)
     }
 
-    /// Changes what the counter does.
+    /// Changes the state of the counter. `Down` resets all connections and drops the calls that wait.
     pub fn set_state(&mut self, io: &mut Io, state: State) -> std::io::Result<()> {
         let was = std::mem::replace(&mut self.state, state);
         if state == State::Down {
-            self.door.take().into_iter().for_each(|door| io.close_listener(door));
-            std::mem::take(&mut self.conns).into_iter().for_each(|conn| io.reset(conn));
-            self.line.clear();
+            self.listener.take().into_iter().for_each(|listener| io.close_listener(listener));
+            std::mem::take(&mut self.connections).into_iter().for_each(|conn| io.reset(conn));
+            self.answers.clear();
         } else if was == State::Down {
-            self.door = Some(io.listen(self.address)?.0);
+            self.listener = Some(io.listen(self.address)?.0);
         }
-        self.answer(io);
+        self.send_due_answers(io);
         Ok(())
     }
 
-    /// A replacement that starts at nought.
+    /// Clears all totals, as if the counter had been replaced by a new instance.
     pub fn clear(&mut self) {
         self.totals.clear();
     }
 
-    fn answer(&mut self, io: &mut Io) {
-        while self.state == State::Serves && self.line.front().is_some_and(|call| call.0 <= io.now()) {
-            if let Some((_, conn, text)) = self.line.pop_front() {
+    /// Sends the answers that are due.
+    fn send_due_answers(&mut self, io: &mut Io) {
+        while self.state == State::Serves && self.answers.front().is_some_and(|call| call.0 <= io.now()) {
+            if let Some((_, conn, text)) = self.answers.pop_front() {
                 io.send(conn, &text);
             }
         }
     }
 
-    fn call(&mut self, now: Nanos, words: &[Vec<u8>]) -> Vec<u8> {
+    /// Applies a command and returns its reply.
+    fn execute(&mut self, now: Nanos, words: &[Vec<u8>]) -> Vec<u8> {
         let number = |at: usize| -> Option<f64> {
             std::str::from_utf8(words.get(at)?).ok()?.parse().ok().filter(|value: &f64| value.is_finite())
         };
@@ -89,11 +94,11 @@
             Some(b"PING") => b"+PONG\r\n".to_vec(),
             Some(b"CLIENT" | b"SELECT") => b"+OK\r\n".to_vec(),
             Some(b"INCRTTL") => {
-                let (Some(name), Some(add), Some(life)) = (words.get(1), number(2), number(3)) else {
+                let (Some(name), Some(add), Some(ttl)) = (words.get(1), number(2), number(3)) else {
                     return b"-ERR no such call\r\n".to_vec();
                 };
                 self.calls += 1;
-                let until = now + life.clamp(1.0, 60_000.0) as Nanos * MS;
+                let until = now + ttl.clamp(1.0, 60_000.0) as Nanos * MS;
                 let total = self.totals.entry(name.clone()).or_insert((0.0, until));
                 if total.1 < now {
                     *total = (0.0, until);
@@ -109,35 +114,39 @@
 
 type Words = Vec<Vec<u8>>;
 
-/// The RESP array of bulk strings at the front of `input`, and the bytes it takes.
+/// Parses the RESP array of bulk strings at the front of `input`. Returns the strings and their length in bytes, or `None`
+/// while the array is incomplete.
 fn parse(input: &[u8]) -> Result<Option<(Words, usize)>, &'static str> {
-    let mut at = 0;
-    let mut line = |mark: u8| -> Result<Option<(usize, usize)>, &'static str> {
-        let Some(end) = input[at..].windows(2).position(|two| two == b"\r\n") else { return Ok(None) };
-        let text = &input[at..at + end];
-        let number = text.strip_prefix(&[mark]).and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
+    let mut offset = 0;
+    let mut read_length = |prefix: u8| -> Result<Option<(usize, usize)>, &'static str> {
+        let Some(end) = input[offset..].windows(2).position(|window| window == b"\r\n") else {
+            return Ok(None);
+        };
+        let text = &input[offset..offset + end];
+        let number =
+            text.strip_prefix(&[prefix]).and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
         let number = number.filter(|number| *number <= 1 << 16).ok_or("bad call")?;
-        at += end + 2;
-        if mark == b'*' {
-            return Ok(Some((number, at)));
+        offset += end + 2;
+        if prefix == b'*' {
+            return Ok(Some((number, offset)));
         }
-        let from = at;
-        at += number + 2;
-        Ok((at <= input.len()).then_some((number, from)))
+        let start = offset;
+        offset += number + 2;
+        Ok((offset <= input.len()).then_some((number, start)))
     };
-    let Some((count, mut end)) = line(b'*')? else { return Ok(None) };
+    let Some((count, mut end)) = read_length(b'*')? else { return Ok(None) };
     let mut words = Vec::new();
     for _ in 0..count {
-        let Some((length, from)) = line(b'$')? else { return Ok(None) };
-        words.push(input[from..from + length].to_vec());
-        end = from + length + 2;
+        let Some((length, start)) = read_length(b'$')? else { return Ok(None) };
+        words.push(input[start..start + length].to_vec());
+        end = start + length + 2;
     }
     Ok(Some((words, end)))
 }
 
 impl EventHandler for Counter {
     fn on_accept(&mut self, _io: &mut Io, conn: ConnId, _door: SocketId) {
-        self.conns.insert(conn);
+        self.connections.insert(conn);
     }
 
     fn on_data(&mut self, io: &mut Io, conn: ConnId) {
@@ -152,21 +161,21 @@
             };
             io.consume(conn, length);
             let now = io.now();
-            let answer = self.call(now, &words);
-            self.free_at = self.free_at.max(now) + self.cost;
-            self.line.push_back((self.free_at, conn, answer));
+            let answer = self.execute(now, &words);
+            self.free_at = self.free_at.max(now) + self.call_time;
+            self.answers.push_back((self.free_at, conn, answer));
             io.set_timer(self.free_at, 0);
         }
-        self.answer(io);
+        self.send_due_answers(io);
     }
 
     fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
-        self.conns.remove(&conn);
-        self.line.retain(|call| call.1 != conn);
+        self.connections.remove(&conn);
+        self.answers.retain(|call| call.1 != conn);
     }
 
     fn on_timer(&mut self, io: &mut Io, _token: u64) {
-        self.answer(io);
+        self.send_due_answers(io);
     }
 }
 
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Stand-in discovery: one true list, and a door of its own for each gateway (as the agent on its machine), so that a
-//! script can let gateways hear late, stand still at an older version, be thrown back to one, or hear nothing.
+//! Substitute for discovery: one list of servers, and an agent per gateway, as on the gateway's machine, each with a
+//! listener of its own. A test can delay an agent's updates, freeze its list, set it back to an older version, or take
+//! the agent down.
 
 use crate::http;
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
@@ -8,111 +9,114 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An empty line comes so often while nothing changes, as the protocol page says.
-const PULSE: Nanos = 2 * SEC;
-const PULSES: u64 = u64::MAX;
+/// Interval of the empty lines that agents send as keep-alives, as the protocol page requires.
+const KEEP_ALIVE_INTERVAL: Nanos = 2 * SEC;
+/// Token of the timer for the keep-alives; the other tokens are numbers of agents.
+const KEEP_ALIVE_TIMER: u64 = u64::MAX;
 
-/// A server as listed.
+/// Entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its status as the protocol page names them.
+    /// Status, as named on the protocol page.
     pub status: &'static str,
-    /// Its weight.
+    /// Weight of the server.
     pub weight: f64,
-    /// Unix time of its last start in milliseconds; 0 is long ago.
+    /// Unix time of its last start in milliseconds; 0 means long ago.
     pub since_ms: u64,
 }
 
 impl Entry {
-    /// As discovery writes it; `address` may differ from one gateway to another.
+    /// The entry as an agent writes it, with the `address` at which that agent's gateway reaches the server.
     pub fn json(&self, address: SocketAddr) -> Value {
         json!({"name": self.name, "address": address.to_string(), "zone": self.zone, "type": "m", "group": 0,
             "status": self.status, "weight": self.weight, "since_ms": self.since_ms})
     }
 }
 
-/// What one gateway's agent does. `Discovery::set` is the one place that changes it.
+/// Mode of a gateway's agent, set by [`Discovery::set_mode`] only. The names of the variants, as `Debug` writes them, are
+/// part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Changes are told after so long.
+    /// Sends each change after this delay.
     Late(Nanos),
-    /// Nothing is told; what is asked for hears the version held last.
+    /// Sends no changes; requests are answered with the last version sent.
     Still,
-    /// Connections are refused.
+    /// Refuses connections.
     Down,
 }
 
 struct Agent {
-    door: Option<SocketId>,
+    listener: Option<SocketId>,
     address: SocketAddr,
     mode: Mode,
-    /// The version it last told, and open watches with what they heard.
-    told: u64,
+    /// Last version sent to the gateway.
+    sent_version: u64,
     watches: Vec<ConnId>,
-    /// Addresses of servers as this gateway sees them (a link with faults stands before them).
-    seen_at: BTreeMap<String, SocketAddr>,
+    /// Addresses at which this gateway reaches servers behind a relay, by the server's name.
+    server_addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// All agents over one true list.
+/// List of servers and the agents that publish it.
 #[derive(Default)]
 pub struct Discovery {
-    /// Every change in order: version `n` is the change at place `n - 1`.
+    /// All changes in order, with their times: version `n` is the change at index `n - 1`.
     changes: Vec<(Nanos, Entry)>,
     agents: Vec<Agent>,
-    doors: BTreeMap<SocketId, usize>,
-    conns: BTreeMap<ConnId, usize>,
-    /// Bytes of all lines that told a list or changes of it.
+    agents_by_listener: BTreeMap<SocketId, usize>,
+    agents_by_connection: BTreeMap<ConnId, usize>,
+    /// Bytes of all list and change lines written to watches, with their chunk framing.
     pub list_bytes_sent: u64,
 }
 
 impl Discovery {
-    /// An agent for one more gateway; its address.
+    /// Starts an agent for another gateway and returns its address. `server_addresses` has the addresses of the servers that the
+    /// gateway reaches through a relay.
     pub fn add_agent(
         &mut self,
         io: &mut Io,
         address: SocketAddr,
-        seen_at: BTreeMap<String, SocketAddr>,
+        server_addresses: BTreeMap<String, SocketAddr>,
     ) -> std::io::Result<SocketAddr> {
         if self.agents.is_empty() {
-            io.set_timer(io.now() + PULSE, PULSES);
+            io.set_timer(io.now() + KEEP_ALIVE_INTERVAL, KEEP_ALIVE_TIMER);
         }
-        let (door, address) = io.listen(address)?;
-        self.doors.insert(door, self.agents.len());
+        let (listener, address) = io.listen(address)?;
+        self.agents_by_listener.insert(listener, self.agents.len());
         self.agents.push(Agent {
-            door: Some(door),
+            listener: Some(listener),
             address,
             mode: Mode::Late(0),
-            told: self.changes.len() as u64,
+            sent_version: self.changes.len() as u64,
             watches: Vec::new(),
-            seen_at,
+            server_addresses,
         });
         Ok(address)
     }
 
-    /// The newest version.
+    /// Newest version of the list.
     pub fn index(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// A change of the list, told to each gateway as its agent does.
+    /// Adds a change to the list; each agent sends it according to its mode.
     pub fn publish(&mut self, io: &mut Io, entry: Entry) {
         self.changes.push((io.now(), entry));
         for agent in 0..self.agents.len() {
             match self.agents[agent].mode {
-                Mode::Late(0) => self.tell(io, agent),
-                Mode::Late(late) => io.set_timer(io.now() + late, agent as u64),
+                Mode::Late(0) => self.send_changes(io, agent),
+                Mode::Late(delay) => io.set_timer(io.now() + delay, agent as u64),
                 Mode::Still | Mode::Down => {}
             }
         }
     }
 
-    /// Changes what an agent does. `back_to` throws it back to an older version, which it tells as a whole list.
+    /// Sets an agent's mode. `back_to` sets the agent back to an older version first, which it sends as a full list.
     pub fn set_mode(
         &mut self,
         io: &mut Io,
@@ -120,134 +124,155 @@
         mode: Mode,
         back_to: Option<u64>,
     ) -> std::io::Result<()> {
-        let at = &mut self.agents[agent];
-        at.mode = mode;
-        if let Some(back) = back_to {
-            at.told = back.min(at.told);
-            let whole = self.whole(agent);
+        let agent_state = &mut self.agents[agent];
+        agent_state.mode = mode;
+        if let Some(version) = back_to {
+            agent_state.sent_version = version.min(agent_state.sent_version);
+            let full_list = self.full_list(agent);
             for conn in self.agents[agent].watches.clone() {
-                self.list_bytes_sent += line(io, conn, &whole);
+                self.list_bytes_sent += send_line(io, conn, &full_list);
             }
         }
-        let at = &mut self.agents[agent];
-        match (mode, at.door) {
-            (Mode::Down, Some(door)) => {
-                io.close_listener(door);
-                self.doors.remove(&door);
-                at.door = None;
-                for conn in std::mem::take(&mut at.watches) {
-                    self.conns.remove(&conn);
+        let agent_state = &mut self.agents[agent];
+        match (mode, agent_state.listener) {
+            (Mode::Down, Some(listener)) => {
+                io.close_listener(listener);
+                self.agents_by_listener.remove(&listener);
+                agent_state.listener = None;
+                for conn in std::mem::take(&mut agent_state.watches) {
+                    self.agents_by_connection.remove(&conn);
                     io.close(conn);
                 }
             }
             (Mode::Late(_) | Mode::Still, None) => {
-                let (door, _) = io.listen(at.address)?;
-                at.door = Some(door);
-                self.doors.insert(door, agent);
+                let (listener, _) = io.listen(agent_state.address)?;
+                agent_state.listener = Some(listener);
+                self.agents_by_listener.insert(listener, agent);
             }
             _ => {}
         }
-        self.tell(io, agent);
+        self.send_changes(io, agent);
         Ok(())
     }
 
-    /// Tells what an agent may know by now and has not told.
-    fn tell(&mut self, io: &mut Io, agent: usize) {
+    /// Sends the changes that an agent's delay allows by now and that it has not sent yet.
+    fn send_changes(&mut self, io: &mut Io, agent: usize) {
         let now = io.now();
-        let at = &mut self.agents[agent];
-        let Mode::Late(late) = at.mode else { return };
-        let known = self.changes.partition_point(|change| change.0 + late <= now) as u64;
-        if known <= at.told {
+        let agent_state = &mut self.agents[agent];
+        let Mode::Late(delay) = agent_state.mode else { return };
+        let due_version = self.changes.partition_point(|change| change.0 + delay <= now) as u64;
+        if due_version <= agent_state.sent_version {
             return;
         }
-        let changed = &self.changes[at.told as usize..known as usize];
-        let text = object(known, false, changed.iter().map(|change| &change.1), &at.seen_at);
-        at.told = known;
-        for conn in at.watches.clone() {
-            self.list_bytes_sent += line(io, conn, &text);
+        let changed = &self.changes[agent_state.sent_version as usize..due_version as usize];
+        let text = list_json(
+            due_version,
+            false,
+            changed.iter().map(|change| &change.1),
+            &agent_state.server_addresses,
+        );
+        agent_state.sent_version = due_version;
+        for conn in agent_state.watches.clone() {
+            self.list_bytes_sent += send_line(io, conn, &text);
         }
     }
 
-    fn whole(&self, agent: usize) -> String {
-        let at = &self.agents[agent];
+    /// The full list at the version that an agent sent last, as JSON.
+    fn full_list(&self, agent: usize) -> String {
+        let agent_state = &self.agents[agent];
         let mut last: BTreeMap<&str, &Entry> = BTreeMap::new();
-        for (_, entry) in &self.changes[..at.told as usize] {
+        for (_, entry) in &self.changes[..agent_state.sent_version as usize] {
             last.insert(&entry.name, entry);
         }
-        object(at.told, true, last.into_values().filter(|entry| entry.status != "gone"), &at.seen_at)
+        list_json(
+            agent_state.sent_version,
+            true,
+            last.into_values().filter(|entry| entry.status != "gone"),
+            &agent_state.server_addresses,
+        )
     }
 
-    /// The whole list as an agent tells it now, for a configuration's `known`.
+    /// The full list as an agent sends it now, for `known` in a gateway's configuration.
     pub fn snapshot(&self, agent: usize) -> String {
-        self.whole(agent)
+        self.full_list(agent)
     }
 }
 
-fn object<'a>(
+/// A full list, if `full`, or a change of it, as JSON.
+fn list_json<'a>(
     index: u64,
-    whole: bool,
+    full: bool,
     entries: impl Iterator<Item = &'a Entry>,
-    seen_at: &BTreeMap<String, SocketAddr>,
+    server_addresses: &BTreeMap<String, SocketAddr>,
 ) -> String {
-    let entries: Vec<Value> =
-        entries.map(|entry| entry.json(seen_at.get(&entry.name).copied().unwrap_or(entry.address))).collect();
-    json!({"index": index, "snapshot": whole, "endpoints": entries}).to_string()
+    let entries: Vec<Value> = entries
+        .map(|entry| entry.json(server_addresses.get(&entry.name).copied().unwrap_or(entry.address)))
+        .collect();
+    json!({"index": index, "snapshot": full, "endpoints": entries}).to_string()
 }
 
-/// Writes a line as a chunk; how many bytes that takes.
-fn line(io: &mut Io, conn: ConnId, text: &str) -> u64 {
+/// Sends a line as a chunk; returns the bytes sent, with the chunk framing.
+fn send_line(io: &mut Io, conn: ConnId, text: &str) -> u64 {
     let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
     io.send(conn, chunk.as_bytes());
     chunk.len() as u64
 }
 
 impl EventHandler for Discovery {
-    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
-        match self.doors.get(&door) {
-            Some(agent) => drop(self.conns.insert(conn, *agent)),
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, listener: SocketId) {
+        match self.agents_by_listener.get(&listener) {
+            Some(agent) => drop(self.agents_by_connection.insert(conn, *agent)),
             None => io.close(conn),
         }
     }
 
     fn on_data(&mut self, io: &mut Io, conn: ConnId) {
-        let Some(agent) = self.conns.get(&conn).copied() else { return };
+        let Some(agent) = self.agents_by_connection.get(&conn).copied() else { return };
         let message = match http::parse_request(io.input(conn)) {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => return io.close(conn),
         };
         io.consume(conn, message.length);
-        self.tell(io, agent);
-        let whole = self.whole(agent);
+        self.send_changes(io, agent);
+        let full_list = self.full_list(agent);
         let Some(from) = message.path.split("from=").nth(1).and_then(|text| text.parse::<u64>().ok()) else {
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
+            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{full_list}", full_list.len());
             return io.send(conn, text.as_bytes());
         };
         io.send(conn, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let at = &mut self.agents[agent];
-        at.watches.push(conn);
-        if from == 0 || from > at.told {
-            self.list_bytes_sent += line(io, conn, &whole);
-        } else if from < at.told {
-            let changed = &self.changes[from as usize..at.told as usize];
-            self.list_bytes_sent +=
-                line(io, conn, &object(at.told, false, changed.iter().map(|change| &change.1), &at.seen_at));
+        let agent_state = &mut self.agents[agent];
+        agent_state.watches.push(conn);
+        if from == 0 || from > agent_state.sent_version {
+            self.list_bytes_sent += send_line(io, conn, &full_list);
+        } else if from < agent_state.sent_version {
+            let changed = &self.changes[from as usize..agent_state.sent_version as usize];
+            self.list_bytes_sent += send_line(
+                io,
+                conn,
+                &list_json(
+                    agent_state.sent_version,
+                    false,
+                    changed.iter().map(|change| &change.1),
+                    &agent_state.server_addresses,
+                ),
+            );
         }
     }
 
     fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
-        if let Some(agent) = self.conns.remove(&conn) {
+        if let Some(agent) = self.agents_by_connection.remove(&conn) {
             self.agents[agent].watches.retain(|other| *other != conn);
         }
     }
 
     fn on_timer(&mut self, io: &mut Io, token: u64) {
-        if token != PULSES {
-            return self.tell(io, token as usize);
+        if token != KEEP_ALIVE_TIMER {
+            return self.send_changes(io, token as usize);
         }
         for agent in &self.agents {
             agent.watches.iter().for_each(|conn| io.send(*conn, b"1\r\n\n\r\n"));
         }
-        io.set_timer(io.now() + PULSE, PULSES);
+        io.set_timer(io.now() + KEEP_ALIVE_INTERVAL, KEEP_ALIVE_TIMER);
     }
 }
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,58 +1,62 @@
-//! The little HTTP/1.1 that stand-ins read: heads through httparse, bodies of a told length.
+//! Minimal HTTP/1.1 parser of the stand-ins: heads are parsed by httparse, and bodies need a `Content-Length`.
 
-/// A whole message at the front of a buffer.
+/// Complete message at the front of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line's words: method and path of a request, the status of an answer.
+    /// Method of a request; empty for a response.
     pub method: String,
-    /// The path of a request.
+    /// Path of a request; empty for a response.
     pub path: String,
-    /// The status of an answer.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// Names and values of the headers.
+    /// Names and values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// Bytes that it takes.
+    /// Length of the whole message in bytes.
     pub length: usize,
 }
 
 impl Message {
-    /// A header's value, whatever the case of its name.
+    /// Value of a header; names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|header| header.0.eq_ignore_ascii_case(name)).map(|header| &*header.1)
     }
 }
 
-/// The request at the front of `input`: nothing while it is not whole, an error if it makes no sense.
+/// Parses the request at the front of `input`; `None` while it is incomplete.
+///
+/// # Errors
+/// If the head or the content length is invalid.
 pub fn parse_request(input: &[u8]) -> Result<Option<Message>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(input).map_err(|_| "bad head")? {
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(at) => {
+        httparse::Status::Complete(head_length) => {
             let (method, path) = (head.method.unwrap_or_default(), head.path.unwrap_or_default());
-            whole(input, at, head.headers, method, path, 0)
+            with_body(input, head_length, head.headers, method, path, 0)
         }
     }
 }
 
-/// The answer at the front of `input`, likewise.
+/// Parses the response at the front of `input`, in the same way as [`parse_request`].
 pub fn parse_response(input: &[u8]) -> Result<Option<Message>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
     match head.parse(input).map_err(|_| "bad head")? {
         httparse::Status::Partial => Ok(None),
-        httparse::Status::Complete(at) => {
+        httparse::Status::Complete(head_length) => {
             let status = head.code.unwrap_or_default();
-            whole(input, at, head.headers, "", "", status)
+            with_body(input, head_length, head.headers, "", "", status)
         }
     }
 }
 
-fn whole(
+/// Completes a message with its body, once `input` holds all of it; the head ends at `head_length`.
+fn with_body(
     input: &[u8],
-    at: usize,
+    head_length: usize,
     headers: &[httparse::Header],
     method: &str,
     path: &str,
@@ -61,15 +65,17 @@
     let headers: Vec<(String, String)> = (headers.iter())
         .map(|header| (header.name.to_string(), String::from_utf8_lossy(header.value).into_owned()))
         .collect();
-    let told = headers.iter().find(|header| header.0.eq_ignore_ascii_case("content-length"));
-    let length: usize = told.map_or(Ok(0), |told| told.1.trim().parse()).map_err(|_| "bad length")?;
-    let Some(end) = at.checked_add(length) else { return Err("bad length") };
+    let content_length = headers.iter().find(|header| header.0.eq_ignore_ascii_case("content-length"));
+    let length: usize = content_length
+        .map_or(Ok(0), |content_length| content_length.1.trim().parse())
+        .map_err(|_| "bad length")?;
+    let Some(end) = head_length.checked_add(length) else { return Err("bad length") };
     Ok((input.len() >= end).then(|| Message {
         method: method.to_string(),
         path: path.to_string(),
         status,
         headers,
-        body: input[at..end].to_vec(),
+        body: input[head_length..end].to_vec(),
         length: end,
     }))
 }
