--- a/crates/etcd-standin/src/lib.rs
+++ b/crates/etcd-standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! In-process substitute for etcd on loopback, for tests only, written from etcd's public API documentation.
+//! In-process stand-in for etcd on loopback, for tests only, written from etcd's public API documentation.
 //!
 //! It implements the v3 JSON gateway's `kv/range`, `kv/put`, `kv/deleterange`, `kv/compaction`, `lease/grant`,
 //! `lease/keepalive` and the `watch` stream (chunked, with progress notifications), over one store with revisions, a
--- a/crates/standins/src/counter.rs
+++ b/crates/standins/src/counter.rs
@@ -1,4 +1,4 @@
-//! Substitute for the shared counter: serves the RESP2 command `INCRTTL NAME AMOUNT TTL`, one call after another, with
+//! Stand-in for the shared counter: serves the RESP2 command `INCRTTL NAME AMOUNT TTL`, one call after another, with
 //! a total per name. A test can stall it, clear its totals, or take it down.
 
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Substitute for discovery: one list of servers, and an agent per gateway, as on the gateway's machine, each with a
+//! Stand-in for discovery: one list of servers, and an agent per gateway, as on the gateway's machine, each with a
 //! listener of its own. A test can delay an agent's updates, freeze its list, set it back to an older version, or take
 //! the agent down.
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins on loopback for whoever a gateway speaks with, written from the operators' protocol page alone: servers,
-//! discovery, the counter, links with faults between any two of them, and (in [`scripted`]) peers that a single test
-//! scripts message by message. The large ones share one [`reactor`]: one thread and one poll for hundreds of servers.
+//! Stand-ins (substitutes for tests) on loopback for the processes that a gateway talks to, written from the operators'
+//! protocol page alone: servers, discovery, the counter, relays that inject faults between any two of them, and (in
+//! [`scripted`]) peers that a test scripts message by message. All but the scripted peers run on a [`reactor`], which
+//! serves hundreds of servers with one thread and one poll.
 //!
-//! Everything binds 127.0.0.0/8 and nothing else. All but the scripted peers sit at addresses other than 127.0.0.1,
-//! so that no outgoing connection can be given a port that a stand-in closed and wants back.
+//! They bind addresses in 127.0.0.0/8 only. All but the scripted peers use addresses other than 127.0.0.1, so that the
+//! system can't assign the port of a listener that is closed for a while to an outgoing connection.
 #![deny(missing_docs)]
 
 pub mod counter;
@@ -17,12 +18,12 @@
 
 pub use martenramp::host::Nanos;
 
-/// A millisecond.
+/// Nanoseconds in a millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// Nanoseconds in a second.
 pub const SEC: Nanos = 1_000 * MS;
 
-/// A span given in seconds, in whole nanoseconds; what is below nought is nought.
+/// Converts seconds to whole nanoseconds; the result is clamped to between zero and 10^6 seconds.
 pub fn nanos(secs: f64) -> Nanos {
     (secs.clamp(0.0, 1e6) * 1e9) as Nanos
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,9 +1,9 @@
-//! Links with faults between any two processes: user-space relays for TCP connections and UDP datagrams on loopback.
-//! A link is a door in front of one address; each of its ways, there and back, has faults of its own.
+//! Relays that inject faults between two processes: user-space relays for TCP connections and UDP datagrams on loopback.
+//! A relay listens in front of one target address; each of its two directions has faults of its own.
 //!
-//! What a relay can't do: it accepts before it dials, so that a connection over a cut link stands and stays silent
-//! where a real network would never let it come up, and one to a dead process is reset where it would be refused.
-//! Ending only one side's sending ends the whole connection.
+//! Differences from a real network: a relay accepts before it connects to the target, so that a connection over a cut
+//! relay is established and stays silent instead of never being established, and one to a dead process is reset instead
+//! of refused. If one side shuts down its sending only, the whole connection is closed.
 
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos};
@@ -12,325 +12,348 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What lost bytes of a connection cost, as a retransmission would.
-const RETRANSMIT: Nanos = 200 * MS;
-/// How far reordered datagrams are thrown back.
-const REORDER: Nanos = 20 * MS;
-/// Bytes that wait in one way of a connection before its reading stops.
-const WAITING_MOST: usize = 256 << 10;
+/// Extra delay of lost bytes on a connection, which stands for the retransmission.
+const RETRANSMIT_DELAY: Nanos = 200 * MS;
+/// Extra delay of reordered datagrams.
+const REORDER_DELAY: Nanos = 20 * MS;
+/// Reading from a connection stops when more than this many bytes wait in its direction.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
 
-/// The faults of one way of a link.
+/// Faults of one direction of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathFaults {
-    /// Nothing passes. Bytes wait for the end of the cut, as they would in the sender; datagrams are lost.
+    /// Nothing is passed on. Bytes wait for the end of the cut, as they would in the sender; datagrams are lost.
     pub cut: bool,
-    /// What passes comes so much later.
+    /// Extra delay.
     pub delay: Nanos,
-    /// The share of datagrams lost, and of reads on a connection that come a retransmission later.
+    /// Share of the datagrams that are lost, and of the reads on a connection that are delayed by a retransmission.
     pub loss: f64,
-    /// Datagrams only: the share that is overtaken, and the share that comes twice.
+    /// Datagrams only: share that is delayed, so that later ones overtake them.
     pub reorder: f64,
-    /// Datagrams only: the share that comes twice.
+    /// Datagrams only: share that is delivered twice.
     pub duplicate: f64,
-    /// Datagrams only: the share of which a byte is changed on the way.
+    /// Datagrams only: share of which one byte is changed.
     pub corrupt: f64,
 }
 
-/// What happens to connections at a link's door.
+/// What a relay does with connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AcceptMode {
-    /// They pass.
+    /// Passes their bytes on.
     #[default]
     Forward,
-    /// Accepts and passes nothing on, for good.
+    /// Accepts new connections, but never connects them to the target, even if the mode changes later.
     Discard,
-    /// All are reset, new ones as they come.
+    /// Resets all connections, and new ones once they are accepted.
     Reset,
 }
 
-/// The faults of a link.
+/// Faults of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// What happens to connections at the door.
+    /// What happens to connections.
     pub accept: AcceptMode,
-    /// The way towards the target.
+    /// Faults of the direction to the target.
     pub to_target: PathFaults,
-    /// The way back from it.
+    /// Faults of the direction from the target.
     pub from_target: PathFaults,
 }
 
-struct Link {
+struct Relay {
     target: SocketAddr,
     faults: Faults,
 }
 
-/// One way of a connection: what waits, and whether its sender has ended.
+/// One direction of a connection: the bytes that wait, with the times at which they are due, and whether the sender has
+/// closed the connection.
 #[derive(Default)]
-struct Way {
-    waits: VecDeque<(Nanos, Vec<u8>)>,
-    bytes: usize,
-    over: bool,
+struct Direction {
+    queue: VecDeque<(Nanos, Vec<u8>)>,
+    queued_bytes: usize,
+    closed: bool,
 }
 
 struct Pair {
-    link: usize,
-    /// The side that came in, and the one that was dialled.
-    ends: [Option<ConnId>; 2],
-    up: bool,
-    /// There and back.
-    ways: [Way; 2],
+    relay: usize,
+    /// Connection that was accepted, and the one to the target.
+    sides: [Option<ConnId>; 2],
+    established: bool,
+    /// To the target, and from the target.
+    directions: [Direction; 2],
 }
 
-/// All links of one reactor.
+/// All relays of one reactor.
 pub struct Relays {
-    links: Vec<Link>,
-    doors: BTreeMap<SocketId, usize>,
-    plugs: BTreeMap<SocketId, usize>,
+    relays: Vec<Relay>,
+    tcp_relays: BTreeMap<SocketId, usize>,
+    udp_relays: BTreeMap<SocketId, usize>,
     pairs: BTreeMap<u64, Pair>,
-    conns: BTreeMap<ConnId, (u64, usize)>,
-    late: BTreeMap<u64, (SocketId, SocketAddr, Vec<u8>)>,
-    /// Those who hear each other: where each sends what all others are to hear, and where it hears; and the faults of
-    /// the ways between them, from whom to whom.
+    /// Pair of each connection, and the direction of the bytes received on it: 0 to the target, 1 from it.
+    pairs_by_connection: BTreeMap<ConnId, (u64, usize)>,
+    /// Delayed datagrams by timer token: socket, target and bytes.
+    delayed: BTreeMap<u64, (SocketId, SocketAddr, Vec<u8>)>,
+    /// Members of the broadcast group: the socket that each sends to, and the address at which it receives, if it does.
     members: Vec<(SocketId, Option<SocketAddr>)>,
-    between: BTreeMap<(usize, usize), PathFaults>,
+    /// Faults from one member to another.
+    member_faults: BTreeMap<(usize, usize), PathFaults>,
     serial: u64,
-    chance: ChaCha8Rng,
-    /// Connections and datagrams that came so far, whatever became of them.
+    rng: ChaCha8Rng,
+    /// Number of connections and datagrams received so far, including those that were not passed on.
     pub received: u64,
 }
 
-/// Timers of datagrams, and of pairs.
-const DATAGRAM: u64 = 1 << 63;
+/// Flag of the timer tokens of delayed datagrams. The other tokens are the id of a pair and, in the lowest bit, a
+/// direction.
+const DATAGRAM_TIMER: u64 = 1 << 63;
 
 impl Relays {
-    /// No links yet.
-    pub fn new(chance: ChaCha8Rng) -> Relays {
+    /// Creates a set without relays.
+    pub fn new(rng: ChaCha8Rng) -> Relays {
         Relays {
-            links: Vec::new(),
-            doors: BTreeMap::new(),
-            plugs: BTreeMap::new(),
+            relays: Vec::new(),
+            tcp_relays: BTreeMap::new(),
+            udp_relays: BTreeMap::new(),
             pairs: BTreeMap::new(),
-            conns: BTreeMap::new(),
-            late: BTreeMap::new(),
+            pairs_by_connection: BTreeMap::new(),
+            delayed: BTreeMap::new(),
             members: Vec::new(),
-            between: BTreeMap::new(),
+            member_faults: BTreeMap::new(),
             serial: 0,
-            chance,
+            rng,
             received: 0,
         }
     }
 
-    /// A link for connections to `target`; its number, and the address to come to.
+    /// Adds a relay for connections to `target`; returns its number and the address that it listens on.
     pub fn relay_tcp(
         &mut self,
         io: &mut Io,
         at: SocketAddr,
         target: SocketAddr,
     ) -> std::io::Result<(usize, SocketAddr)> {
-        let (door, address) = io.listen(at)?;
-        self.links.push(Link { target, faults: Faults::default() });
-        self.doors.insert(door, self.links.len() - 1);
-        Ok((self.links.len() - 1, address))
+        let (socket, address) = io.listen(at)?;
+        self.relays.push(Relay { target, faults: Faults::default() });
+        self.tcp_relays.insert(socket, self.relays.len() - 1);
+        Ok((self.relays.len() - 1, address))
     }
 
-    /// A link for datagrams to `target`, likewise; they arrive from this address.
+    /// Adds a relay for datagrams to `target`; returns its number and its address, from which the datagrams are sent on.
     pub fn relay_udp(
         &mut self,
         io: &mut Io,
         at: SocketAddr,
         target: SocketAddr,
     ) -> std::io::Result<(usize, SocketAddr)> {
-        let (plug, address) = io.bind_udp(at)?;
-        self.links.push(Link { target, faults: Faults::default() });
-        self.plugs.insert(plug, self.links.len() - 1);
-        Ok((self.links.len() - 1, address))
+        let (socket, address) = io.bind_udp(at)?;
+        self.relays.push(Relay { target, faults: Faults::default() });
+        self.udp_relays.insert(socket, self.relays.len() - 1);
+        Ok((self.relays.len() - 1, address))
     }
 
-    /// One more that hears all others: its number among them, and the address to send to what all others are to hear.
+    /// Adds a member to the broadcast group; returns its number, and the address that it sends to in order to reach all
+    /// other members.
     pub fn add_member(&mut self, io: &mut Io, at: SocketAddr) -> std::io::Result<(usize, SocketAddr)> {
-        let (plug, address) = io.bind_udp(at)?;
-        self.members.push((plug, None));
+        let (socket, address) = io.bind_udp(at)?;
+        self.members.push((socket, None));
         Ok((self.members.len() - 1, address))
     }
 
-    /// A member hears there from now on, or nowhere.
+    /// Sets the address at which a member receives datagrams; with `None` it receives none.
     pub fn set_receiver(&mut self, member: usize, at: Option<SocketAddr>) {
         self.members[member].1 = at;
     }
 
-    /// The faults of the way from one member to another.
-    pub fn set_path_faults(&mut self, from: usize, to: usize, path: PathFaults) {
-        self.between.insert((from, to), path);
+    /// Sets the faults from one member to another.
+    pub fn set_path_faults(&mut self, from: usize, to: usize, faults: PathFaults) {
+        self.member_faults.insert((from, to), faults);
     }
 
-    /// Changes the faults of a link.
-    pub fn set_faults(&mut self, io: &mut Io, link: usize, faults: Faults) {
-        self.links[link].faults = faults;
+    /// Sets the faults of a relay.
+    pub fn set_faults(&mut self, io: &mut Io, relay: usize, faults: Faults) {
+        self.relays[relay].faults = faults;
         let pairs: Vec<u64> =
-            self.pairs.iter().filter(|(_, pair)| pair.link == link).map(|(id, _)| *id).collect();
+            self.pairs.iter().filter(|(_, pair)| pair.relay == relay).map(|(id, _)| *id).collect();
         for id in pairs {
             match faults.accept {
-                AcceptMode::Reset => self.end(io, id, true),
-                _ => (0..2).for_each(|way| self.pump(io, id, way)),
+                AcceptMode::Reset => self.close_pair(io, id, true),
+                _ => (0..2).for_each(|direction| self.forward(io, id, direction)),
             }
         }
     }
 
-    fn path(&self, link: usize, way: usize) -> PathFaults {
-        let faults = &self.links[link].faults;
-        if way == 0 { faults.to_target } else { faults.from_target }
+    fn path_faults(&self, relay: usize, direction: usize) -> PathFaults {
+        let faults = &self.relays[relay].faults;
+        if direction == 0 { faults.to_target } else { faults.from_target }
     }
 
-    fn end(&mut self, io: &mut Io, id: u64, reset: bool) {
+    /// Closes both sides of a pair, with a reset or once the queued bytes are written.
+    fn close_pair(&mut self, io: &mut Io, id: u64, reset: bool) {
         let Some(pair) = self.pairs.remove(&id) else { return };
-        for conn in pair.ends.into_iter().flatten() {
-            self.conns.remove(&conn);
+        for conn in pair.sides.into_iter().flatten() {
+            self.pairs_by_connection.remove(&conn);
             if reset { io.reset(conn) } else { io.close_when_flushed(conn) }
         }
     }
 
-    /// Takes what came from one end into its way.
-    fn take(&mut self, io: &mut Io, id: u64, way: usize, conn: ConnId) {
-        let Some(link) = self.pairs.get(&id).map(|pair| pair.link) else { return };
-        let path = self.path(link, way);
+    /// Moves the bytes received on one side of a pair to the queue of their direction.
+    fn receive(&mut self, io: &mut Io, id: u64, direction: usize, conn: ConnId) {
+        let Some(relay) = self.pairs.get(&id).map(|pair| pair.relay) else { return };
+        let faults = self.path_faults(relay, direction);
         let bytes = io.input(conn).to_vec();
         if bytes.is_empty() {
             return;
         }
         io.consume(conn, bytes.len());
-        let lost = path.loss > 0.0 && self.chance.random_bool(path.loss.min(1.0));
-        let due = io.now() + path.delay + if lost { RETRANSMIT } else { 0 };
+        let lost = faults.loss > 0.0 && self.rng.random_bool(faults.loss.min(1.0));
+        let due = io.now() + faults.delay + if lost { RETRANSMIT_DELAY } else { 0 };
         let Some(pair) = self.pairs.get_mut(&id) else { return };
-        let way_ = &mut pair.ways[way];
-        let due = due.max(way_.waits.back().map_or(0, |last| last.0)); // bytes keep their order
-        way_.bytes += bytes.len();
-        way_.waits.push_back((due, bytes));
-        if way_.bytes > WAITING_MOST {
+        let state = &mut pair.directions[direction];
+        let due = due.max(state.queue.back().map_or(0, |last| last.0)); // bytes stay in order
+        state.queued_bytes += bytes.len();
+        state.queue.push_back((due, bytes));
+        if state.queued_bytes > MAX_QUEUED_BYTES {
             io.set_read_paused(conn, true);
         }
     }
 
-    /// Passes on what is due in one way of a connection, and its end once nothing waits before it.
-    fn pump(&mut self, io: &mut Io, id: u64, way: usize) {
-        let Some(link) = self.pairs.get(&id).map(|pair| pair.link) else { return };
-        if self.path(link, way).cut {
+    /// Passes on the bytes that are due in one direction of a pair, and closes the pair once its sender has closed and no
+    /// bytes wait.
+    fn forward(&mut self, io: &mut Io, id: u64, direction: usize) {
+        let Some(relay) = self.pairs.get(&id).map(|pair| pair.relay) else { return };
+        if self.path_faults(relay, direction).cut {
             return;
         }
-        let Some(pair) = self.pairs.get_mut(&id).filter(|pair| pair.up) else { return };
-        let (from, to) = (pair.ends[way], pair.ends[1 - way]);
-        let ways = &mut pair.ways[way];
-        while let Some((due, _)) = ways.waits.front() {
+        let Some(pair) = self.pairs.get_mut(&id).filter(|pair| pair.established) else { return };
+        let (from, to) = (pair.sides[direction], pair.sides[1 - direction]);
+        let state = &mut pair.directions[direction];
+        while let Some((due, _)) = state.queue.front() {
             if *due > io.now() {
                 let due = *due;
-                return io.set_timer(due, id << 1 | way as u64);
+                return io.set_timer(due, id << 1 | direction as u64);
             }
-            let Some((_, bytes)) = ways.waits.pop_front() else { return };
-            ways.bytes -= bytes.len();
+            let Some((_, bytes)) = state.queue.pop_front() else { return };
+            state.queued_bytes -= bytes.len();
             to.into_iter().for_each(|to| io.send(to, &bytes));
         }
         from.into_iter().for_each(|from| io.set_read_paused(from, false));
-        if ways.over {
-            self.end(io, id, false);
+        if state.closed {
+            self.close_pair(io, id, false);
         }
     }
 }
 
 impl EventHandler for Relays {
-    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
-        let Some(link) = self.doors.get(&door).copied() else { return io.close(conn) };
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, socket: SocketId) {
+        let Some(relay) = self.tcp_relays.get(&socket).copied() else { return io.close(conn) };
         self.received += 1;
-        let gate = self.links[link].faults.accept;
-        if gate == AcceptMode::Reset {
+        let accept_mode = self.relays[relay].faults.accept;
+        if accept_mode == AcceptMode::Reset {
             return io.reset(conn);
         }
-        let far = if gate == AcceptMode::Discard { None } else { io.connect(self.links[link].target).ok() };
-        if far.is_none() && gate == AcceptMode::Forward {
+        let target_conn = if accept_mode == AcceptMode::Discard {
+            None
+        } else {
+            io.connect(self.relays[relay].target).ok()
+        };
+        if target_conn.is_none() && accept_mode == AcceptMode::Forward {
             return io.reset(conn);
         }
         self.serial += 1;
-        self.conns.insert(conn, (self.serial, 0));
-        if let Some(far) = far {
-            self.conns.insert(far, (self.serial, 1));
+        self.pairs_by_connection.insert(conn, (self.serial, 0));
+        if let Some(target_conn) = target_conn {
+            self.pairs_by_connection.insert(target_conn, (self.serial, 1));
         }
-        let pair = Pair { link, ends: [Some(conn), far], up: false, ways: Default::default() };
+        let pair = Pair {
+            relay,
+            sides: [Some(conn), target_conn],
+            established: false,
+            directions: Default::default(),
+        };
         self.pairs.insert(self.serial, pair);
     }
 
     fn on_connect(&mut self, io: &mut Io, conn: ConnId) {
-        let Some((id, _)) = self.conns.get(&conn).copied() else { return };
+        let Some((id, _)) = self.pairs_by_connection.get(&conn).copied() else { return };
         if let Some(pair) = self.pairs.get_mut(&id) {
-            pair.up = true;
+            pair.established = true;
         }
-        self.pump(io, id, 0);
+        self.forward(io, id, 0);
     }
 
     fn on_data(&mut self, io: &mut Io, conn: ConnId) {
-        let Some((id, way)) = self.conns.get(&conn).copied() else { return };
-        self.take(io, id, way, conn);
-        self.pump(io, id, way);
+        let Some((id, direction)) = self.pairs_by_connection.get(&conn).copied() else { return };
+        self.receive(io, id, direction, conn);
+        self.forward(io, id, direction);
     }
 
     fn on_close(&mut self, io: &mut Io, conn: ConnId) {
-        let Some((id, way)) = self.conns.remove(&conn) else { return };
+        let Some((id, direction)) = self.pairs_by_connection.remove(&conn) else { return };
         let Some(pair) = self.pairs.get_mut(&id) else { return };
-        pair.ends[way] = None;
-        pair.ways[way].over = true;
-        if way == 1 && !pair.up {
-            return self.end(io, id, true); // it never came up
+        pair.sides[direction] = None;
+        pair.directions[direction].closed = true;
+        if direction == 1 && !pair.established {
+            return self.close_pair(io, id, true); // the connection to the target failed
         }
-        if pair.ends == [None, None] {
+        if pair.sides == [None, None] {
             self.pairs.remove(&id);
         } else {
-            self.pump(io, id, way);
+            self.forward(io, id, direction);
         }
     }
 
     fn on_timer(&mut self, io: &mut Io, token: u64) {
-        if token & DATAGRAM == 0 {
-            return self.pump(io, token >> 1, (token & 1) as usize);
+        if token & DATAGRAM_TIMER == 0 {
+            return self.forward(io, token >> 1, (token & 1) as usize);
         }
-        if let Some((plug, to, bytes)) = self.late.remove(&token) {
-            io.send_to(plug, to, &bytes);
+        if let Some((socket, to, bytes)) = self.delayed.remove(&token) {
+            io.send_to(socket, to, &bytes);
         }
     }
 
-    fn on_datagram(&mut self, io: &mut Io, door: SocketId, _from: SocketAddr, bytes: &[u8]) {
+    fn on_datagram(&mut self, io: &mut Io, socket: SocketId, _from: SocketAddr, bytes: &[u8]) {
         self.received += 1;
-        if let Some(link) = self.plugs.get(&door).copied() {
-            let (target, path) = (self.links[link].target, self.path(link, 0));
-            return self.pass(io, door, target, path, bytes);
+        if let Some(relay) = self.udp_relays.get(&socket).copied() {
+            let (target, faults) = (self.relays[relay].target, self.path_faults(relay, 0));
+            return self.pass_datagram(io, socket, target, faults, bytes);
         }
-        let Some(from) = self.members.iter().position(|member| member.0 == door) else { return };
+        let Some(from) = self.members.iter().position(|member| member.0 == socket) else { return };
         for (to, (_, at)) in self.members.clone().into_iter().enumerate() {
             if let Some(at) = at.filter(|_| to != from) {
-                let path = self.between.get(&(from, to)).copied().unwrap_or_default();
-                self.pass(io, door, at, path, bytes);
+                let faults = self.member_faults.get(&(from, to)).copied().unwrap_or_default();
+                self.pass_datagram(io, socket, at, faults, bytes);
             }
         }
     }
 }
 
 impl Relays {
-    /// A datagram over one way with its faults.
-    fn pass(&mut self, io: &mut Io, door: SocketId, target: SocketAddr, path: PathFaults, bytes: &[u8]) {
-        let mut is = |share: f64| share > 0.0 && self.chance.random_bool(share.min(1.0));
-        if path.cut || is(path.loss) {
+    /// Passes a datagram on, subject to the faults of its direction.
+    fn pass_datagram(
+        &mut self,
+        io: &mut Io,
+        socket: SocketId,
+        target: SocketAddr,
+        faults: PathFaults,
+        bytes: &[u8],
+    ) {
+        let mut draw = |share: f64| share > 0.0 && self.rng.random_bool(share.min(1.0));
+        if faults.cut || draw(faults.loss) {
             return;
         }
-        let copies = 1 + u64::from(is(path.duplicate));
-        let delay = path.delay + if is(path.reorder) { REORDER } else { 0 };
+        let copies = 1 + u64::from(draw(faults.duplicate));
+        let delay = faults.delay + if draw(faults.reorder) { REORDER_DELAY } else { 0 };
         let mut bytes = bytes.to_vec();
-        if is(path.corrupt) && !bytes.is_empty() {
-            let at = self.chance.random_range(0..bytes.len());
-            bytes[at] = bytes[at].wrapping_add(self.chance.random_range(1..=255));
+        if draw(faults.corrupt) && !bytes.is_empty() {
+            let at = self.rng.random_range(0..bytes.len());
+            bytes[at] = bytes[at].wrapping_add(self.rng.random_range(1..=255));
         }
         for _ in 0..copies {
             if delay == 0 {
-                io.send_to(door, target, &bytes);
+                io.send_to(socket, target, &bytes);
             } else {
                 self.serial += 1;
-                let token = DATAGRAM | self.serial;
-                self.late.insert(token, (door, target, bytes.clone()));
+                let token = DATAGRAM_TIMER | self.serial;
+                self.delayed.insert(token, (socket, target, bytes.clone()));
                 io.set_timer(io.now() + delay, token);
             }
         }
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -1,5 +1,6 @@
-//! Stand-in servers, hundreds on one reactor: each with cores, a queue, a limited connection table, log-normal service
-//! times, a warm-up after a start, and a health that a script changes. A ledger holds every RPC that came whole.
+//! Stand-ins for the servers, hundreds on one reactor. Each has a number of cores, a bounded queue, a connection limit,
+//! log-normal service times, a warm-up after a start, and a health that a test can change. A ledger records every RPC that
+//! was received completely.
 
 use crate::http;
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
@@ -9,98 +10,100 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How often the open connections of every server are noted.
-const SAMPLE: Nanos = 250 * MS;
-const SAMPLES: u64 = u64::MAX;
+/// Interval at which the open connections of all servers are sampled.
+const SAMPLE_INTERVAL: Nanos = 250 * MS;
+/// Token of the timer for the samples; the other tokens are serial numbers of jobs.
+const SAMPLE_TIMER: u64 = u64::MAX;
 
-/// One server as it is set up.
+/// Parameters of a server.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its weight as listed.
+    /// Weight in the list of servers.
     pub weight: f64,
-    /// RPCs served at once; further ones wait, at most `queue` of them, and beyond that are turned away.
+    /// RPCs served at the same time. Up to `queue_limit` further ones wait, and the rest are turned away with a 503.
     pub cores: usize,
-    /// RPCs that wait at most.
+    /// Maximum number of RPCs that wait.
     pub queue_limit: usize,
-    /// Connections beyond these are reset.
+    /// Maximum number of open connections; further ones are reset.
     pub max_connections: usize,
-    /// Median service time, and the log-normal's sigma.
+    /// Median of the log-normal service time.
     pub median_service: Nanos,
-    /// The log-normal's sigma.
+    /// Sigma of the log-normal service time.
     pub service_sigma: f64,
-    /// After a start it works at this share of its speed, rising to all of it over `cold_for`.
+    /// Share of its speed right after a start; it rises to the full speed over `warmup`.
     pub cold_share: f64,
-    /// How long until it works at full speed.
+    /// Time from a start to full speed.
     pub warmup: Nanos,
-    /// Answers carry a load report (`X-Pressure`) with `busy_reqs`.
+    /// Whether answers carry a load report (`X-Pressure`) with `busy_reqs`.
     pub reports_load: bool,
-    /// How long the bodies of its answers are, bytes.
+    /// Length of the answers' bodies in bytes.
     pub body_bytes: usize,
-    /// Where it is to listen.
+    /// Address to listen on.
     pub address: SocketAddr,
 }
 
-/// What a server does with RPCs. `Server::become_` is the one place that changes it.
+/// How a server treats RPCs, set by [`Servers::set_health`] only. The names of the variants, as `Debug` writes them, are
+/// part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It serves.
+    /// Serves RPCs.
     Well,
-    /// So many times slower.
+    /// Serves RPCs with service times multiplied by this factor.
     Slow(f64),
-    /// Every RPC is answered 500 at once, after it ran.
+    /// Answers every RPC with a 500 at once; it counts as having run.
     FailsFast,
-    /// Takes connections and bytes and says nothing; what it holds goes on when it is well again.
+    /// Accepts connections and bytes, but sends nothing. Pending RPCs continue once the health changes.
     Silent,
-    /// Nobody listens, and what was open is reset.
+    /// Doesn't listen; open connections were reset.
     Down,
 }
 
-/// How an RPC ended at the server.
+/// How an RPC ended at the server. The names of the variants, as `Debug` writes them, are part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcOutcome {
-    /// It is still there.
+    /// Waiting or running.
     Open,
-    /// It was answered ok.
+    /// Answered with a 200.
     Served,
-    /// It was answered 500.
+    /// Answered with a 500.
     Failed,
-    /// The queue was full; it never ran.
+    /// Answered with a 503 since the queue was full; it never ran.
     TurnedAway,
-    /// The gateway closed the connection first.
+    /// The gateway closed the connection before the answer.
     Left,
-    /// The server went down with it.
+    /// The server went down before the answer.
     Lost,
 }
 
-/// One RPC that came whole to a server.
+/// RPC that a server received completely.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// The server's number.
+    /// Number of the server.
     pub server: u32,
-    /// Which start of that server, from 0.
+    /// Number of the server's start, from 0.
     pub incarnation: u32,
-    /// The connection that it came on.
+    /// Connection that it was received on.
     pub conn: ConnId,
-    /// The RPC's id as the front made it; its top 16 bits are the gateway's number.
+    /// Id that the load generator gave the RPC; its top 16 bits are the gateway's number.
     pub txn: u64,
-    /// When its first byte came, also to a server that says nothing, and when all of it was taken in.
+    /// When its first byte arrived, even if the server was silent then.
     pub first_byte_at: Nanos,
-    /// When it was taken in.
+    /// When the server processed the complete request.
     pub received_at: Nanos,
-    /// How long the gateway said that it waits, milliseconds.
+    /// Remaining time that the gateway announced, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// When it left the server (its work was done, also for nobody); of no meaning while `Open`.
+    /// When the server finished it, even if the gateway had closed the connection by then. Meaningless while `Open`.
     pub finished_at: Nanos,
     /// How it ended.
     pub outcome: RpcOutcome,
 }
 
 impl Row {
-    /// The gateway that sent it.
+    /// Number of the gateway that sent it.
     pub fn gateway(&self) -> usize {
         (self.txn >> 48) as usize
     }
@@ -114,49 +117,51 @@
 struct Server {
     spec: ServerSpec,
     health: Health,
-    door: Option<SocketId>,
-    life: u32,
-    since: Nanos,
-    /// By serial: those on a core, and those whose work is done while the server is silent.
+    listener: Option<SocketId>,
+    incarnation: u32,
+    started_at: Nanos,
+    /// Jobs on a core, by serial number.
     running: BTreeMap<u64, Job>,
-    stuck: Vec<u64>,
+    /// Serial numbers of the jobs whose service time ended while the server was silent.
+    completed_while_silent: Vec<u64>,
     waiting: VecDeque<Job>,
     connections: usize,
 }
 
-/// All stand-in servers.
+/// All stand-in servers of one reactor.
 pub struct Servers {
     servers: Vec<Server>,
-    doors: BTreeMap<SocketId, usize>,
-    conns: BTreeMap<ConnId, usize>,
-    /// When the first byte of the message came that is not taken in yet.
-    begun: BTreeMap<ConnId, Nanos>,
-    jobs: BTreeMap<u64, usize>,
+    servers_by_listener: BTreeMap<SocketId, usize>,
+    servers_by_connection: BTreeMap<ConnId, usize>,
+    /// When the first byte arrived of the message that is not processed yet.
+    first_bytes: BTreeMap<ConnId, Nanos>,
+    /// Server of each running job, by serial number.
+    servers_by_job: BTreeMap<u64, usize>,
     serial: u64,
-    chance: ChaCha8Rng,
-    /// All RPCs so far.
+    rng: ChaCha8Rng,
+    /// All RPCs received so far.
     pub ledger: Vec<Row>,
-    /// When, and the open connections of each server.
+    /// Samples: their times, and the open connections of each server.
     pub connection_samples: Vec<(Nanos, Vec<u32>)>,
 }
 
 impl Servers {
-    /// No servers yet.
-    pub fn new(chance: ChaCha8Rng) -> Servers {
+    /// Creates a set without servers.
+    pub fn new(rng: ChaCha8Rng) -> Servers {
         Servers {
             servers: Vec::new(),
-            doors: BTreeMap::new(),
-            conns: BTreeMap::new(),
-            begun: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            servers_by_listener: BTreeMap::new(),
+            servers_by_connection: BTreeMap::new(),
+            first_bytes: BTreeMap::new(),
+            servers_by_job: BTreeMap::new(),
             serial: 0,
-            chance,
+            rng,
             ledger: Vec::new(),
             connection_samples: Vec::new(),
         }
     }
 
-    /// Sets a server up and lets it listen; its number, and its address. `warm` ones started long ago.
+    /// Adds a server that listens; returns its number and its address. If `warm`, it counts as started long ago.
     pub fn add(
         &mut self,
         io: &mut Io,
@@ -164,42 +169,42 @@
         warm: bool,
     ) -> std::io::Result<(usize, SocketAddr)> {
         if self.servers.is_empty() {
-            io.set_timer(io.now() + SAMPLE, SAMPLES);
+            io.set_timer(io.now() + SAMPLE_INTERVAL, SAMPLE_TIMER);
         }
-        let (door, address) = io.listen(spec.address)?;
+        let (listener, address) = io.listen(spec.address)?;
         spec.address = address;
         let number = self.servers.len();
-        self.doors.insert(door, number);
-        let since = if warm { 0 } else { io.now() };
+        self.servers_by_listener.insert(listener, number);
+        let started_at = if warm { 0 } else { io.now() };
         self.servers.push(Server {
             spec,
             health: Health::Well,
-            door: Some(door),
-            life: 0,
-            since,
+            listener: Some(listener),
+            incarnation: 0,
+            started_at,
             running: BTreeMap::new(),
-            stuck: Vec::new(),
+            completed_while_silent: Vec::new(),
             waiting: VecDeque::new(),
             connections: 0,
         });
         Ok((number, address))
     }
 
-    /// Changes a server's health; one that comes up from `Down` starts a new, cold life.
+    /// Sets a server's health. A server that was `Down` starts a new incarnation, which is cold.
     pub fn set_health(&mut self, io: &mut Io, number: usize, health: Health) -> std::io::Result<()> {
-        let was = std::mem::replace(&mut self.servers[number].health, health);
-        if was == health {
+        let previous = std::mem::replace(&mut self.servers[number].health, health);
+        if previous == health {
             return Ok(());
         }
         if health == Health::Down {
             let server = &mut self.servers[number];
-            if let Some(door) = server.door.take() {
-                io.close_listener(door);
-                self.doors.remove(&door);
+            if let Some(listener) = server.listener.take() {
+                io.close_listener(listener);
+                self.servers_by_listener.remove(&listener);
             }
             let jobs: Vec<Job> =
                 std::mem::take(&mut server.running).into_values().chain(server.waiting.drain(..)).collect();
-            server.stuck.clear();
+            server.completed_while_silent.clear();
             server.connections = 0;
             for job in jobs {
                 let row = &mut self.ledger[job.row];
@@ -208,35 +213,37 @@
                     if row.outcome == RpcOutcome::Left { RpcOutcome::Left } else { RpcOutcome::Lost },
                 );
             }
-            self.jobs.retain(|_, at| *at != number);
-            for conn in self.open(number) {
-                self.conns.remove(&conn);
+            self.servers_by_job.retain(|_, at| *at != number);
+            for conn in self.open_connections(number) {
+                self.servers_by_connection.remove(&conn);
                 io.reset(conn);
             }
-        } else if was == Health::Down {
+        } else if previous == Health::Down {
             let server = &mut self.servers[number];
-            let (door, _) = io.listen(server.spec.address)?;
-            (server.door, server.since) = (Some(door), io.now());
-            server.life += 1;
-            self.doors.insert(door, number);
-        } else if was == Health::Silent {
-            let stuck = std::mem::take(&mut self.servers[number].stuck);
-            stuck.into_iter().for_each(|serial| self.done(io, serial));
-            self.open(number).into_iter().for_each(|conn| self.on_data(io, conn));
+            let (listener, _) = io.listen(server.spec.address)?;
+            (server.listener, server.started_at) = (Some(listener), io.now());
+            server.incarnation += 1;
+            self.servers_by_listener.insert(listener, number);
+        } else if previous == Health::Silent {
+            let completed_while_silent = std::mem::take(&mut self.servers[number].completed_while_silent);
+            completed_while_silent.into_iter().for_each(|serial| self.complete_job(io, serial));
+            self.open_connections(number).into_iter().for_each(|conn| self.on_data(io, conn));
         }
         Ok(())
     }
 
-    fn open(&self, number: usize) -> Vec<ConnId> {
-        self.conns.iter().filter(|(_, at)| **at == number).map(|(conn, _)| *conn).collect()
+    /// Open connections of a server.
+    fn open_connections(&self, number: usize) -> Vec<ConnId> {
+        self.servers_by_connection.iter().filter(|(_, at)| **at == number).map(|(conn, _)| *conn).collect()
     }
 
-    /// When this life began, 0 for long ago.
+    /// When the current incarnation started; 0 means long ago.
     pub fn started_at(&self, number: usize) -> Nanos {
-        self.servers[number].since
+        self.servers[number].started_at
     }
 
-    fn start(&mut self, io: &mut Io, number: usize) {
+    /// Starts waiting jobs while cores are free.
+    fn start_waiting(&mut self, io: &mut Io, number: usize) {
         loop {
             let now = io.now();
             let server = &mut self.servers[number];
@@ -245,45 +252,46 @@
             }
             let Some(job) = server.waiting.pop_front() else { return };
             if self.ledger[job.row].outcome == RpcOutcome::Left {
-                self.ledger[job.row].finished_at = now; // never started
+                self.ledger[job.row].finished_at = now; // it never ran
                 continue;
             }
             let spec = &server.spec;
-            let cold = match server.since {
+            let speed = match server.started_at {
                 0 => 1.0,
-                since => {
-                    let warmed = (now - since) as f64 / spec.warmup.max(1) as f64;
-                    (spec.cold_share + (1.0 - spec.cold_share) * warmed).clamp(1e-3, 1.0)
+                started_at => {
+                    let warmed_share = (now - started_at) as f64 / spec.warmup.max(1) as f64;
+                    (spec.cold_share + (1.0 - spec.cold_share) * warmed_share).clamp(1e-3, 1.0)
                 }
             };
             let slow = if let Health::Slow(factor) = server.health { factor } else { 1.0 };
-            let median = spec.median_service.max(1) as f64 * slow / cold;
-            let took = match LogNormal::new(median.ln(), spec.service_sigma.max(0.0)) {
-                Ok(times) => times.sample(&mut self.chance),
+            let median = spec.median_service.max(1) as f64 * slow / speed;
+            let service_time = match LogNormal::new(median.ln(), spec.service_sigma.max(0.0)) {
+                Ok(distribution) => distribution.sample(&mut self.rng),
                 Err(_) => median,
             };
             self.serial += 1;
-            self.jobs.insert(self.serial, number);
+            self.servers_by_job.insert(self.serial, number);
             server.running.insert(self.serial, job);
-            io.set_timer(now + (took as Nanos).min(600 * SEC), self.serial);
+            io.set_timer(now + (service_time as Nanos).min(600 * SEC), self.serial);
         }
     }
 
-    fn done(&mut self, io: &mut Io, serial: u64) {
-        let Some(number) = self.jobs.get(&serial).copied() else { return };
+    /// Completes a job and answers its RPC, unless the server is silent.
+    fn complete_job(&mut self, io: &mut Io, serial: u64) {
+        let Some(number) = self.servers_by_job.get(&serial).copied() else { return };
         let server = &mut self.servers[number];
         if server.health == Health::Silent {
-            return server.stuck.push(serial);
+            return server.completed_while_silent.push(serial);
         }
-        self.jobs.remove(&serial);
+        self.servers_by_job.remove(&serial);
         let Some(job) = server.running.remove(&serial) else { return };
         let row = &mut self.ledger[job.row];
         row.finished_at = io.now();
         if row.outcome == RpcOutcome::Open {
             row.outcome = RpcOutcome::Served;
-            let held = server.running.len() + server.waiting.len();
+            let pending = server.running.len() + server.waiting.len();
             let report = if server.spec.reports_load {
-                format!("X-Pressure: {{\"busy_reqs\":{held}}}\r\n")
+                format!("X-Pressure: {{\"busy_reqs\":{pending}}}\r\n")
             } else {
                 String::new()
             };
@@ -291,26 +299,26 @@
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{report}\r\n{body}", body.len());
             io.send(job.conn, text.as_bytes());
         }
-        self.start(io, number);
+        self.start_waiting(io, number);
     }
 }
 
 impl EventHandler for Servers {
-    fn on_accept(&mut self, io: &mut Io, conn: ConnId, door: SocketId) {
-        let Some(number) = self.doors.get(&door).copied() else { return io.reset(conn) };
+    fn on_accept(&mut self, io: &mut Io, conn: ConnId, listener: SocketId) {
+        let Some(number) = self.servers_by_listener.get(&listener).copied() else { return io.reset(conn) };
         let server = &mut self.servers[number];
         if server.connections >= server.spec.max_connections {
             return io.reset(conn);
         }
         server.connections += 1;
-        self.conns.insert(conn, number);
+        self.servers_by_connection.insert(conn, number);
     }
 
     fn on_data(&mut self, io: &mut Io, conn: ConnId) {
-        let Some(number) = self.conns.get(&conn).copied() else { return };
+        let Some(number) = self.servers_by_connection.get(&conn).copied() else { return };
         loop {
             if !io.input(conn).is_empty() {
-                self.begun.entry(conn).or_insert(io.now());
+                self.first_bytes.entry(conn).or_insert(io.now());
             }
             let server = &mut self.servers[number];
             if server.health == Health::Silent {
@@ -330,10 +338,10 @@
             let now = io.now();
             let mut entry = Row {
                 server: number as u32,
-                incarnation: server.life,
+                incarnation: server.incarnation,
                 conn,
                 txn: txn.unwrap_or(u64::MAX),
-                first_byte_at: self.begun.remove(&conn).unwrap_or(now),
+                first_byte_at: self.first_bytes.remove(&conn).unwrap_or(now),
                 received_at: now,
                 remaining_ms: message.header("x-remaining-ms").and_then(|text| text.parse().ok()),
                 finished_at: now,
@@ -351,27 +359,27 @@
                 server.waiting.push_back(Job { conn, row });
             }
             self.ledger.push(entry);
-            self.start(io, number);
+            self.start_waiting(io, number);
         }
     }
 
     fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
-        self.begun.remove(&conn);
-        let Some(number) = self.conns.remove(&conn) else { return };
+        self.first_bytes.remove(&conn);
+        let Some(number) = self.servers_by_connection.remove(&conn) else { return };
         let server = &mut self.servers[number];
         server.connections = server.connections.saturating_sub(1);
-        // What runs goes on for nobody; what waits is passed over when its turn comes.
+        // Running jobs go on without a recipient; waiting ones are skipped when they reach the head of the queue.
         for job in server.running.values().chain(&server.waiting).filter(|job| job.conn == conn) {
             self.ledger[job.row].outcome = RpcOutcome::Left;
         }
     }
 
     fn on_timer(&mut self, io: &mut Io, token: u64) {
-        if token != SAMPLES {
-            return self.done(io, token);
+        if token != SAMPLE_TIMER {
+            return self.complete_job(io, token);
         }
         let open = self.servers.iter().map(|server| server.connections as u32).collect();
         self.connection_samples.push((io.now(), open));
-        io.set_timer(io.now() + SAMPLE, SAMPLES);
+        io.set_timer(io.now() + SAMPLE_INTERVAL, SAMPLE_TIMER);
     }
 }
