--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,5 +1,5 @@
-//! The program under test as a process: started on a configuration file of its own, spoken to by signals and heard by
-//! its log lines. It is ended by its own id when it is dropped, also while a test unwinds.
+//! Runs the program under test as a process with a configuration file of its own, controls it by signals, and reads its
+//! log lines. The process is killed when its [`Program`] is dropped, even if a test panics.
 
 use crate::scripted::{Client, WAIT_TIMEOUT, status};
 use rustix::process::{Pid, Signal, kill_process};
@@ -13,23 +13,23 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// One process of the program.
+/// Process of the program under test.
 pub struct Program {
-    /// The process.
+    /// Child process.
     pub child: Child,
-    /// Where it listens.
+    /// Address that it listens on, once it has started.
     pub address: SocketAddr,
     lines: Receiver<String>,
     file: PathBuf,
 }
 
 impl Program {
-    /// `more` is further configuration, each part with a comma behind.
+    /// Starts the program and waits until it listens. `more` has additional configuration fields, each followed by a comma.
     pub fn start(program: &str, discovery: SocketAddr, more: &str, settings: &str) -> Program {
         Program::run(&mut Command::new(program), discovery, more, settings)
     }
 
-    /// The same with a seed of its own, which all that the program draws by chance comes from.
+    /// Like [`Program::start`], with a given seed for all random choices of the program.
     pub fn start_seeded(
         program: &str,
         seed: u64,
@@ -43,7 +43,7 @@
         program
     }
 
-    /// Starts a command; the rest as for `start`.
+    /// Like [`Program::start`], for a command.
     pub fn run(command: &mut Command, discovery: SocketAddr, more: &str, settings: &str) -> Program {
         let mut program =
             Program::spawn(command, &config("127.0.0.1:0", discovery, more, SEED, settings)).unwrap();
@@ -51,17 +51,19 @@
         program
     }
 
-    /// Starts a command on a configuration given as text; `wait_started` tells where it listens.
+    /// Starts a command with a configuration given as text, and doesn't wait; `wait_started` finds out its address.
     pub fn spawn(command: &mut Command, text: &str) -> std::io::Result<Program> {
         let file = config_file(text);
         let mut child = command.args(["serve", "--config"]).arg(&file).stderr(Stdio::piped()).spawn()?;
         let reader = BufReader::new(child.stderr.take().expect("standard error is piped"));
-        let (tell, lines) = channel();
-        std::thread::spawn(move || reader.lines().map_while(Result::ok).all(|line| tell.send(line).is_ok()));
+        let (line_sender, lines) = channel();
+        std::thread::spawn(move || {
+            reader.lines().map_while(Result::ok).all(|line| line_sender.send(line).is_ok())
+        });
         Ok(Program { child, address: SocketAddr::from(([127, 0, 0, 1], 0)), lines, file })
     }
 
-    /// Waits until the program says that it started, and learns where it listens; all lines up to that.
+    /// Waits for the log line `started` and reads the address from it; returns all lines up to it.
     pub fn wait_started(&mut self) -> Vec<String> {
         let lines = self.lines_until("\"msg\":\"started\"");
         let listen = lines.last().and_then(|line| line.split("\"listen\":\"").nth(1)?.split('"').next());
@@ -69,62 +71,62 @@
         lines
     }
 
-    /// The next log line that holds this.
+    /// Waits for the next log line that contains `part`.
     pub fn wait_for_line(&self, part: &str) -> String {
-        self.lines_until(part).pop().expect("the line that was waited for")
+        self.lines_until(part).pop().expect("lines_until returns at least one line")
     }
 
-    /// The log lines up to the next one that holds this.
+    /// Waits for the next log line that contains `part`; returns all lines up to it.
     pub fn lines_until(&self, part: &str) -> Vec<String> {
         let until = Instant::now() + WAIT_TIMEOUT;
         let mut lines = Vec::new();
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.lines.recv_timeout(left);
-            lines.push(line.unwrap_or_else(|_| panic!("no line with {part} but {lines:#?}")));
+            lines.push(line.unwrap_or_else(|_| panic!("no log line with {part} among {lines:#?}")));
             if lines[lines.len() - 1].contains(part) {
                 return lines;
             }
         }
     }
 
-    /// The log lines that came since the last look.
+    /// Log lines that arrived since the last call that read some, without waiting.
     pub fn new_lines(&self) -> Vec<String> {
         self.lines.try_iter().collect()
     }
 
-    /// Returns once the program has dealt with all that was sent to it before.
+    /// Returns once the program has processed everything sent to it before: it answers a health check after that.
     pub fn wait_until_processed(&self) {
         assert_eq!(status(&self.client().ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     }
 
-    /// A connection to it.
+    /// Opens a connection to the program.
     pub fn client(&self) -> Client {
         Client::new(self.address)
     }
 
-    /// The configuration of this program with other peers.
+    /// Configuration for this program's address, with another discovery address, fields and settings.
     pub fn config(&self, discovery: SocketAddr, more: &str, settings: &str) -> String {
         config(&self.address.to_string(), discovery, more, SEED, settings)
     }
 
-    /// Writes its configuration file anew; it is not told.
+    /// Replaces the configuration file; the program reads it only after a SIGHUP.
     pub fn rewrite_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> Option<Pid> {
         Pid::from_raw(self.child.id() as i32)
     }
 
-    /// Sends a signal to this process, which must not have been waited for.
+    /// Sends a signal to the process, which must not have been waited for.
     pub fn send_signal(&self, signal: Signal) -> std::io::Result<()> {
         let pid = self.pid().ok_or(std::io::ErrorKind::InvalidInput)?;
         Ok(kill_process(pid, signal)?)
     }
 
-    /// The same by the signal's usual short name, for tests.
+    /// Like [`Program::send_signal`], with the option of `kill` as the signal's name.
     pub fn signal(&self, name: &str) {
         let signal = match name {
             "-TERM" => Signal::TERM,
@@ -136,7 +138,7 @@
         self.send_signal(signal).unwrap();
     }
 
-    /// Stops the process with a signal and returns once it stands still; `-CONT` lets it go on.
+    /// Stops the process by SIGSTOP and returns once it is stopped; `-CONT` resumes it.
     pub fn pause(&self) {
         self.signal("-STOP");
         let state = format!("/proc/{}/stat", self.child.id());
@@ -145,12 +147,12 @@
         }
     }
 
-    /// Holds the program inside a turn of its loop, until [`HeldTurn::resume`]: it is told to read its configuration again,
-    /// from a pipe that says nothing. All that `before` brings, and timers that come due during it, are found at the begin
-    /// of that turn; what comes later is not.
+    /// Blocks the program within a turn of its event loop until [`HeldTurn::resume`], by a reload of its configuration from
+    /// a pipe without data. At the start of that turn the program sees all events that `before` causes and the timers that
+    /// expire meanwhile; it sees later ones only after it.
     pub fn hold_turn(&self, before: impl FnOnce()) -> HeldTurn<'_> {
         let text = std::fs::read_to_string(&self.file).unwrap();
-        // A turn before is held, too, while the other's events and its signal gather.
+        // The preceding turn is blocked as well, while the events and the signal for the next one accumulate.
         let first = self.hold_at_pipe();
         self.make_pipe();
         before();
@@ -159,39 +161,42 @@
         HeldTurn { program: self, pipe: self.open_pipe(), text }
     }
 
+    /// Blocks the program in a reload of its configuration and returns the writing end of the pipe.
     fn hold_at_pipe(&self) -> File {
         self.make_pipe();
         self.signal("-HUP");
         self.open_pipe()
     }
 
-    /// Puts a new named pipe in the place of the configuration file.
+    /// Replaces the configuration file by a new named pipe.
     fn make_pipe(&self) {
         use rustix::fs::{CWD, FileType, Mode};
         std::fs::remove_file(&self.file).unwrap();
         rustix::fs::mknodat(CWD, &self.file, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).unwrap();
     }
 
-    /// The writing end of the pipe, once the program has opened it to read: without blocking it can't be opened before.
+    /// Opens the pipe for writing, once the program has opened it for reading; a non-blocking open fails until then.
     fn open_pipe(&self) -> File {
         let until = Instant::now() + WAIT_TIMEOUT;
         let nonblocking = rustix::fs::OFlags::NONBLOCK.bits() as i32;
         loop {
             match OpenOptions::new().write(true).custom_flags(nonblocking).open(&self.file) {
                 Ok(pipe) => return pipe,
-                Err(e) => assert!(Instant::now() < until, "the configuration is not read again: {e}"),
+                Err(e) => {
+                    assert!(Instant::now() < until, "the program doesn't reload its configuration: {e}")
+                }
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Whether it has ended, and how.
+    /// Exit status, or `None` if the process is running.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
 
-/// A program that is held inside a turn.
+/// Program that is blocked within a turn of its event loop.
 pub struct HeldTurn<'a> {
     program: &'a Program,
     pipe: File,
@@ -199,7 +204,7 @@
 }
 
 impl HeldTurn<'_> {
-    /// Lets the turn go on, with the configuration as it was.
+    /// Completes the reload with the unchanged configuration, and so resumes the turn.
     pub fn resume(self) {
         std::fs::remove_file(&self.program.file).unwrap();
         self.program.rewrite_config(&self.text);
@@ -207,7 +212,7 @@
     }
 }
 
-/// Writes a text that a pipe takes at once, and closes it.
+/// Writes a text to a pipe and closes it. The text has to fit in the pipe's buffer.
 fn write_all_to(mut pipe: File, text: &str) {
     pipe.write_all(text.as_bytes()).unwrap();
 }
@@ -220,7 +225,7 @@
     }
 }
 
-/// The seed of whoever needs none in particular.
+/// Seed of programs that need no particular one.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 
 fn config(listen: &str, discovery: SocketAddr, more: &str, seed: u64, settings: &str) -> String {
@@ -230,7 +235,7 @@
     )
 }
 
-/// A file of its own with this text.
+/// Writes a text to a new temporary file.
 pub fn config_file(text: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -1,5 +1,8 @@
-//! Peers that one test scripts message by message, the program under test, and the words they speak. Blocking, a thread a
-//! connection: for a handful of peers. Everything waits on events, for [`WAIT_TIMEOUT`] at most, and panics when none comes.
+//! Peers that a test scripts message by message, the test's clients, and the text of the messages that they exchange with
+//! the program under test.
+//!
+//! Sockets block and each connection has a thread of its own, which suits a handful of peers. Waits end with the event that
+//! they are for; after [`WAIT_TIMEOUT`] they panic.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,33 +13,33 @@
 pub use crate::process::{Program, config_file};
 pub use crate::{MS, SEC};
 
-/// How long a story waits for anything.
+/// How long a test waits for any single event.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a stand-in does with a message: the bytes to write, and whether it closes then.
+/// Response of a peer to a message: the bytes to write, and whether to close the connection afterwards.
 pub type Reply = (Vec<u8>, bool);
 
-/// Writes this text and stays open.
+/// Reply that writes a text and keeps the connection open.
 pub fn raw_reply(text: &str) -> Reply {
     (text.as_bytes().to_vec(), false)
 }
 
-/// A whole answer with this body and further header lines.
+/// Reply with a complete HTTP answer. Each line of `lines`, the additional headers, ends with CRLF.
 pub fn answer(status: u16, lines: &str, body: &str) -> Reply {
     raw_reply(&format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{lines}\r\n{body}", body.len()))
 }
 
-/// Someone that the gateway connects to: each whole message is answered by `reply`, which gets the number of
-/// the connection, and is told to the test.
+/// Peer that the gateway connects to. It answers each complete message by means of a closure, which gets the number of the
+/// connection and the message, and then passes the message to the test.
 pub struct Peer {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    seen: Receiver<(usize, String)>,
+    messages: Receiver<(usize, String)>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Peer {
-    /// A peer that answers so.
+    /// A peer that answers with `reply`.
     pub fn new(reply: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> Peer {
         Peer::listening(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
@@ -46,55 +49,55 @@
         reply: impl Fn(usize, &str) -> Reply + Send + Sync + 'static,
     ) -> Peer {
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = channel();
+        let (message_sender, messages) = channel();
         let streams = Arc::new(Mutex::new(Vec::new()));
-        let (all, reply) = (streams.clone(), Arc::new(reply));
+        let (all_streams, reply) = (streams.clone(), Arc::new(reply));
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                all.lock().unwrap().push(stream.try_clone().unwrap());
-                let (tell, reply) = (tell.clone(), reply.clone());
-                std::thread::spawn(move || converse(number, stream, &tell, &*reply));
+                all_streams.lock().unwrap().push(stream.try_clone().unwrap());
+                let (message_sender, reply) = (message_sender.clone(), reply.clone());
+                std::thread::spawn(move || converse(number, stream, &message_sender, &*reply));
             }
         });
-        Peer { address, seen, streams }
+        Peer { address, messages, streams }
     }
 
-    /// The next message that came whole: on which connection, and its text.
+    /// Waits for the next complete message; returns the number of its connection and its text.
     pub fn next(&self) -> (usize, String) {
-        self.seen.recv_timeout(WAIT_TIMEOUT).expect("no message came")
+        self.messages.recv_timeout(WAIT_TIMEOUT).expect("no message arrived")
     }
 
-    /// The next whole message, if it comes within this time.
+    /// Next complete message, or `None` if it doesn't arrive within `time`.
     pub fn next_within(&self, time: Duration) -> Option<(usize, String)> {
-        self.seen.recv_timeout(time).ok()
+        self.messages.recv_timeout(time).ok()
     }
 
-    /// Whether no message has come by now.
+    /// Whether no further message has arrived yet. A message that is there is removed.
     pub fn nothing_received(&self) -> bool {
         self.try_next().is_none()
     }
 
-    /// A message that is there already.
+    /// Next complete message, if it has arrived already.
     pub fn try_next(&self) -> Option<(usize, String)> {
-        self.seen.try_recv().ok()
+        self.messages.try_recv().ok()
     }
 
-    /// Writes on a connection, unasked.
+    /// Writes to a connection without a request.
     pub fn write(&self, number: usize, text: &str) {
-        assert!(self.try_write(number, text), "connection {number} is gone");
+        assert!(self.try_write(number, text), "connection {number} is closed");
     }
 
-    /// The same on a connection that may be gone: whether the system took it.
+    /// Like [`Peer::write`], for a connection that may be closed; returns whether the system accepted the bytes.
     pub fn try_write(&self, number: usize, text: &str) -> bool {
         (&self.streams.lock().unwrap()[number]).write_all(text.as_bytes()).is_ok()
     }
 
-    /// How many connections it has been given.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.streams.lock().unwrap().len()
     }
 
-    /// Resets a connection, with nothing more said on it.
+    /// Resets a connection.
     pub fn reset(&self, number: usize) {
         rustix::net::connect_unspec(&self.streams.lock().unwrap()[number]).unwrap();
     }
@@ -105,9 +108,9 @@
     }
 }
 
-/// A peer that is down: connections to its address are refused until it opens. The address is kept for it meanwhile.
+/// Peer that is down: connections to its address are refused until it opens. The address stays reserved for it.
 pub struct RefusingPeer {
-    /// Where it will listen.
+    /// Address that it will listen on.
     pub address: SocketAddr,
     socket: socket2::Socket,
 }
@@ -122,17 +125,17 @@
 }
 
 impl RefusingPeer {
-    /// Can be reached from now on.
+    /// Starts to accept connections, which are answered with `reply`.
     pub fn open(self, reply: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> Peer {
         self.socket.listen(128).unwrap();
         Peer::listening(TcpListener::from(self.socket), reply)
     }
 }
 
-/// A server whose connections come up late: the system takes none until `open`, since its line of connections that wait to
-/// be accepted is one long and full.
+/// Server whose connections are not established until `open`: its accept queue has room for one connection, which another
+/// connection takes.
 pub struct FullBacklog {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     listener: TcpListener,
     _filler: TcpStream,
@@ -151,52 +154,54 @@
 }
 
 impl FullBacklog {
-    /// Lets connections come up, and gives the first that does: the one that was asked for in the meantime comes within
-    /// about a second, when the system asks again.
+    /// Empties the accept queue and returns the first connection that is established after that. One that was requested
+    /// before is established within about a second, when the system repeats its SYN.
     pub fn open(self) -> Client {
-        let (tell, came) = channel();
+        let (sender, receiver) = channel();
         std::thread::spawn(move || {
             let _filler = self.listener.accept().unwrap();
-            let _ = tell.send(self.listener.accept().unwrap().0);
+            let _ = sender.send(self.listener.accept().unwrap().0);
         });
-        let stream = came.recv_timeout(WAIT_TIMEOUT).expect("no connection came up");
+        let stream = receiver.recv_timeout(WAIT_TIMEOUT).expect("no connection was established");
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 }
 
+/// Answers the messages of a connection until it ends.
 fn converse(
     number: usize,
     stream: TcpStream,
-    tell: &Sender<(usize, String)>,
+    message_sender: &Sender<(usize, String)>,
     reply: &dyn Fn(usize, &str) -> Reply,
 ) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = read_message(&mut reader) {
         let (bytes, closes) = reply(number, &message);
-        let over = (&stream).write_all(&bytes).is_err() || closes;
-        let _ = tell.send((number, message)); // what the test writes next comes after the reply
-        if over {
+        let closing = (&stream).write_all(&bytes).is_err() || closes;
+        let _ = message_sender.send((number, message)); // the reply precedes what the test writes next
+        if closing {
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return;
         }
     }
 }
 
-/// One HTTP message with a told length, or one RESP array; nothing at the connection's end.
+/// Reads an HTTP message, whose length is given by `Content-Length`, or a RESP array, whose strings are joined by spaces;
+/// `None` at the end of the connection.
 pub fn read_message(reader: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     reader.read_line(&mut text).ok().filter(|length| *length > 0)?;
-    if let Some(words) = text.strip_prefix('*') {
-        let words: usize = words.trim().parse().ok()?;
-        let mut call = Vec::new();
-        for _ in 0..words {
+    if let Some(count) = text.strip_prefix('*') {
+        let count: usize = count.trim().parse().ok()?;
+        let mut words = Vec::new();
+        for _ in 0..count {
             let (mut size, mut word) = (String::new(), String::new());
             reader.read_line(&mut size).ok()?;
             reader.read_line(&mut word).ok()?;
-            call.push(word.trim().to_string());
+            words.push(word.trim().to_string());
         }
-        return Some(call.join(" "));
+        return Some(words.join(" "));
     }
     let mut length = 0;
     loop {
@@ -214,28 +219,28 @@
     Some(text + &String::from_utf8_lossy(&body))
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to an address.
     pub fn new(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client(BufReader::new(stream))
     }
 
-    /// Sends this text.
+    /// Sends a text.
     pub fn send(&mut self, text: &str) {
         self.0.get_ref().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next whole answer; nothing if the connection ends first.
+    /// Waits for the next complete answer; `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<String> {
         read_message(&mut self.0)
     }
 
-    /// The next whole answer, if it comes within this time.
+    /// Next complete answer, or `None` if it doesn't arrive within `time`.
     pub fn answer_within(&mut self, time: Duration) -> Option<String> {
         let stream = self.0.get_ref();
         stream.set_read_timeout(Some(time.max(Duration::from_millis(1)))).unwrap();
@@ -244,58 +249,59 @@
         answer
     }
 
-    /// Sends this text and waits for the answer.
+    /// Sends a text and waits for the answer.
     pub fn ask(&mut self, text: &str) -> String {
         self.send(text);
-        self.answer().expect("no whole answer")
+        self.answer().expect("no complete answer")
     }
 
-    /// The same to a connection that may be gone.
+    /// Like [`Client::send`], for a connection that may be closed.
     pub fn try_send(&mut self, text: &str) {
         let _ = self.0.get_ref().write_all(text.as_bytes());
     }
 
-    /// The same to a connection that may be gone.
+    /// Like [`Client::ask`], for a connection that may be closed.
     pub fn try_ask(&mut self, text: &str) -> Option<String> {
         self.try_send(text);
         self.answer()
     }
 
-    /// Whether nothing has come by now.
+    /// Whether no further bytes have arrived yet. Bytes that are there are not removed.
     pub fn nothing_received(&mut self) -> bool {
         self.0.get_ref().set_nonblocking(true).unwrap();
-        let got = self.0.get_ref().peek(&mut [0]);
+        let peeked = self.0.get_ref().peek(&mut [0]);
         self.0.get_ref().set_nonblocking(false).unwrap();
-        got.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// The error that the connection has met, such as a reset.
+    /// Pending error of the connection, such as a reset.
     pub fn error(&self) -> Option<std::io::Error> {
         self.0.get_ref().take_error().unwrap()
     }
 
-    /// Ends this side's sending; the other side's may go on.
+    /// Shuts down the sending direction; the peer can still send.
     pub fn shutdown_write(&self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// Resets it.
+    /// Resets the connection.
     pub fn reset(self) {
         rustix::net::connect_unspec(self.0.get_ref()).unwrap();
     }
 
-    /// Whether the other side ended the connection.
+    /// Waits for the next byte or the end of the connection; returns whether it has ended. A read error counts as the end,
+    /// including a timeout.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.0.get_mut().read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// The status of an answer.
+/// Status of an answer.
 pub fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap()
 }
 
-/// An RPC as a client sends it: `read` is idempotent, `submit` deduplicated, `verify` non-idempotent.
+/// RPC as a client sends it: `read` is idempotent, `submit` is deduplicated, `verify` is non-idempotent.
 pub fn rpc(method: &str, remaining_ms: u64) -> String {
     let lines = format!(
         "Host: service.internal\r\nX-Txn: 0123456789abcdef\r\nX-Lane: {method}\r\nX-Contract: team\r\n\
@@ -311,18 +317,18 @@
     }
 }
 
-/// The same RPC under another id.
+/// Replaces the id of an RPC made by [`rpc`].
 pub fn with_id(text: &str, id: u64) -> String {
     text.replace("X-Txn: 0123456789abcdef", &format!("X-Txn: {id:016x}"))
 }
 
-/// How long the gateway tells a server that it waits, in milliseconds.
+/// Remaining time that the gateway announces to a server (`X-Remaining-Ms`), in milliseconds.
 pub fn remaining_ms_header(message: &str) -> u64 {
-    let told = message.split("X-Remaining-Ms: ").nth(1).and_then(|rest| rest.split('\r').next());
-    told.and_then(|told| told.parse().ok()).expect("a message that tells its time")
+    let value = message.split("X-Remaining-Ms: ").nth(1).and_then(|rest| rest.split('\r').next());
+    value.and_then(|value| value.parse().ok()).expect("no X-Remaining-Ms in the message")
 }
 
-/// An entry of the list, and a whole list or a change of it as a chunk of the watch.
+/// Entry of the list of servers.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         "{{\"name\":\"{name}\",\"address\":\"{address}\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\
@@ -330,20 +336,20 @@
     )
 }
 
-/// A whole list or a change of it as a chunk of the watch.
+/// Full list of servers (if `whole`), or a change of it, as a line of the watch.
 pub fn list(index: u64, whole: bool, entries: &[String]) -> String {
     format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{}]}}", entries.join(","))
 }
 
-/// A line as a chunk.
+/// Line as an HTTP chunk.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// The head of a watch's answer.
+/// Head of the answer to a watch request.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Settings of three methods and one plan, and what a test adds (each with a comma behind).
+/// Settings with three methods and one plan, and the additional fields `extra`, each followed by a comma.
 pub fn settings(extra: &str) -> String {
     format!(
         "{{{extra}\"balancers\":2,\"classes\":[\
@@ -357,8 +363,8 @@
     )
 }
 
-/// An address where nobody listens, now or later: all stand-ins are at 127.0.0.1, so no port given back here can become
-/// another story's peer.
+/// Address that always refuses connections: the scripted peers listen on 127.0.0.1 only, so that none of them can be
+/// assigned this one.
 pub fn refusing_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], 9))
 }
--- a/crates/standins/tests/relays.rs
+++ b/crates/standins/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Links do what they are told to what passes them, and nothing else.
+//! Tests that relays inject the faults set for them into connections and datagrams, and nothing else.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -10,88 +10,89 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-fn here() -> SocketAddr {
+fn free_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 7], 0))
 }
 
-fn relays() -> Handle<Relays> {
+fn start_relays() -> Handle<Relays> {
     Handle::start(Relays::new(ChaCha8Rng::seed_from_u64(5)), Clock::start()).unwrap()
 }
 
-fn set(relays: &Handle<Relays>, link: usize, faults: Faults) {
-    relays.with(move |relays, io| relays.set_faults(io, link, faults));
+fn set_faults(relays: &Handle<Relays>, relay: usize, faults: Faults) {
+    relays.with(move |relays, io| relays.set_faults(io, relay, faults));
 }
 
-/// Waits until so many connections and datagrams have come to the relays.
-fn came(relays: &Handle<Relays>, count: u64) {
+/// Waits until the relays have received `count` connections and datagrams.
+fn wait_for_received(relays: &Handle<Relays>, count: u64) {
     while relays.with(|relays, _| relays.received) < count {
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn a_connection_is_cut_each_way_and_what_waited_comes_when_it_heals() {
+fn a_cut_delays_bytes_in_either_direction_until_it_ends() {
     let peer = Peer::new(|_, _| answer(200, "", "here"));
-    let (relays, target) = (relays(), peer.address);
-    let (link, at) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
+    let (relays, target) = (start_relays(), peer.address);
+    let (relay, at) = relays.with(move |relays, io| relays.relay_tcp(io, free_port(), target)).unwrap();
     let mut client = Client::new(at);
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
     peer.next();
-    // There: the message does not arrive until the cut is over.
-    let cut = PathFaults { cut: true, ..PathFaults::default() };
-    set(&relays, link, Faults { to_target: cut, ..Faults::default() });
+    // Cut to the target: the request doesn't arrive until the cut ends.
+    let cut_path = PathFaults { cut: true, ..PathFaults::default() };
+    set_faults(&relays, relay, Faults { to_target: cut_path, ..Faults::default() });
     client.send(&rpc("read", 2000));
-    // What passes another link meanwhile shows that this one had its time.
-    let (_, other) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
-    assert!(Client::new(other).ask(&rpc("read", 2000)).ends_with("here"));
-    assert_eq!(peer.next().0, 1, "only by the other link");
+    // A request that passes another relay shows that the first one would have had time to arrive.
+    let (_, other_address) =
+        relays.with(move |relays, io| relays.relay_tcp(io, free_port(), target)).unwrap();
+    assert!(Client::new(other_address).ask(&rpc("read", 2000)).ends_with("here"));
+    assert_eq!(peer.next().0, 1, "the request has to come from the other relay");
     assert!(peer.nothing_received());
-    set(&relays, link, Faults::default());
+    set_faults(&relays, relay, Faults::default());
     assert_eq!(peer.next().0, 0);
     assert!(client.answer().unwrap().ends_with("here"));
-    // Back: the message arrives, its answer waits.
-    set(&relays, link, Faults { from_target: cut, ..Faults::default() });
+    // Cut from the target: the request arrives, and its answer is delayed.
+    set_faults(&relays, relay, Faults { from_target: cut_path, ..Faults::default() });
     client.send(&rpc("verify", 2000));
-    assert_eq!(peer.next().0, 0, "it runs");
-    set(&relays, link, Faults::default());
+    assert_eq!(peer.next().0, 0, "the request has to arrive");
+    set_faults(&relays, relay, Faults::default());
     assert!(client.answer().unwrap().ends_with("here"));
 }
 
 #[test]
-fn delays_resets_and_silence() {
+fn connections_are_delayed_reset_or_discarded() {
     let peer = Peer::new(|_, _| answer(200, "", "here"));
-    let (relays, target) = (relays(), peer.address);
-    let (link, at) = relays.with(move |relays, io| relays.relay_tcp(io, here(), target)).unwrap();
-    let slow = PathFaults { delay: 150 * MS, ..PathFaults::default() };
-    set(&relays, link, Faults { to_target: slow, from_target: slow, ..Faults::default() });
+    let (relays, target) = (start_relays(), peer.address);
+    let (relay, at) = relays.with(move |relays, io| relays.relay_tcp(io, free_port(), target)).unwrap();
+    let delayed = PathFaults { delay: 150 * MS, ..PathFaults::default() };
+    set_faults(&relays, relay, Faults { to_target: delayed, from_target: delayed, ..Faults::default() });
     let (mut client, since) = (Client::new(at), Instant::now());
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
-    assert!(since.elapsed() >= Duration::from_millis(300), "each way once");
-    set(&relays, link, Faults { accept: AcceptMode::Reset, ..Faults::default() });
-    assert!(client.is_closed(), "what stood is reset");
-    assert!(Client::new(at).try_ask(&rpc("read", 2000)).is_none(), "and so is what comes");
+    assert!(since.elapsed() >= Duration::from_millis(300), "the delay applies once in each direction");
+    set_faults(&relays, relay, Faults { accept: AcceptMode::Reset, ..Faults::default() });
+    assert!(client.is_closed(), "an open connection has to be reset");
+    assert!(Client::new(at).try_ask(&rpc("read", 2000)).is_none(), "a new connection has to be reset");
     peer.next();
-    set(&relays, link, Faults { accept: AcceptMode::Discard, ..Faults::default() });
-    let mut silent = Client::new(at);
-    silent.send(&rpc("read", 2000));
-    came(&relays, 3);
-    set(&relays, link, Faults::default());
+    set_faults(&relays, relay, Faults { accept: AcceptMode::Discard, ..Faults::default() });
+    let mut discarded = Client::new(at);
+    discarded.send(&rpc("read", 2000));
+    wait_for_received(&relays, 3);
+    set_faults(&relays, relay, Faults::default());
     assert!(Client::new(at).ask(&rpc("read", 2000)).ends_with("here"));
-    assert_eq!(peer.next().0, 1, "what came to a silent link stays there");
+    assert_eq!(peer.next().0, 1, "a discarded connection is not passed on later");
     assert!(peer.nothing_received());
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_overtaken() {
-    let (relays, got) = (relays(), UdpSocket::bind("127.0.0.1:0").unwrap());
-    got.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    let target = got.local_addr().unwrap();
-    let (link, at) = relays.with(move |relays, io| relays.relay_udp(io, here(), target)).unwrap();
+fn datagrams_are_lost_duplicated_and_reordered() {
+    let (relays, receiver) = (start_relays(), UdpSocket::bind("127.0.0.1:0").unwrap());
+    receiver.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    let target = receiver.local_addr().unwrap();
+    let (relay, at) = relays.with(move |relays, io| relays.relay_udp(io, free_port(), target)).unwrap();
     let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     let receive = || -> Option<u8> {
-        let mut some = [0; 8];
-        match got.recv_from(&mut some) {
-            Ok((1, from)) if from == at => Some(some[0]),
+        let mut buffer = [0; 8];
+        match receiver.recv_from(&mut buffer) {
+            Ok((1, from)) if from == at => Some(buffer[0]),
             Ok(other) => panic!("{other:?}"),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => None,
             Err(e) => panic!("{e}"),
@@ -100,25 +101,25 @@
     let send = |number: u8| assert_eq!(sender.send_to(&[number], at).unwrap(), 1);
     send(1);
     assert_eq!(receive(), Some(1));
-    let there = |path| Faults { to_target: path, ..Faults::default() };
-    set(&relays, link, there(PathFaults { cut: true, ..PathFaults::default() }));
+    let faults_to_target = |path| Faults { to_target: path, ..Faults::default() };
+    set_faults(&relays, relay, faults_to_target(PathFaults { cut: true, ..PathFaults::default() }));
     send(2);
-    came(&relays, 2);
-    set(&relays, link, there(PathFaults { duplicate: 1.0, ..PathFaults::default() }));
+    wait_for_received(&relays, 2);
+    set_faults(&relays, relay, faults_to_target(PathFaults { duplicate: 1.0, ..PathFaults::default() }));
     send(3);
-    assert_eq!((receive(), receive()), (Some(3), Some(3)), "what was cut never comes");
-    // Half of them overtaken: all come, not in order.
-    set(&relays, link, there(PathFaults { reorder: 0.5, ..PathFaults::default() }));
+    assert_eq!((receive(), receive()), (Some(3), Some(3)), "a datagram sent during a cut is lost");
+    // Half of them are delayed: all arrive, but not in order.
+    set_faults(&relays, relay, faults_to_target(PathFaults { reorder: 0.5, ..PathFaults::default() }));
     (10..30).for_each(send);
-    let got: Vec<u8> = (10..30).map(|_| receive().unwrap()).collect();
-    let mut sorted = got.clone();
+    let received: Vec<u8> = (10..30).map(|_| receive().unwrap()).collect();
+    let mut sorted = received.clone();
     sorted.sort_unstable();
-    assert!(sorted == (10..30).collect::<Vec<_>>() && got != sorted, "{got:?}");
-    set(&relays, link, there(PathFaults { loss: 0.5, ..PathFaults::default() }));
+    assert!(sorted == (10..30).collect::<Vec<_>>() && received != sorted, "{received:?}");
+    set_faults(&relays, relay, faults_to_target(PathFaults { loss: 0.5, ..PathFaults::default() }));
     (40..140).for_each(send);
-    came(&relays, 123);
-    set(&relays, link, Faults::default());
+    wait_for_received(&relays, 123);
+    set_faults(&relays, relay, Faults::default());
     send(200);
-    let got = std::iter::from_fn(&receive).take_while(|number| *number != 200).count();
-    assert!((20..80).contains(&got), "{got} of 100");
+    let received = std::iter::from_fn(&receive).take_while(|number| *number != 200).count();
+    assert!((20..80).contains(&received), "{received} of 100");
 }
