--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -82,8 +82,8 @@
         Ok(Changes { from, name, set, copy, drop })
     }
 
-    /// Applies the changes to a site: first the values are set, then copies are appended to their arrays, then items are
-    /// dropped.
+    /// Applies the changes to a site: first the values are set, then copies are appended to their arrays,
+    /// then items are dropped.
     ///
     /// # Errors
     /// Returns a one-line message that names a path missing in the site, or says why the site can't be changed.
@@ -115,8 +115,8 @@
                 let slot = item.get_mut(key).filter(|item| item.is_value());
                 *slot.ok_or(format!("the site has no '{of}.{key}'"))? = Item::Value(value.clone());
             }
-            // toml_edit writes tables in the order of their positions; the copy gets the position of the last item of its
-            // array, so that it is written after that item.
+            // toml_edit writes tables in the order of their positions; the copy gets the position of the last
+            // item of its array, so that it is written after that item.
             if let Some(place) = list.iter().filter_map(Table::position).max() {
                 item.set_position(place);
             }
--- a/crates/standins/src/counter.rs
+++ b/crates/standins/src/counter.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// State of the counter, set by [`Counter::set_state`] only. The names of the variants, as `Debug` writes them, are part
-/// of the rig's reports.
+/// State of the counter, set by [`Counter::set_state`] only. The names of the variants, as `Debug` writes
+/// them, are part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Answers calls.
@@ -22,6 +22,7 @@
 pub struct Counter {
     state: State,
     call_time: Nanos,
+    /// When the last call received so far is done.
     free_at: Nanos,
     address: SocketAddr,
     listener: Option<SocketId>,
@@ -59,12 +60,12 @@
 
     /// Changes the state of the counter. `Down` resets all connections and drops the calls that wait.
     pub fn set_state(&mut self, io: &mut Io, state: State) -> std::io::Result<()> {
-        let was = std::mem::replace(&mut self.state, state);
+        let previous = std::mem::replace(&mut self.state, state);
         if state == State::Down {
             self.listener.take().into_iter().for_each(|listener| io.close_listener(listener));
             std::mem::take(&mut self.connections).into_iter().for_each(|conn| io.reset(conn));
             self.answers.clear();
-        } else if was == State::Down {
+        } else if previous == State::Down {
             self.listener = Some(io.listen(self.address)?.0);
         }
         self.send_due_answers(io);
@@ -78,7 +79,7 @@
 
     /// Sends the answers that are due.
     fn send_due_answers(&mut self, io: &mut Io) {
-        while self.state == State::Serves && self.answers.front().is_some_and(|call| call.0 <= io.now()) {
+        while self.state == State::Serves && self.answers.front().is_some_and(|answer| answer.0 <= io.now()) {
             if let Some((_, conn, text)) = self.answers.pop_front() {
                 io.send(conn, &text);
             }
@@ -86,22 +87,26 @@
     }
 
     /// Applies a command and returns its reply.
-    fn execute(&mut self, now: Nanos, words: &[Vec<u8>]) -> Vec<u8> {
-        let number = |at: usize| -> Option<f64> {
-            std::str::from_utf8(words.get(at)?).ok()?.parse().ok().filter(|value: &f64| value.is_finite())
+    fn execute(&mut self, now: Nanos, arguments: &[Vec<u8>]) -> Vec<u8> {
+        let number = |index: usize| -> Option<f64> {
+            std::str::from_utf8(arguments.get(index)?)
+                .ok()?
+                .parse()
+                .ok()
+                .filter(|value: &f64| value.is_finite())
         };
-        match words.first().map(|word| word.to_ascii_uppercase()).as_deref() {
+        match arguments.first().map(|name| name.to_ascii_uppercase()).as_deref() {
             Some(b"PING") => b"+PONG\r\n".to_vec(),
             Some(b"CLIENT" | b"SELECT") => b"+OK\r\n".to_vec(),
             Some(b"INCRTTL") => {
-                let (Some(name), Some(add), Some(ttl)) = (words.get(1), number(2), number(3)) else {
+                let (Some(name), Some(add), Some(ttl)) = (arguments.get(1), number(2), number(3)) else {
                     return b"-ERR no such call\r\n".to_vec();
                 };
                 self.calls += 1;
-                let until = now + ttl.clamp(1.0, 60_000.0) as Nanos * MS;
-                let total = self.totals.entry(name.clone()).or_insert((0.0, until));
+                let expires_at = now + ttl.clamp(1.0, 60_000.0) as Nanos * MS;
+                let total = self.totals.entry(name.clone()).or_insert((0.0, expires_at));
                 if total.1 < now {
-                    *total = (0.0, until);
+                    *total = (0.0, expires_at);
                 }
                 total.0 += add;
                 let text = format!("{}", total.0);
@@ -112,11 +117,11 @@
     }
 }
 
-type Words = Vec<Vec<u8>>;
+type Arguments = Vec<Vec<u8>>;
 
-/// Parses the RESP array of bulk strings at the front of `input`. Returns the strings and their length in bytes, or `None`
-/// while the array is incomplete.
-fn parse(input: &[u8]) -> Result<Option<(Words, usize)>, &'static str> {
+/// Parses the RESP array of bulk strings at the front of `input`. Returns the strings and their length in
+/// bytes, or `None` while the array is incomplete.
+fn parse(input: &[u8]) -> Result<Option<(Arguments, usize)>, &'static str> {
     let mut offset = 0;
     let mut read_length = |prefix: u8| -> Result<Option<(usize, usize)>, &'static str> {
         let Some(end) = input[offset..].windows(2).position(|window| window == b"\r\n") else {
@@ -135,13 +140,13 @@
         Ok((offset <= input.len()).then_some((number, start)))
     };
     let Some((count, mut end)) = read_length(b'*')? else { return Ok(None) };
-    let mut words = Vec::new();
+    let mut arguments = Vec::new();
     for _ in 0..count {
         let Some((length, start)) = read_length(b'$')? else { return Ok(None) };
-        words.push(input[start..start + length].to_vec());
+        arguments.push(input[start..start + length].to_vec());
         end = start + length + 2;
     }
-    Ok(Some((words, end)))
+    Ok(Some((arguments, end)))
 }
 
 impl EventHandler for Counter {
@@ -151,7 +156,7 @@
 
     fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         loop {
-            let (words, length) = match parse(io.input(conn)) {
+            let (arguments, length) = match parse(io.input(conn)) {
                 Ok(Some(call)) => call,
                 Ok(None) => break,
                 Err(_) => {
@@ -161,7 +166,7 @@
             };
             io.consume(conn, length);
             let now = io.now();
-            let answer = self.execute(now, &words);
+            let answer = self.execute(now, &arguments);
             self.free_at = self.free_at.max(now) + self.call_time;
             self.answers.push_back((self.free_at, conn, answer));
             io.set_timer(self.free_at, 0);
@@ -171,7 +176,7 @@
 
     fn on_close(&mut self, _io: &mut Io, conn: ConnId) {
         self.connections.remove(&conn);
-        self.answers.retain(|call| call.1 != conn);
+        self.answers.retain(|answer| answer.1 != conn);
     }
 
     fn on_timer(&mut self, io: &mut Io, _token: u64) {
--- a/crates/standins/src/counter/tests.rs
+++ b/crates/standins/src/counter/tests.rs
@@ -8,12 +8,12 @@
     for cut in 0..call.len() {
         assert_eq!(parse(&call[..cut]), Ok(None), "cut at {cut}");
     }
-    let (words, length) = parse(call).unwrap().unwrap();
-    assert_eq!((words.len(), length), (4, call.len()));
+    let (arguments, length) = parse(call).unwrap().unwrap();
+    assert_eq!((arguments.len(), length), (4, call.len()));
     assert!(parse(b"*x\r\n").is_err() && parse(b"*1\r\n+a\r\n").is_err());
     let mut counter = Counter::new(0);
-    assert_eq!(counter.execute(0, &words), b"$4\r\n-2.5\r\n");
-    assert_eq!(counter.execute(MS, &words), b"$2\r\n-5\r\n");
+    assert_eq!(counter.execute(0, &arguments), b"$4\r\n-2.5\r\n");
+    assert_eq!(counter.execute(MS, &arguments), b"$2\r\n-5\r\n");
     // The total of a name is reset once its time to live has passed.
-    assert_eq!(counter.execute(4001 * MS, &words), b"$4\r\n-2.5\r\n");
+    assert_eq!(counter.execute(4001 * MS, &arguments), b"$4\r\n-2.5\r\n");
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// Mode of a gateway's agent, set by [`Discovery::set_mode`] only. The names of the variants, as `Debug` writes them, are
-/// part of the rig's reports.
+/// Mode of a gateway's agent, set by [`Discovery::set_mode`] only. The names of the variants, as `Debug`
+/// writes them, are part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Sends each change after this delay.
@@ -75,8 +75,8 @@
 }
 
 impl Discovery {
-    /// Starts an agent for another gateway and returns its address. `server_addresses` has the addresses of the servers that the
-    /// gateway reaches through a relay.
+    /// Starts an agent for another gateway and returns its address. `server_addresses` has the addresses of
+    /// the servers that the gateway reaches through a relay.
     pub fn add_agent(
         &mut self,
         io: &mut Io,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins (substitutes for tests) on loopback for the processes that a gateway talks to, written from the operators'
-//! protocol page alone: servers, discovery, the counter, relays that inject faults between any two of them, and (in
-//! [`scripted`]) peers that a test scripts message by message. All but the scripted peers run on a [`reactor`], which
-//! serves hundreds of servers with one thread and one poll.
+//! Stand-ins (substitutes for tests) on loopback for the processes that a gateway talks to, written from the
+//! operators' protocol page alone: servers, discovery, the counter, relays that inject faults between any two
+//! of them, and (in [`scripted`]) peers that a test scripts message by message. All but the scripted peers
+//! run on a [`reactor`], which serves hundreds of servers with one thread and one poll.
 //!
 //! They bind addresses in 127.0.0.0/8 only. All but the scripted peers use addresses other than 127.0.0.1, so that the
 //! system can't assign the port of a listener that is closed for a while to an outgoing connection.
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,5 +1,5 @@
-//! Runs the program under test as a process with a configuration file of its own, controls it by signals, and reads its
-//! log lines. The process is killed when its [`Program`] is dropped, even if a test panics.
+//! Runs the program under test as a process with a configuration file of its own, controls it by signals, and
+//! reads its log lines. The process is killed when its [`Program`] is dropped, even if a test panics.
 
 use crate::scripted::{Client, WAIT_TIMEOUT, status};
 use rustix::process::{Pid, Signal, kill_process};
@@ -24,7 +24,8 @@
 }
 
 impl Program {
-    /// Starts the program and waits until it listens. `more` has additional configuration fields, each followed by a comma.
+    /// Starts the program and waits until it listens. `more` has additional configuration fields, each
+    /// followed by a comma.
     pub fn start(program: &str, discovery: SocketAddr, more: &str, settings: &str) -> Program {
         Program::run(&mut Command::new(program), discovery, more, settings)
     }
@@ -147,9 +148,9 @@
         }
     }
 
-    /// Blocks the program within a turn of its event loop until [`HeldTurn::resume`], by a reload of its configuration from
-    /// a pipe without data. At the start of that turn the program sees all events that `before` causes and the timers that
-    /// expire meanwhile; it sees later ones only after it.
+    /// Blocks the program within a turn of its event loop until [`HeldTurn::resume`], by a reload of its
+    /// configuration from a pipe without data. At the start of that turn the program sees all events that
+    /// `before` causes and the timers that expire meanwhile; it sees later ones only after it.
     pub fn hold_turn(&self, before: impl FnOnce()) -> HeldTurn<'_> {
         let text = std::fs::read_to_string(&self.file).unwrap();
         // The preceding turn is blocked as well, while the events and the signal for the next one accumulate.
--- a/crates/standins/src/reactor.rs
+++ b/crates/standins/src/reactor.rs
@@ -1,6 +1,6 @@
-//! Event loop of the stand-ins: one thread and one poll for all sockets of an [`EventHandler`], which are listeners,
-//! connections and datagram sockets, and for its timers. The handler runs on that thread only; a [`Handle`] runs closures
-//! on the handler there, among its events.
+//! Event loop of the stand-ins: one thread and one poll for all sockets of an [`EventHandler`], which are
+//! listeners, connections and datagram sockets, and for its timers. The handler runs on that thread only; a
+//! [`Handle`] runs closures on the handler there, among its events.
 
 use crate::Nanos;
 use mio::net::{TcpListener, TcpStream, UdpSocket};
@@ -15,12 +15,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Id of a connection: its slab index and a serial number, so that an outdated id doesn't match a connection that reuses
-/// the index.
+/// Id of a connection: its slab index and a serial number, so that an outdated id doesn't match a connection
+/// that reuses the index.
 pub type ConnId = u64;
 /// Id of a listener or of a datagram socket: its slab index among its kind.
 pub type SocketId = usize;
 
+/// Token of the waker. The tokens of listeners and datagram sockets are an index with a flag; those of connections are
+/// their ids.
 const WAKER: Token = Token(usize::MAX - 1);
 const INDEX_BITS: u32 = 24;
 const KIND_LISTENER: usize = 1 << 60;
@@ -53,8 +55,8 @@
     }
 }
 
-/// Handler of a reactor's events. Each method may call any method of [`Io`]. A connection that the handler closes itself
-/// is not reported to `on_close`.
+/// Handler of a reactor's events. Each method may call any method of [`Io`]. A connection that the handler
+/// closes itself is not reported to `on_close`.
 pub trait EventHandler: Send + 'static {
     /// A connection was accepted on a listener.
     fn on_accept(&mut self, _io: &mut Io, _conn: ConnId, _socket: SocketId) {}
@@ -116,7 +118,8 @@
         self.clock
     }
 
-    /// Calls `EventHandler::on_timer` with `token` at a time; timers for the same time fire in the order they were set.
+    /// Calls `EventHandler::on_timer` with `token` at a time; timers for the same time fire in the order they
+    /// were set.
     pub fn set_timer(&mut self, at: Nanos, token: u64) {
         self.timers_set += 1;
         self.timers.push(Reverse((at, self.timers_set, token)));
@@ -358,6 +361,8 @@
     }
 }
 
+/// Runs the event loop until a job stops it. Each iteration handles the events of a poll, resumes paused
+/// reads, fires the timers that are due, and then writes what the handler sent.
 fn run_event_loop<S: EventHandler>(mut poll: Poll, mut io: Io, mut handler: S, job_queue: Receiver<Job<S>>) {
     let mut events = Events::with_capacity(1024);
     while !io.stop {
@@ -409,6 +414,7 @@
     }
 }
 
+/// Accepts all connections that wait at a listener.
 fn accept<S: EventHandler>(io: &mut Io, handler: &mut S, socket: SocketId) {
     while let Some(listener) = io.listeners.get(socket) {
         match listener.accept() {
@@ -423,6 +429,7 @@
     }
 }
 
+/// Receives all datagrams that wait at a socket.
 fn receive<S: EventHandler>(io: &mut Io, handler: &mut S, socket: SocketId) {
     let mut buffer = [0; 2048];
     while let Some(Ok((count, from))) = io.udp_sockets.get(socket).map(|socket| socket.recv_from(&mut buffer))
@@ -431,6 +438,7 @@
     }
 }
 
+/// Handles a connection that became writable; this event also reports whether connecting succeeded.
 fn writable<S: EventHandler>(io: &mut Io, handler: &mut S, conn: ConnId) {
     let Some(connection) = io.get(conn) else { return };
     if !connection.established {
@@ -447,6 +455,7 @@
     close_if_ended(io, handler, conn);
 }
 
+/// Reads from a connection and reports bytes that are not consumed yet, including earlier ones, to the handler.
 fn readable<S: EventHandler>(io: &mut Io, handler: &mut S, conn: ConnId, read_closed: bool) {
     let length_before = io.input(conn).len();
     io.read(conn);
@@ -464,6 +473,7 @@
     close_if_ended(io, handler, conn);
 }
 
+/// If a connection has ended, reports this to the handler and closes it.
 fn close_if_ended<S: EventHandler>(io: &mut Io, handler: &mut S, conn: ConnId) {
     if io.get(conn).is_some_and(|connection| connection.ended) {
         handler.on_close(io, conn);
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,9 +1,11 @@
-//! Relays that inject faults between two processes: user-space relays for TCP connections and UDP datagrams on loopback.
-//! A relay listens in front of one target address; each of its two directions has faults of its own.
+//! Relays that inject faults between two processes: user-space relays for TCP connections and UDP datagrams
+//! on loopback. A relay listens in front of one target address; each of its two directions has faults of its
+//! own.
 //!
-//! Differences from a real network: a relay accepts before it connects to the target, so that a connection over a cut
-//! relay is established and stays silent instead of never being established, and one to a dead process is reset instead
-//! of refused. If one side shuts down its sending only, the whole connection is closed.
+//! Differences from a real network: a relay accepts before it connects to the target, so that a connection
+//! over a cut relay is established and stays silent instead of never being established, and one to a dead
+//! process is reset instead of refused. If one side shuts down its sending only, the whole connection is
+//! closed.
 
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
 use crate::{MS, Nanos};
@@ -64,8 +66,8 @@
     faults: Faults,
 }
 
-/// One direction of a connection: the bytes that wait, with the times at which they are due, and whether the sender has
-/// closed the connection.
+/// One direction of a connection: the bytes that wait, with the times at which they are due, and whether the
+/// sender has closed the connection.
 #[derive(Default)]
 struct Direction {
     queue: VecDeque<(Nanos, Vec<u8>)>,
@@ -92,7 +94,8 @@
     pairs_by_connection: BTreeMap<ConnId, (u64, usize)>,
     /// Delayed datagrams by timer token: socket, target and bytes.
     delayed: BTreeMap<u64, (SocketId, SocketAddr, Vec<u8>)>,
-    /// Members of the broadcast group: the socket that each sends to, and the address at which it receives, if it does.
+    /// Members of the broadcast group: the socket that each sends to, and the address at which it receives,
+    /// if it does.
     members: Vec<(SocketId, Option<SocketAddr>)>,
     /// Faults from one member to another.
     member_faults: BTreeMap<(usize, usize), PathFaults>,
@@ -137,7 +140,8 @@
         Ok((self.relays.len() - 1, address))
     }
 
-    /// Adds a relay for datagrams to `target`; returns its number and its address, from which the datagrams are sent on.
+    /// Adds a relay for datagrams to `target`; returns its number and its address, from which the datagrams
+    /// are sent on.
     pub fn relay_udp(
         &mut self,
         io: &mut Io,
@@ -150,8 +154,8 @@
         Ok((self.relays.len() - 1, address))
     }
 
-    /// Adds a member to the broadcast group; returns its number, and the address that it sends to in order to reach all
-    /// other members.
+    /// Adds a member to the broadcast group; returns its number, and the address that it sends to in order to
+    /// reach all other members.
     pub fn add_member(&mut self, io: &mut Io, at: SocketAddr) -> std::io::Result<(usize, SocketAddr)> {
         let (socket, address) = io.bind_udp(at)?;
         self.members.push((socket, None));
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Passes on the bytes that are due in one direction of a pair, and closes the pair once its sender has closed and no
-    /// bytes wait.
+    /// Passes on the bytes that are due in one direction of a pair, and closes the pair once its sender has
+    /// closed and no bytes wait.
     fn forward(&mut self, io: &mut Io, id: u64, direction: usize) {
         let Some(relay) = self.pairs.get(&id).map(|pair| pair.relay) else { return };
         if self.path_faults(relay, direction).cut {
--- a/crates/standins/src/scripted.rs
+++ b/crates/standins/src/scripted.rs
@@ -1,8 +1,8 @@
-//! Peers that a test scripts message by message, the test's clients, and the text of the messages that they exchange with
-//! the program under test.
+//! Peers that a test scripts message by message, the test's clients, and the text of the messages that they
+//! exchange with the program under test.
 //!
-//! Sockets block and each connection has a thread of its own, which suits a handful of peers. Waits end with the event that
-//! they are for; after [`WAIT_TIMEOUT`] they panic.
+//! Sockets block and each connection has a thread of its own, which suits a handful of peers. Waits end with
+//! the event that they are for; after [`WAIT_TIMEOUT`] they panic.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,8 +29,8 @@
     raw_reply(&format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{lines}\r\n{body}", body.len()))
 }
 
-/// Peer that the gateway connects to. It answers each complete message by means of a closure, which gets the number of the
-/// connection and the message, and then passes the message to the test.
+/// Peer that the gateway connects to. It answers each complete message by means of a closure, which gets the
+/// number of the connection and the message, and then passes the message to the test.
 pub struct Peer {
     /// Address that it listens on.
     pub address: SocketAddr,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Server whose connections are not established until `open`: its accept queue has room for one connection, which another
-/// connection takes.
+/// Server whose connections are not established until `open`: its accept queue has room for one connection,
+/// which another connection takes.
 pub struct FullBacklog {
     /// Address that it listens on.
     pub address: SocketAddr,
@@ -154,8 +154,8 @@
 }
 
 impl FullBacklog {
-    /// Empties the accept queue and returns the first connection that is established after that. One that was requested
-    /// before is established within about a second, when the system repeats its SYN.
+    /// Empties the accept queue and returns the first connection that is established after that. One that was
+    /// requested before is established within about a second, when the system repeats its SYN.
     pub fn open(self) -> Client {
         let (sender, receiver) = channel();
         std::thread::spawn(move || {
@@ -187,21 +187,21 @@
     }
 }
 
-/// Reads an HTTP message, whose length is given by `Content-Length`, or a RESP array, whose strings are joined by spaces;
-/// `None` at the end of the connection.
+/// Reads an HTTP message, whose length is given by `Content-Length`, or a RESP array, whose strings are
+/// returned joined by spaces; `None` at the end of the connection.
 pub fn read_message(reader: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     reader.read_line(&mut text).ok().filter(|length| *length > 0)?;
     if let Some(count) = text.strip_prefix('*') {
         let count: usize = count.trim().parse().ok()?;
-        let mut words = Vec::new();
+        let mut arguments = Vec::new();
         for _ in 0..count {
-            let (mut size, mut word) = (String::new(), String::new());
+            let (mut size, mut argument) = (String::new(), String::new());
             reader.read_line(&mut size).ok()?;
-            reader.read_line(&mut word).ok()?;
-            words.push(word.trim().to_string());
+            reader.read_line(&mut argument).ok()?;
+            arguments.push(argument.trim().to_string());
         }
-        return Some(words.join(" "));
+        return Some(arguments.join(" "));
     }
     let mut length = 0;
     loop {
@@ -289,8 +289,8 @@
         rustix::net::connect_unspec(self.0.get_ref()).unwrap();
     }
 
-    /// Waits for the next byte or the end of the connection; returns whether it has ended. A read error counts as the end,
-    /// including a timeout.
+    /// Waits for the next byte or the end of the connection; returns whether it has ended. A read error
+    /// counts as the end, including a timeout.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.0.get_mut().read(&mut [0]), Ok(0) | Err(_))
     }
@@ -336,9 +336,9 @@
     )
 }
 
-/// Full list of servers (if `whole`), or a change of it, as a line of the watch.
-pub fn list(index: u64, whole: bool, entries: &[String]) -> String {
-    format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{}]}}", entries.join(","))
+/// Full list of servers, if `full`, or a change of it, as a line of the watch.
+pub fn list(index: u64, full: bool, entries: &[String]) -> String {
+    format!("{{\"index\":{index},\"snapshot\":{full},\"endpoints\":[{}]}}", entries.join(","))
 }
 
 /// Line as an HTTP chunk.
--- a/crates/standins/src/servers.rs
+++ b/crates/standins/src/servers.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the servers, hundreds on one reactor. Each has a number of cores, a bounded queue, a connection limit,
-//! log-normal service times, a warm-up after a start, and a health that a test can change. A ledger records every RPC that
-//! was received completely.
+//! Stand-ins for the servers, hundreds on one reactor. Each has a number of cores, a bounded queue, a
+//! connection limit, log-normal service times, a warm-up after a start, and a health that a test can change.
+//! A ledger records every RPC that was received completely.
 
 use crate::http;
 use crate::reactor::{ConnId, EventHandler, Io, SocketId};
@@ -46,8 +46,8 @@
     pub address: SocketAddr,
 }
 
-/// How a server treats RPCs, set by [`Servers::set_health`] only. The names of the variants, as `Debug` writes them, are
-/// part of the rig's reports.
+/// How a server treats RPCs, set by [`Servers::set_health`] only. The names of the variants, as `Debug`
+/// writes them, are part of the rig's reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
     /// Serves RPCs.
@@ -213,7 +213,7 @@
                     if row.outcome == RpcOutcome::Left { RpcOutcome::Left } else { RpcOutcome::Lost },
                 );
             }
-            self.servers_by_job.retain(|_, at| *at != number);
+            self.servers_by_job.retain(|_, server| *server != number);
             for conn in self.open_connections(number) {
                 self.servers_by_connection.remove(&conn);
                 io.reset(conn);
@@ -234,7 +234,11 @@
 
     /// Open connections of a server.
     fn open_connections(&self, number: usize) -> Vec<ConnId> {
-        self.servers_by_connection.iter().filter(|(_, at)| **at == number).map(|(conn, _)| *conn).collect()
+        self.servers_by_connection
+            .iter()
+            .filter(|(_, server)| **server == number)
+            .map(|(conn, _)| *conn)
+            .collect()
     }
 
     /// When the current incarnation started; 0 means long ago.
@@ -263,8 +267,8 @@
                     (spec.cold_share + (1.0 - spec.cold_share) * warmed_share).clamp(1e-3, 1.0)
                 }
             };
-            let slow = if let Health::Slow(factor) = server.health { factor } else { 1.0 };
-            let median = spec.median_service.max(1) as f64 * slow / speed;
+            let slowdown = if let Health::Slow(factor) = server.health { factor } else { 1.0 };
+            let median = spec.median_service.max(1) as f64 * slowdown / speed;
             let service_time = match LogNormal::new(median.ln(), spec.service_sigma.max(0.0)) {
                 Ok(distribution) => distribution.sample(&mut self.rng),
                 Err(_) => median,
