--- a/crates/gateway/tests/client_terms.rs
+++ b/crates/gateway/tests/client_terms.rs
@@ -7,7 +7,7 @@
     Client, Late, Peer, Program, chunk, entry, list, nowhere, rpc, say, status, told_wait_ms,
 };
 use std::time::{Duration, Instant};
-use support::{BIN, patient_settings, under, watch};
+use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
 /// More connections than one look at the sockets brings to light (256): a busy turn.
 const BUSY: usize = 300;
@@ -195,7 +195,7 @@
 
 /// Settings whose quota never makes a request wait.
 fn wide_settings() -> String {
-    patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6")
+    long_timeout_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6")
 }
 
 /// A gateway that knows this server from before, with discovery down.
@@ -207,9 +207,9 @@
 #[test]
 fn who_leaves_while_its_request_waits_for_a_server_is_not_sent_on() {
     for (leaving, moment) in leavings() {
-        let (discovery, server) = (watch(), silent());
+        let (discovery, server) = (discovery_peer(), silent());
         let known = [entry("s0", server.address, "ready")];
-        let mut scene = Scene::at(moment, under(&discovery, &known, &wide_settings()));
+        let mut scene = Scene::at(moment, start_gateway(&discovery, &known, &wide_settings()));
         scene.rest_connections(&server, 1);
         let tell = |index, status| {
             discovery.tell(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
@@ -228,8 +228,8 @@
 #[test]
 fn who_leaves_while_its_request_waits_for_quota_is_not_sent_on() {
     // Two units at the start, as many as a request takes, and two more after two seconds.
-    let scarce =
-        patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1.0,\"depth\":2.0");
+    let scarce = long_timeout_settings()
+        .replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1.0,\"depth\":2.0");
     let round = |leaving, moment| {
         let server = silent();
         let mut scene = Scene::at(moment, knowing(server.address, &scarce));
@@ -287,8 +287,9 @@
 
 #[test]
 fn hundreds_that_leave_in_a_busy_turn_are_not_sent_on() {
-    let (discovery, server) = (watch(), silent());
-    let mut scene = Scene::new(under(&discovery, &[entry("s0", server.address, "ready")], &wide_settings()));
+    let (discovery, server) = (discovery_peer(), silent());
+    let mut scene =
+        Scene::new(start_gateway(&discovery, &[entry("s0", server.address, "ready")], &wide_settings()));
     scene.rest_connections(&server, 2);
     discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
     scene.gateway.catch_up();
@@ -392,8 +393,8 @@
 
 #[test]
 fn a_further_attempt_whose_connection_comes_up_late_tells_what_is_left_then() {
-    let (discovery, first, late) = (watch(), silent(), Late::default());
-    let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &wide_settings());
+    let (discovery, first, late) = (discovery_peer(), silent(), Late::default());
+    let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &wide_settings());
     let mut client = gateway.client();
     let left = timed(&mut client, &rpc("read", WAITS.as_millis() as u64));
     let on = first.next().0;
@@ -537,8 +538,9 @@
 
 #[test]
 fn a_message_that_came_while_the_process_stood_still_has_its_time_from_then() {
-    let (server, discovery) = (Peer::new(|_, _| say(SERVED)), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let (server, discovery) = (Peer::new(|_, _| say(SERVED)), discovery_peer());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let (held_up, remaining) = (Duration::from_millis(500), 2900);
     // The time of the hold-up within the gateway's own rounds is chance, so several.
     for id in 0..5 {
--- a/crates/gateway/tests/long_lists.rs
+++ b/crates/gateway/tests/long_lists.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{patient_settings, under, watch};
+use support::{discovery_peer, long_timeout_settings, start_gateway};
 
 const SERVERS: usize = 1600;
 const GATEWAYS: usize = 900;
@@ -17,11 +17,12 @@
 
 #[test]
 fn a_long_list_that_changes_all_the_time_holds_up_no_answer() {
-    let (server, discovery) = (Peer::new(|_, _| answer(200, "", "ok")), watch());
+    let (server, discovery) = (Peer::new(|_, _| answer(200, "", "ok")), discovery_peer());
     let name = |at: usize| format!("s{at:04}");
     let entries: Vec<String> = (0..SERVERS).map(|at| entry(&name(at), server.address, "ready")).collect();
     let fleet = format!("\"balancers\":{GATEWAYS},\"me\":3");
-    let gateway = under(&discovery, &entries, &patient_settings().replace("\"balancers\":2", &fleet));
+    let gateway =
+        start_gateway(&discovery, &entries, &long_timeout_settings().replace("\"balancers\":2", &fleet));
     let mut client = gateway.client();
     assert_eq!(status(&client.ask(&with_id(&rpc("read", 15_000), RPCS as u64))), 200);
     let (over, address) = (AtomicBool::new(false), server.address);
--- a/crates/gateway/tests/owed_answers.rs
+++ b/crates/gateway/tests/owed_answers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 mod support;
-use support::{patient_settings, under, watch};
+use support::{discovery_peer, long_timeout_settings, start_gateway};
 
 /// How many descriptors a gateway is given here, and how many clients it takes with that, the spare ones among them.
 const SOCKETS: &str = "\"limits\":{\"sockets\":64},";
@@ -26,7 +26,7 @@
 fn small(discovery: &Peer, server: &Peer) -> Program {
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("{SOCKETS}\"known\":{known},");
-    let gateway = Program::start(support::BIN, discovery.address, &more, &patient_settings());
+    let gateway = Program::start(support::BIN, discovery.address, &more, &long_timeout_settings());
     assert!(discovery.next().1.contains("from=3"));
     gateway
 }
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_connection_whose_answer_is_not_out_does_not_give_way_to_a_new_one() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = small(&discovery, &server);
     let mut client = gateway.client();
     client.send(&rpc("read", 20_000));
@@ -83,7 +83,7 @@
 #[test]
 fn a_client_that_reads_slowly_does_not_give_way_before_it_has_its_answers() {
     let body = "y".repeat(LONG);
-    let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), watch());
+    let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), discovery_peer());
     let gateway = small(&discovery, &server);
     // Another client shows after how many answers that nobody reads the next command does not get through.
     let stuck_after = asked_without_reading(&gateway, &server, MANY).1;
@@ -100,8 +100,9 @@
 #[test]
 fn a_roomy_gateway_gives_a_slow_reader_all_answers() {
     let body = "y".repeat(LONG);
-    let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), discovery_peer());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     for id in 0..3 {
         client.send(&with_id(&rpc("read", 20_000), id as u64));
@@ -112,7 +113,7 @@
 
 #[test]
 fn what_waited_for_a_place_has_its_time_from_when_it_came() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = small(&discovery, &server);
     let mut others = crowd(&gateway);
     others.push(gateway.client()); // all places are taken
@@ -130,7 +131,7 @@
 
 #[test]
 fn what_waited_for_a_place_for_longer_than_its_time_is_refused_at_once() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = small(&discovery, &server);
     let mut others = crowd(&gateway);
     others.push(gateway.client());
@@ -154,7 +155,7 @@
 
 #[test]
 fn many_that_wait_for_a_place_cost_no_more_than_one() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = small(&discovery, &server);
     let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     // All places are taken by RPCs that their server does not answer, so nobody gives way.
@@ -177,7 +178,7 @@
 
 #[test]
 fn what_waits_for_a_place_as_the_process_stops_is_answered_before_it_can_be_killed() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = small(&discovery, &server);
     let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     // Places are taken by RPCs that their server does not answer, and the spare ones by halves of messages.
@@ -203,11 +204,11 @@
 
 #[test]
 fn what_waits_for_a_place_until_the_process_ends_is_refused_then() {
-    let (server, discovery) = (silent_server(), watch());
+    let (server, discovery) = (silent_server(), discovery_peer());
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("{SOCKETS}\"known\":{known},");
     // SIGKILL comes 0.9 s after SIGTERM, which leaves no time to give everybody a place one after another.
-    let told = patient_settings().replace("\"deadline\":3.0", "\"deadline\":0.2");
+    let told = long_timeout_settings().replace("\"deadline\":3.0", "\"deadline\":0.2");
     let gateway = Program::start(support::BIN, discovery.address, &more, &told);
     assert!(discovery.next().1.contains("from=3"));
     let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
--- a/crates/gateway/tests/quiet_times.rs
+++ b/crates/gateway/tests/quiet_times.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{patient_settings, under, watch};
+use support::{discovery_peer, long_timeout_settings, start_gateway};
 
 const METHODS: [&str; 3] = ["read", "submit", "verify"];
 /// Clients, and so about as many connections to servers that rest when the trouble begins.
@@ -41,9 +41,9 @@
 fn after_a_quiet_time(trouble: impl Fn(&[&Peer], &AtomicBool)) {
     let (runs, mute) = (Runs::default(), Arc::<AtomicBool>::default());
     let (one, two) = (counting(&runs, &mute), counting(&runs, &mute));
-    let discovery = watch();
+    let discovery = discovery_peer();
     let entries = [entry("s0", one.address, "ready"), entry("s1", two.address, "ready")];
-    let gateway = under(&discovery, &entries, &patient_settings());
+    let gateway = start_gateway(&discovery, &entries, &long_timeout_settings());
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("read", 5000), id as u64));
@@ -90,8 +90,9 @@
 
 #[test]
 fn rpcs_with_0_to_30_ms_left_get_an_answer_in_their_time_though_servers_drop_them() {
-    let (server, discovery) = (Peer::new(|_, _| (Vec::new(), false)), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let (server, discovery) = (Peer::new(|_, _| (Vec::new(), false)), discovery_peer());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     for (id, remaining) in (0..=30).step_by(3).enumerate() {
         for (nth, method) in METHODS.into_iter().enumerate() {
             let mut client = gateway.client();
@@ -108,12 +109,12 @@
 #[test]
 fn configurations_in_a_row_during_an_outage_of_discovery_lose_nothing() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let (first, nowhere) = (watch(), standins::scripted::nowhere());
-    let gateway = under(&first, &[entry("s0", server.address, "ready")], &patient_settings());
+    let (first, nowhere) = (discovery_peer(), standins::scripted::nowhere());
+    let gateway = start_gateway(&first, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     for id in 0..20 {
         let at = if id % 2 == 0 { nowhere } else { first.address };
-        gateway.rewrite(&gateway.config(at, "", &patient_settings()));
+        gateway.rewrite(&gateway.config(at, "", &long_timeout_settings()));
         gateway.signal("-HUP");
         let got = client.ask(&with_id(&rpc(METHODS[id % METHODS.len()], 3000), id as u64));
         assert_eq!(status(&got), 200, "{id}");
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{BIN, patient_settings, under, watch};
+use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
 // ---- A connection to a server that comes up late: what was true when the attempt was asked for may not be any more.
 
 #[test]
 fn a_client_that_left_while_its_connection_came_up_is_not_sent_on() {
-    let (late, discovery) = (Late::default(), watch());
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let (late, discovery) = (Late::default(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     drop(client);
@@ -31,9 +31,9 @@
 
 #[test]
 fn a_server_that_drains_while_its_connection_comes_up_gets_nothing_and_another_is_asked() {
-    let (late, discovery) = (Late::default(), watch());
+    let (late, discovery) = (Late::default(), discovery_peer());
     let other = Peer::new(|_, _| answer(200, "", "other"));
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
@@ -50,9 +50,9 @@
 
 #[test]
 fn a_server_that_moves_while_its_connection_comes_up_is_asked_where_it_is_now() {
-    let (late, discovery) = (Late::default(), watch());
+    let (late, discovery) = (Late::default(), discovery_peer());
     let moved = Peer::new(|_, _| answer(200, "", "moved"));
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
@@ -65,9 +65,9 @@
 
 #[test]
 fn a_repeat_whose_window_passes_while_its_connection_comes_up_is_not_written() {
-    let (late, discovery) = (Late::default(), watch());
+    let (late, discovery) = (Late::default(), discovery_peer());
     let first = Peer::new(|_, _| (Vec::new(), false));
-    let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("submit", 20_000));
     assert_eq!(first.next().0, 0);
@@ -85,9 +85,9 @@
 
 #[test]
 fn an_rpc_whose_time_passes_while_its_connection_comes_up_is_pushed_back_and_never_written() {
-    let (late, discovery) = (Late::default(), watch());
-    let told = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &told);
+    let (late, discovery) = (Late::default(), discovery_peer());
+    let told = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
+    let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &told);
     let got = gateway.client().ask(&rpc("verify", 300));
     assert_eq!(status(&got), 503, "never written, so trying again is harmless");
     let mut next = gateway.client();
@@ -98,8 +98,9 @@
 
 #[test]
 fn on_sigterm_a_connection_that_comes_up_late_still_carries_its_rpc() {
-    let (late, discovery) = (Late::default(), watch());
-    let mut gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let (late, discovery) = (Late::default(), discovery_peer());
+    let mut gateway =
+        start_gateway(&discovery, &[entry("s0", late.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
@@ -123,8 +124,8 @@
 #[test]
 fn an_answer_without_a_length_is_whole_only_once_its_connection_is_closed_in_good_order() {
     let server = Peer::new(says("HTTP/1.1 200 OK\r\n\r\nhalf of it"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     for (method, told) in [("verify", 502), ("submit", 502)] {
         let mut client = gateway.client();
         client.send(&rpc(method, 2000));
@@ -147,8 +148,8 @@
 #[test]
 fn a_turned_away_without_a_length_that_is_reset_proves_nothing() {
     let server = Peer::new(says("HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\nqueue"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
     server.reset(server.next().0);
@@ -159,8 +160,8 @@
 #[test]
 fn half_a_line_that_comes_on_a_resting_connection_is_never_part_of_the_next_answer() {
     let server = Peer::new(|number, _| answer(200, "", if number == 0 { "one" } else { "two" }));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     assert!(client.ask(&rpc("verify", 2000)).ends_with("one"));
     assert_eq!(server.next().0, 0);
@@ -176,8 +177,8 @@
 #[test]
 fn an_answer_that_never_ends_one_byte_at_a_time_is_given_up_when_its_time_is_over() {
     let server = Peer::new(says("HTTP/1.1 200 OK\r\n\r\n"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 500));
     assert_eq!(server.next().0, 0);
@@ -195,12 +196,12 @@
 #[test]
 fn a_message_whose_end_crosses_made_room_is_served() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    let discovery = watch();
+    let discovery = discovery_peer();
     let known = format!(
         "\"limits\":{{\"sockets\":64}},\"known\":{},",
         list(3, true, &[entry("s0", server.address, "draining")])
     );
-    let gateway = Program::start(BIN, discovery.address, &known, &patient_settings());
+    let gateway = Program::start(BIN, discovery.address, &known, &long_timeout_settings());
     assert!(discovery.next().1.contains("from=3"));
     let mut paused = gateway.client();
     let message = rpc("verify", 20_000);
@@ -231,9 +232,9 @@
 
 #[test]
 fn a_client_whose_leaving_lies_behind_a_flood_of_its_own_is_seen_to_leave() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     // No server: the RPC waits for one.
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", nowhere(), "draining")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than any buffer on the way holds
@@ -250,8 +251,9 @@
 #[test]
 fn a_client_that_sends_on_before_its_answer_gets_it_and_is_closed() {
     let server = Peer::new(|_, _| (Vec::new(), false));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
@@ -265,8 +267,8 @@
 
 #[test]
 fn a_client_that_resets_while_its_rpc_waits_is_seen_to_leave() {
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", nowhere(), "draining")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
@@ -281,8 +283,8 @@
 
 #[test]
 fn a_refused_client_that_sent_more_is_closed_without_a_reset() {
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", nowhere(), "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&format!("nonsense\r\n\r\n{}", "x".repeat(200 << 10)));
     // It reads nothing until its connection is closed; unread bytes would have made a reset of that.
@@ -297,8 +299,9 @@
 #[test]
 fn what_had_arrived_on_resting_connections_by_the_last_call_is_served() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let mut gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     // More than one look at the sockets brings to light at once (256), so that the last call comes before the rest is read.
     // Each speaks at once: who says nothing for two seconds is sent away, and on a busy machine so many take longer to open.
     let rests = |_| {
@@ -325,8 +328,8 @@
 #[test]
 fn a_connection_taken_just_before_the_last_call_may_still_say_something() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut rests = gateway.client();
     assert_eq!(status(&rests.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
@@ -342,8 +345,8 @@
 #[test]
 fn half_a_message_at_the_end_is_pushed_back_and_not_left_without_a_word() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("submit", 2000)[..150]);
     gateway.catch_up();
@@ -358,13 +361,13 @@
 #[test]
 fn sigterm_twice_and_sighup_between_lose_nothing() {
     let server = Peer::new(|_, _| (Vec::new(), false));
-    let (discovery, next) = (watch(), watch());
+    let (discovery, next) = (discovery_peer(), discovery_peer());
     let known = [entry("s0", server.address, "ready")];
-    let mut gateway = under(&discovery, &known, &patient_settings());
+    let mut gateway = start_gateway(&discovery, &known, &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
-    gateway.rewrite(&gateway.config(next.address, "", &patient_settings()));
+    gateway.rewrite(&gateway.config(next.address, "", &long_timeout_settings()));
     gateway.signal("-TERM");
     gateway.line("\"stopping\"");
     gateway.signal("-HUP");
@@ -393,8 +396,8 @@
 fn an_answer_that_its_client_reads_slowly_outlives_the_process() {
     let body = "y".repeat(60 << 10);
     let server = Peer::new(move |_, _| answer(200, "", &body));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
     server.next();
@@ -415,7 +418,8 @@
         1 => (Vec::new(), false),
         _ => say(&format!("{WATCH}{drained}")),
     });
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let silent = Instant::now();
     assert_eq!((discovery.next().0, discovery.next().0), (1, 2));
     // 6 s after it fell silent all counts as told, and 2 s later nothing new may go to what drains.
@@ -428,8 +432,9 @@
 #[test]
 fn a_watch_reset_just_before_a_drain_is_opened_anew_at_once_where_lists_are_pushed() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     for round in 1..6 {
         let start = Instant::now();
         discovery.reset(round - 1);
@@ -450,9 +455,9 @@
 fn a_moved_watch_that_never_answers_leaves_the_old_one_heeded_and_is_asked_for_again() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let (old, new) =
-        (watch(), Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { say(WATCH) }));
-    let gateway = under(&old, &[entry("s0", server.address, "ready")], &patient_settings());
-    gateway.rewrite(&gateway.config(new.address, "", &patient_settings()));
+        (discovery_peer(), Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { say(WATCH) }));
+    let gateway = start_gateway(&old, &[entry("s0", server.address, "ready")], &long_timeout_settings());
+    gateway.rewrite(&gateway.config(new.address, "", &long_timeout_settings()));
     gateway.signal("-HUP");
     let moved = Instant::now();
     assert_eq!(new.next().0, 0);
@@ -468,8 +473,8 @@
 #[test]
 fn lists_are_read_whatever_white_space_and_chunks_they_come_in() {
     let (one, two) = (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", one.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", one.address, "ready")], &long_timeout_settings());
     let wide =
         list(4, true, &[entry("s1", two.address, "ready")]).replace(",", ",\r\n\t ").replace(":{", ": {");
     for piece in format!("\n\n  {wide}\n").as_bytes().chunks(7) {
@@ -515,17 +520,17 @@
     let started = format!("\"since_ms\":{unix}");
     let cold = |at: usize| entry(&format!("s{at}"), nowhere(), "ready").replace("\"since_ms\":0", &started);
     let entries: Vec<String> = (0..200).map(cold).collect();
-    let told =
-        patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
+    let told = long_timeout_settings()
+        .replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
     let told = told.replacen('{', "{\"rules\":{\"fall\":80000,\"warmWithin\":1000},", 1);
-    under(discovery, &entries, &told)
+    start_gateway(discovery, &entries, &told)
 }
 
 /// On split+mass of the variant four-halls 37 requests were lost at one gateway with a ninth of a core: turns of half a
 /// second, since each event of a customer looked at all of its RPCs that waited, and each of them at all servers.
 #[test]
 fn a_long_line_of_one_customer_leaves_the_processor_to_others() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     let gateway = among_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..150).map(|_| gateway.client()).collect();
@@ -541,7 +546,7 @@
 /// The same of many customers with an RPC each: all look for a server again and again, and none finds one.
 #[test]
 fn customers_that_wait_for_a_server_leave_the_processor_to_others() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     let gateway = among_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..60).map(|_| gateway.client()).collect();
@@ -563,9 +568,9 @@
 #[test]
 fn with_the_counter_down_an_rpc_larger_than_its_part_passes_when_that_is_full() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    let discovery = watch();
+    let discovery = discovery_peer();
     let told = settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":0.1,\"depth\":2.0");
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &told);
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &told);
     for customer in 0..40 {
         let message = rpc("read", 2000)
             .replace("00000000b4d65521", &format!("{customer:016x}"))
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{patient_settings, under, watch};
+use support::{discovery_peer, long_timeout_settings, start_gateway};
 
 /// Of the time between SIGTERM and SIGKILL, what does not hang on the settings; and the longest deadline that counts.
 const KILL_GRACE: Duration = Duration::from_millis(700);
@@ -55,7 +55,7 @@
 /// The operators' settings in the incident: deadlines of 6, 5 and 2.5 s. One attempt an RPC, as when the limit of an
 /// attempt is left out because answers are slow.
 fn long_deadlines() -> String {
-    let told = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
+    let told = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
     let told = told.replacen("\"deadline\":3.0", "\"deadline\":6.0", 1);
     let told = told.replacen("\"deadline\":3.0", "\"deadline\":5.0", 1);
     told.replacen("\"deadline\":3.0", "\"deadline\":2.5", 1)
@@ -68,8 +68,8 @@
 
 #[test]
 fn what_is_read_late_in_a_shutdown_has_its_answer_before_the_process_is_killed() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut clients: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
     gateway.catch_up(); // they are taken, and have said nothing yet
     let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
@@ -88,7 +88,9 @@
 /// Settings whose longest deadline is this.
 fn deadlines_of(longest: Duration) -> String {
     let told = format!("\"deadline\":{}", longest.as_secs_f64());
-    patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1").replace("\"deadline\":3.0", &told)
+    long_timeout_settings()
+        .replace("\"attemptsCap\":2", "\"attemptsCap\":1")
+        .replace("\"deadline\":3.0", &told)
 }
 
 /// The time between SIGTERM and SIGKILL where deadlines are this long.
@@ -102,9 +104,9 @@
 
 /// Requests of every effect, sent to a hanging server at several times after SIGTERM, on connections of every kind.
 fn every_request_is_answered(longest: Duration) {
-    let (server, discovery) = (hangs(), watch());
+    let (server, discovery) = (hangs(), discovery_peer());
     let told = deadlines_of(longest);
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &told);
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &told);
     let mut silent: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
     let mut resting: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
     for client in &mut resting {
@@ -175,8 +177,8 @@
 
 #[test]
 fn an_answer_that_comes_a_moment_before_the_end_is_passed_on() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
     gateway.catch_up();
     let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
@@ -192,8 +194,8 @@
 #[test]
 fn an_answer_that_trickles_beyond_the_end_is_given_up_before_it() {
     let (server, discovery) =
-        (Peer::new(|_, _| say("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2500)));
+        (Peer::new(|_, _| say("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     server.next();
@@ -211,8 +213,8 @@
 fn a_client_that_reads_nothing_does_not_keep_a_stopping_process() {
     let body = "y".repeat(60 << 10);
     let server = Peer::new(move |_, _| answer(200, "", &body));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(200)));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(200)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 200));
     server.next();
@@ -226,8 +228,8 @@
 
 #[test]
 fn commands_sent_at_once_to_a_stopping_process_have_an_answer_each() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(1000)));
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(1000)));
     let mut client = gateway.client();
     gateway.catch_up();
     let mut stopping = Stopping::begin(gateway, ms(1000));
@@ -241,8 +243,8 @@
 
 #[test]
 fn half_a_command_behind_another_is_refused_as_the_process_stops() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2000)));
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2000)));
     let mut client = gateway.client();
     gateway.catch_up();
     let mut stopping = Stopping::begin(gateway, ms(2000));
@@ -259,8 +261,8 @@
 
 #[test]
 fn a_connection_that_never_comes_up_does_not_outlast_a_stopping_process() {
-    let (late, discovery) = (Late::default(), watch());
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &deadlines_of(ms(1500)));
+    let (late, discovery) = (Late::default(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &deadlines_of(ms(1500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
@@ -277,7 +279,7 @@
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
     let told = deadlines_of(ms(1500));
     let told = told.replacen('{', "{\"extra\":{\"hasCounter\":true,\"countWait\":60.0,\"largest\":8},", 1);
-    let discovery = watch();
+    let discovery = discovery_peer();
     let gateway = Program::start(support::BIN, discovery.address, &more, &told);
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000).replace("spread=1", "spread=2"));
@@ -293,8 +295,8 @@
 
 #[test]
 fn a_configuration_with_shorter_deadlines_read_while_stopping_brings_the_end_forward() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
     client.send(&rpc("verify", 5000));
     server.next();
@@ -309,8 +311,8 @@
 
 #[test]
 fn a_configuration_with_longer_deadlines_read_before_or_while_stopping_does_not_put_the_end_off() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
     gateway.rewrite(&gateway.config(discovery.address, "", &long_deadlines()));
     gateway.signal("-HUP");
     gateway.line("\"configuration read\"");
@@ -326,8 +328,8 @@
 
 #[test]
 fn a_process_that_stands_still_as_the_signal_comes_counts_from_the_signal() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
@@ -345,8 +347,8 @@
 
 #[test]
 fn a_first_request_has_its_time_from_when_it_is_read_however_old_its_connection_is() {
-    let (server, discovery) = (hangs(), watch());
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let (server, discovery) = (hangs(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     gateway.catch_up();
     std::thread::sleep(ms(1000)); // the connection's age
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -5,7 +5,7 @@
 pub const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
 /// Settings that leave a connection and an RPC all the time that a late connection needs.
-pub fn patient_settings() -> String {
+pub fn long_timeout_settings() -> String {
     let wide =
         settings("\"membershipMode\":\"push\",").replace("\"dialTimeout\":0.25", "\"dialTimeout\":15.0");
     let wide = wide.replace("\"onTime\":1.5", "\"onTime\":15").replace("\"onTime\":1.2", "\"onTime\":15");
@@ -13,13 +13,13 @@
 }
 
 /// A gateway with these entries in its list, under a watch that the test speaks on.
-pub fn under(discovery: &Peer, entries: &[String], settings: &str) -> Program {
+pub fn start_gateway(discovery: &Peer, entries: &[String], settings: &str) -> Program {
     let known = list(3, true, entries);
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), settings);
     assert!(discovery.next().1.contains("from=3"));
     gateway
 }
 
-pub fn watch() -> Peer {
+pub fn discovery_peer() -> Peer {
     Peer::new(|_, _| say(WATCH))
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{BIN, patient_settings, under, watch};
+use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
 const CLIENTS: u64 = 24;
 const REQUESTS: u64 = 200;
@@ -135,11 +135,12 @@
 #[test]
 fn a_standard_error_without_room_changes_nothing() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
     let mut command = Command::new(BIN);
-    let text = gateway.config(discovery.address, "", &patient_settings());
+    let text = gateway.config(discovery.address, "", &long_timeout_settings());
     // Another process under the same list, whose standard error answers ENOSPC to every write.
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let text = text.replacen('{', &format!("{{\"known\":{known},"), 1);
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 mod support;
-use support::{BIN, patient_settings, under, watch};
+use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
 const HOUR_MS: i64 = 3_600_000;
 /// How many clients ask at once, and for how many RPCs the new server's share is counted.
@@ -92,7 +92,7 @@
 
 /// A warm server and one that starts as the wall clock is stepped: what the new one gets at first, and after it is warm.
 fn shares_of_a_new_server(ahead_ms: i64, name: &str) -> (usize, usize) {
-    let (old, discovery) = (named("old"), watch());
+    let (old, discovery) = (named("old"), discovery_peer());
     let stepped = Stepped::start(&discovery, &[entry("s0", old.address, "ready")], name);
     stepped.answered_by("old");
     let new = named("new");
@@ -120,7 +120,7 @@
 #[test]
 fn a_clock_stepped_by_two_seconds_or_an_hour_changes_no_deadline() {
     for (number, ahead_ms) in [2_000, -2_000, HOUR_MS, -HOUR_MS].into_iter().enumerate() {
-        let (server, discovery) = (Peer::new(|_, _| (Vec::new(), false)), watch());
+        let (server, discovery) = (Peer::new(|_, _| (Vec::new(), false)), discovery_peer());
         let known = [entry("s0", server.address, "ready")];
         let stepped = Stepped::start(&discovery, &known, &format!("deadline-{number}"));
         let mut client = stepped.gateway.client();
@@ -138,7 +138,7 @@
 
 #[test]
 fn without_a_step_a_stamp_is_taken_as_it_is() {
-    let (server, discovery) = (Peer::new(|_, _| answer(200, "", "ok")), watch());
-    let gateway = under(&discovery, &[started("s0", &server, 1)], &patient_settings());
+    let (server, discovery) = (Peer::new(|_, _| answer(200, "", "ok")), discovery_peer());
+    let gateway = start_gateway(&discovery, &[started("s0", &server, 1)], &long_timeout_settings());
     assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 200);
 }
