--- a/crates/gateway/tests/cold_servers.rs
+++ b/crates/gateway/tests/cold_servers.rs
@@ -1,5 +1,6 @@
-//! Thirty processes of the program against servers that start cold: what all together send one in the told span stays
-//! under N + 2 root(N) + 2, N being what the settings allow it then.
+//! Fleets of up to thirty gateway processes with servers that start cold: the number of RPCs that all gateways together
+//! send to a cold server within the span of the `fall` rule stays below N + 2 sqrt(N) + 2, where N is the number that
+//! the settings allow at that time.
 
 use rig::fleet::{Outcome, play};
 use rig::scenario::Scenario;
@@ -14,8 +15,8 @@
     Scenario::load(&file, &[]).unwrap()
 }
 
-/// What the settings say of cold servers, and what a warm one can do.
-struct Terms {
+/// The settings' rules for cold servers, and the capacity of a warm server.
+struct ColdServerRules {
     cold_from: f64,
     warm_within: f64,
     multiple: f64,
@@ -23,12 +24,12 @@
     capacity: f64,
 }
 
-impl Terms {
-    fn of(scenario: &Scenario) -> Terms {
+impl ColdServerRules {
+    fn from_scenario(scenario: &Scenario) -> ColdServerRules {
         let rule = |name: &str| scenario.settings["rules"][name].as_float().unwrap();
         let server = &scenario.servers[0];
         let mean_ms = server.service_ms * (server.spread * server.spread / 2.0).exp();
-        Terms {
+        ColdServerRules {
             cold_from: rule("coldFrom"),
             warm_within: rule("warmWithin"),
             multiple: rule("fallMultiple"),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// RPCs that a server may be sent in the span that begins at this age; nothing said of it once it is warm.
+    /// The number of RPCs that a server may be sent in the span that begins at this age; `None` once it is warm.
     fn bound(&self, age: Nanos) -> Option<f64> {
         let warmth = self.cold_from + (1.0 - self.cold_from) * age as f64 / 1e9 / self.warm_within;
         let allowed = self.multiple * warmth * self.capacity * self.span as f64 / 1e9;
@@ -45,89 +46,94 @@
     }
 }
 
-/// A cold server's worst span: RPCs of all gateways in it over the bound, and the RPCs themselves.
-struct Worst {
+/// The span in which a cold server was sent the most RPCs by all gateways, relative to the bound, and their number.
+struct WorstSpan {
     server: u32,
-    over_bound: f64,
+    ratio_to_bound: f64,
     rpcs: usize,
 }
 
-impl std::fmt::Display for Worst {
-    fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(to, "s{:04}: {} RPCs, {:.2} of the bound", self.server, self.rpcs, self.over_bound)
+impl std::fmt::Display for WorstSpan {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(f, "s{:04}: {} RPCs, {:.2} of the bound", self.server, self.rpcs, self.ratio_to_bound)
     }
 }
 
-fn worst_spans(outcome: &Outcome, terms: &Terms) -> Vec<Worst> {
-    let mut came: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
+fn worst_spans(outcome: &Outcome, rules: &ColdServerRules) -> Vec<WorstSpan> {
+    let mut ages_by_server: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
     for (server, state) in outcome.servers.iter().enumerate() {
-        // Up and listed a second time, or listed only after the run began: it started cold then. What drains at
-        // once is left out.
-        let last = state.ready.last().filter(|span| span.0 > outcome.from && span.1 > span.0 + terms.span);
-        let Some(since) = last.map(|span| span.0) else { continue };
+        // A server that was listed as ready after the run began, for the first time or again, started cold then. A
+        // server that left that state within one span is skipped.
+        let last_ready =
+            state.ready.last().filter(|span| span.0 > outcome.from && span.1 > span.0 + rules.span);
+        let Some(since) = last_ready.map(|span| span.0) else { continue };
         let rows = outcome.ledger.iter().filter(|row| row.server as usize == server && row.at >= since);
-        let mut at: Vec<Nanos> = rows.map(|row| row.at - since).collect();
-        at.sort_unstable();
-        came.insert(server as u32, at);
+        let mut ages: Vec<Nanos> = rows.map(|row| row.at - since).collect();
+        ages.sort_unstable();
+        ages_by_server.insert(server as u32, ages);
     }
-    came.into_iter().map(|(server, at)| worst_span(server, &at, terms)).collect()
+    ages_by_server.into_iter().map(|(server, ages)| worst_span(server, &ages, rules)).collect()
 }
 
-fn worst_span(server: u32, at: &[Nanos], terms: &Terms) -> Worst {
-    let mut worst = Worst { server, over_bound: 0.0, rpcs: 0 };
-    for (last, now) in at.iter().enumerate() {
-        let from = now.saturating_sub(terms.span);
-        let Some(bound) = terms.bound(from) else { break };
-        let rpcs = last + 1 - at.partition_point(|at| *at < from);
-        if rpcs as f64 / bound > worst.over_bound {
-            (worst.over_bound, worst.rpcs) = (rpcs as f64 / bound, rpcs);
+fn worst_span(server: u32, ages: &[Nanos], rules: &ColdServerRules) -> WorstSpan {
+    let mut worst = WorstSpan { server, ratio_to_bound: 0.0, rpcs: 0 };
+    for (last, age) in ages.iter().enumerate() {
+        let from = age.saturating_sub(rules.span);
+        let Some(bound) = rules.bound(from) else { break };
+        let rpcs = last + 1 - ages.partition_point(|age| *age < from);
+        if rpcs as f64 / bound > worst.ratio_to_bound {
+            (worst.ratio_to_bound, worst.rpcs) = (rpcs as f64 / bound, rpcs);
         }
     }
     worst
 }
 
 #[test]
-fn thirty_unequal_gateways_push_no_cold_server_over_under_a_burst_and_restarts() {
+fn thirty_unevenly_loaded_gateways_do_not_overload_cold_servers_during_a_burst_and_restarts() {
     let scenario = scenario("cold-burst");
     let outcome = play(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
-    // The story is what it says: some gateways see several times the mean, and many were started anew.
-    let mut seen = vec![0; scenario.gateways];
-    outcome.calls.iter().for_each(|call| seen[call.gateway] += 1);
+    // The scenario has the intended conditions: some gateways see several times the mean load, and many restarted.
+    let mut calls_per_gateway = vec![0; scenario.gateways];
+    outcome.calls.iter().for_each(|call| calls_per_gateway[call.gateway] += 1);
     let mean = outcome.calls.len() / scenario.gateways;
-    assert!(seen.iter().any(|one| *one > 5 * mean / 2) && seen.iter().any(|one| *one < mean / 2), "{seen:?}");
+    assert!(
+        calls_per_gateway.iter().any(|calls| *calls > 5 * mean / 2)
+            && calls_per_gateway.iter().any(|calls| *calls < mean / 2),
+        "{calls_per_gateway:?}"
+    );
     assert!(outcome.starts.iter().filter(|starts| **starts > 1).count() > scenario.gateways / 2);
-    let worst = worst_spans(&outcome, &Terms::of(&scenario));
-    let shown: Vec<String> = worst.iter().map(Worst::to_string).collect();
-    println!("{}", shown.join("\n"));
-    assert!(worst.len() >= 9, "{shown:#?}");
-    assert!(worst.iter().all(|one| one.rpcs > 0 && one.over_bound <= 1.0), "{shown:#?}");
+    let worst_spans = worst_spans(&outcome, &ColdServerRules::from_scenario(&scenario));
+    let summary: Vec<String> = worst_spans.iter().map(WorstSpan::to_string).collect();
+    println!("{}", summary.join("\n"));
+    assert!(worst_spans.len() >= 9, "{summary:#?}");
+    assert!(worst_spans.iter().all(|span| span.rpcs > 0 && span.ratio_to_bound <= 1.0), "{summary:#?}");
 }
 
-/// The same traffic through few gateways, each with a large part of it.
-fn few_gateways_push_no_cold_server_over(gateways: usize) {
-    let thirty = scenario("cold-burst");
-    let mut scenario = thirty.clone();
+/// Plays the same traffic through fewer gateways, so that each has a larger share of it.
+fn check_cold_servers_with_few_gateways(gateways: usize) {
+    let thirty_gateways = scenario("cold-burst");
+    let mut scenario = thirty_gateways.clone();
     scenario.gateways = gateways;
-    scenario.load.rate = thirty.load.rate * thirty.gateways as f64 / gateways as f64;
-    scenario.load.width = thirty.load.width.min(gateways);
+    scenario.load.rate = thirty_gateways.load.rate * thirty_gateways.gateways as f64 / gateways as f64;
+    scenario.load.width = thirty_gateways.load.width.min(gateways);
     let outcome = play(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
-    assert!(outcome.starts.iter().any(|starts| *starts > 1), "some were started anew");
-    let worst = worst_spans(&outcome, &Terms::of(&scenario));
-    let shown: Vec<String> = worst.iter().map(Worst::to_string).collect();
-    println!("{}", shown.join("\n"));
-    assert!(worst.len() >= 9, "{shown:#?}");
-    assert!(worst.iter().all(|one| one.over_bound <= 1.0), "{shown:#?}");
-    assert!(worst.iter().any(|one| one.rpcs > 0), "{shown:#?}");
+    assert!(outcome.starts.iter().any(|starts| *starts > 1), "at least one gateway restarted");
+    let worst_spans = worst_spans(&outcome, &ColdServerRules::from_scenario(&scenario));
+    let summary: Vec<String> = worst_spans.iter().map(WorstSpan::to_string).collect();
+    println!("{}", summary.join("\n"));
+    assert!(worst_spans.len() >= 9, "{summary:#?}");
+    assert!(worst_spans.iter().all(|span| span.ratio_to_bound <= 1.0), "{summary:#?}");
+    assert!(worst_spans.iter().any(|span| span.rpcs > 0), "{summary:#?}");
 }
 
 #[test]
-fn one_gateway_pushes_no_cold_server_over() {
-    few_gateways_push_no_cold_server_over(1);
+fn one_gateway_does_not_overload_cold_servers() {
+    check_cold_servers_with_few_gateways(1);
 }
 
 #[test]
-fn four_gateways_push_no_cold_server_over() {
-    few_gateways_push_no_cold_server_over(4);
+fn four_gateways_do_not_overload_cold_servers() {
+    check_cold_servers_with_few_gateways(4);
 }
--- a/crates/gateway/tests/cuts.rs
+++ b/crates/gateway/tests/cuts.rs
@@ -1,5 +1,6 @@
-//! Bytes that come in any pieces, with an end or a reset at any of them: what comes of it is what came of the whole, or a
-//! clean failure. Seeded, so that each run plays the same cuts; a failure prints the round.
+//! Messages that arrive in arbitrary pieces, with the connection closed or reset at any byte: the result is the same as
+//! for the whole message, or a clean failure. The random numbers are seeded, so each run makes the same cuts; a failure
+//! prints the round.
 
 use gateway::clients::{Client, Parsed};
 use gateway::config::Config;
@@ -14,104 +15,104 @@
 use std::net::SocketAddr;
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
-const ENDINGS: [ConnectionEnd; 3] =
+const CONNECTION_ENDS: [ConnectionEnd; 3] =
     [ConnectionEnd::Closed, ConnectionEnd::Reset, ConnectionEnd::Failed("broken-pipe")];
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Places at which a text of this length is cut, in order, its end the last.
-fn cuts(chance: &mut fastrand::Rng, length: usize) -> Vec<usize> {
-    let mut places: Vec<usize> = (0..chance.usize(1..9)).map(|_| chance.usize(1..=length)).collect();
-    places.push(length);
-    places.sort_unstable();
-    places.dedup();
-    places
+/// Random offsets at which a text of this length is cut, in ascending order; the last is the length itself.
+fn random_cuts(rng: &mut fastrand::Rng, length: usize) -> Vec<usize> {
+    let mut offsets: Vec<usize> = (0..rng.usize(1..9)).map(|_| rng.usize(1..=length)).collect();
+    offsets.push(length);
+    offsets.sort_unstable();
+    offsets.dedup();
+    offsets
 }
 
-/// A text in chunks of any size.
-fn chunked(chance: &mut fastrand::Rng, text: &str) -> String {
+/// Encodes a text as HTTP chunks of random sizes, without the last chunk.
+fn chunked(rng: &mut fastrand::Rng, text: &str) -> String {
     let (mut out, mut from) = (String::new(), 0);
-    for to in cuts(chance, text.len()) {
+    for to in random_cuts(rng, text.len()) {
         out += &format!("{:x}\r\n{}\r\n", to - from, &text[from..to]);
         from = to;
     }
     out
 }
 
-/// An answer as a server may frame it, and whether it tells its length.
-fn any_answer(chance: &mut fastrand::Rng) -> (String, bool) {
-    let body: String = (0..chance.usize(1..200)).map(|_| chance.alphanumeric()).collect();
-    let status = *chance.choice(&[200, 200, 500, 503, 504]).unwrap();
+/// A random response in one of the framings that a server may use, and whether the framing marks its end.
+fn random_response(rng: &mut fastrand::Rng) -> (String, bool) {
+    let body: String = (0..rng.usize(1..200)).map(|_| rng.alphanumeric()).collect();
+    let status = *rng.choice(&[200, 200, 500, 503, 504]).unwrap();
     let lines =
-        *chance.choice(&["", "X-Turned-Away: 1\r\n", "X-Settled: 2.5\r\nConnection: close\r\n"]).unwrap();
-    let interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(chance.usize(..3));
+        *rng.choice(&["", "X-Turned-Away: 1\r\n", "X-Settled: 2.5\r\nConnection: close\r\n"]).unwrap();
+    let interim = "HTTP/1.1 100 Continue\r\n\r\n".repeat(rng.usize(..3));
     let head = format!("{interim}HTTP/1.1 {status} X\r\n{lines}");
-    match chance.u8(..3) {
+    match rng.u8(..3) {
         0 => (format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()), true),
-        1 => (format!("{head}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunked(chance, &body)), true),
+        1 => (format!("{head}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunked(rng, &body)), true),
         _ => (format!("{head}\r\n{body}"), false),
     }
 }
 
-/// What one link makes of a text that comes in pieces, before an end of its connection and with it.
-fn looked(text: &str, pieces: &[usize], ended: Option<ConnectionEnd>) -> Option<Response> {
-    let mut link = ServerConnection::new(1, 0);
+/// Parses a response that arrives in pieces, and then, if `connection_end` is given, once more with that end.
+fn parse_in_pieces(text: &str, pieces: &[usize], connection_end: Option<ConnectionEnd>) -> Option<Response> {
+    let mut connection = ServerConnection::new(1, 0);
     for to in pieces {
-        let found = link.parse_response(&text.as_bytes()[..*to], None).unwrap();
+        let found = connection.parse_response(&text.as_bytes()[..*to], None).unwrap();
         if found.is_some() {
             return found;
         }
     }
-    ended.and_then(|ended| {
-        link.parse_response(&text.as_bytes()[..*pieces.last().unwrap()], Some(ended)).unwrap()
+    connection_end.and_then(|end| {
+        connection.parse_response(&text.as_bytes()[..*pieces.last().unwrap()], Some(end)).unwrap()
     })
 }
 
 #[test]
-fn an_answer_in_any_pieces_is_the_whole_one_or_none() {
-    let mut chance = fastrand::Rng::with_seed(11);
+fn response_in_any_pieces_is_parsed_whole_or_not_at_all() {
+    let mut rng = fastrand::Rng::with_seed(11);
     for round in 0..3_000 {
-        let (text, told) = any_answer(&mut chance);
-        let whole = looked(&text, &[text.len()], Some(ConnectionEnd::Closed));
+        let (text, marks_end) = random_response(&mut rng);
+        let whole = parse_in_pieces(&text, &[text.len()], Some(ConnectionEnd::Closed));
         assert!(whole.is_some(), "{round}: {text:?}");
-        let pieces = cuts(&mut chance, text.len());
-        let same = looked(&text, &pieces, Some(ConnectionEnd::Closed));
-        assert_eq!(same, whole, "{round}: {pieces:?} of {text:?}");
+        let pieces = random_cuts(&mut rng, text.len());
+        let parsed = parse_in_pieces(&text, &pieces, Some(ConnectionEnd::Closed));
+        assert_eq!(parsed, whole, "{round}: {pieces:?} of {text:?}");
         assert_eq!(
-            looked(&text, &pieces, None).is_some(),
-            told,
-            "{round}: what tells no length ends by a close only"
+            parse_in_pieces(&text, &pieces, None).is_some(),
+            marks_end,
+            "{round}: a response without a length ends only when the connection closes"
         );
-        // Cut short at any byte.
-        let short = chance.usize(1..text.len());
-        let pieces = cuts(&mut chance, short);
-        for ended in ENDINGS {
-            let got = looked(&text[..short], &pieces, Some(ended));
+        // Truncated at any byte.
+        let short = rng.usize(1..text.len());
+        let pieces = random_cuts(&mut rng, short);
+        for ended in CONNECTION_ENDS {
+            let got = parse_in_pieces(&text[..short], &pieces, Some(ended));
             assert!(
-                got.is_none() || !told && ended == ConnectionEnd::Closed,
+                got.is_none() || !marks_end && ended == ConnectionEnd::Closed,
                 "{round}: {ended:?} at {short} of {text:?}"
             );
         }
     }
 }
 
-/// White space wherever an object may have it.
-fn spaced(chance: &mut fastrand::Rng, object: &str) -> String {
+/// Inserts random white space where JSON allows it.
+fn with_white_space(rng: &mut fastrand::Rng, object: &str) -> String {
     let (mut out, mut quoted) = (String::new(), false);
     for letter in object.chars() {
         quoted ^= letter == '"';
         out.push(letter);
         if !quoted && ",:[{".contains(letter) {
-            out += *chance.choice(&["", "", " ", "\r\n", "\n\t  "]).unwrap();
+            out += *rng.choice(&["", "", " ", "\r\n", "\n\t  "]).unwrap();
         }
     }
     out
 }
 
-/// What a watch finds in a text that comes in pieces, and whether it broke off.
-fn told(text: &str, pieces: &[usize]) -> (Vec<ListUpdate>, Option<&'static str>) {
+/// The list updates that a watch finds in a text that arrives in pieces, and the error that ended the watch, if any.
+fn feed_watch(text: &str, pieces: &[usize]) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut found, mut from) = (Watch::new(0, usize::MAX), Vec::new(), 0);
     for to in pieces {
         match watch.feed(SEC, &text.as_bytes()[from..*to], &mut found) {
@@ -123,54 +124,54 @@
 }
 
 #[test]
-fn lists_in_any_pieces_chunks_and_white_space_are_the_whole_ones_and_a_half_one_is_none() {
-    let mut chance = fastrand::Rng::with_seed(12);
+fn lists_in_any_pieces_chunks_and_white_space_are_parsed_whole_and_incomplete_ones_are_ignored() {
+    let mut rng = fastrand::Rng::with_seed(12);
     for round in 0..2_000 {
         let statuses = ["ready", "draining", "gone"];
-        let objects: Vec<String> = (0..chance.u64(1..4))
+        let objects: Vec<String> = (0..rng.u64(1..4))
             .map(|index| {
-                let entries: Vec<String> = (0..chance.u16(..4))
-                    .map(|at| entry(&format!("s{at}"), address(at + 1), chance.choice(&statuses).unwrap()))
+                let entries: Vec<String> = (0..rng.u16(..4))
+                    .map(|at| entry(&format!("s{at}"), address(at + 1), rng.choice(&statuses).unwrap()))
                     .collect();
-                list(index + 1, chance.bool(), &entries)
+                list(index + 1, rng.bool(), &entries)
             })
             .collect();
-        let lines: Vec<String> = objects.iter().map(|object| spaced(&mut chance, object)).collect();
-        let between = *chance.choice(&["", "\n", "\r\n\r\n", "\n\n  "]).unwrap();
+        let lines: Vec<String> = objects.iter().map(|object| with_white_space(&mut rng, object)).collect();
+        let between = *rng.choice(&["", "\n", "\r\n\r\n", "\n\n  "]).unwrap();
         let text =
-            format!("{WATCH}{}", chunked(&mut chance, &format!("{between}{}{between}", lines.join(between))));
+            format!("{WATCH}{}", chunked(&mut rng, &format!("{between}{}{between}", lines.join(between))));
         let plain = format!("{WATCH}{}", objects.iter().map(|object| chunk(object)).collect::<String>());
-        let (whole, why) = told(&plain, &[plain.len()]);
+        let (whole, why) = feed_watch(&plain, &[plain.len()]);
         assert_eq!((whole.len(), why), (objects.len(), None));
-        let pieces = cuts(&mut chance, text.len());
+        let pieces = random_cuts(&mut rng, text.len());
         assert_eq!(
-            told(&text, &pieces),
-            (told(&plain, &[plain.len()]).0, None),
+            feed_watch(&text, &pieces),
+            (feed_watch(&plain, &[plain.len()]).0, None),
             "{round}: {pieces:?} of {text:?}"
         );
-        // Cut short at any byte: a part of the objects, each whole.
-        let short = chance.usize(1..text.len());
-        let (some, why) = told(&text[..short], &cuts(&mut chance, short));
-        assert_eq!((&some[..], why), (&whole[..some.len()], None), "{round}: {short} of {text:?}");
+        // Truncated at any byte: the first objects, each of them whole.
+        let short = rng.usize(1..text.len());
+        let (updates, why) = feed_watch(&text[..short], &random_cuts(&mut rng, short));
+        assert_eq!((&updates[..], why), (&whole[..updates.len()], None), "{round}: {short} of {text:?}");
     }
 }
 
 #[test]
-fn an_rpc_in_any_pieces_is_the_whole_one_or_none() {
-    let mut chance = fastrand::Rng::with_seed(13);
+fn rpc_in_any_pieces_is_parsed_whole_or_not_at_all() {
+    let mut rng = fastrand::Rng::with_seed(13);
     let config = format!(
         "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"1\",\"settings\":{}}}",
         settings("")
     );
     let config = Config::parse(&config, |_| None).unwrap();
     for round in 0..2_000 {
-        let method = *chance.choice(&["read", "submit", "verify"]).unwrap();
-        let text = rpc(method, chance.u64(1..5000));
-        let text = format!("{}{text}", "\r\n".repeat(chance.usize(..3)));
+        let method = *rng.choice(&["read", "submit", "verify"]).unwrap();
+        let text = rpc(method, rng.u64(1..5000));
+        let text = format!("{}{text}", "\r\n".repeat(rng.usize(..3)));
         let whole = Client::default().parse_message(&config, SEC, text.as_bytes());
         assert!(matches!(whole, Ok(Parsed::Rpc(_))), "{round}: {text:?}");
         let mut client = Client::default();
-        for to in cuts(&mut chance, text.len()) {
+        for to in random_cuts(&mut rng, text.len()) {
             let got = client.parse_message(&config, SEC, &text.as_bytes()[..to]);
             let expected = if to == text.len() { whole.clone() } else { Ok(Parsed::Incomplete) };
             assert_eq!(got, expected, "{round}: {to} of {text:?}");
@@ -179,49 +180,51 @@
 }
 
 #[test]
-fn answers_of_the_counter_in_any_pieces_are_the_whole_ones_and_the_rest_may_have_counted() {
-    let mut chance = fastrand::Rng::with_seed(14);
+fn counter_replies_in_any_pieces_are_parsed_whole_and_unanswered_calls_may_have_been_counted() {
+    let mut rng = fastrand::Rng::with_seed(14);
     for round in 0..2_000 {
-        let calls = chance.u64(1..6);
-        let said = ["$3\r\n7.5\r\n", "-BUSY later\r\n", "-ERR no such call\r\n", ":8\r\n", "$5\r\n1e-06\r\n"];
-        let text: String = (0..calls).map(|_| *chance.choice(&said).unwrap()).collect();
-        let fed = |pieces: &[usize]| {
-            let (mut line, mut out, mut ended, mut from) =
+        let calls = rng.u64(1..6);
+        let replies =
+            ["$3\r\n7.5\r\n", "-BUSY later\r\n", "-ERR no such call\r\n", ":8\r\n", "$5\r\n1e-06\r\n"];
+        let text: String = (0..calls).map(|_| *rng.choice(&replies).unwrap()).collect();
+        let feed = |pieces: &[usize]| {
+            let (mut connection, mut out, mut ended, mut from) =
                 (CounterConnection::default(), Vec::new(), Vec::new(), 0);
-            line.connected(&mut out, SEC);
+            connection.connected(&mut out, SEC);
             for serial in 1..=calls {
-                line.send_call(&mut out, SEC, Call { serial, name: serial, add: 1.0, ttl: SEC });
+                connection.send_call(&mut out, SEC, Call { serial, name: serial, add: 1.0, ttl: SEC });
             }
             for to in pieces {
-                from += line.feed(SEC, &text.as_bytes()[from..*to], &mut ended).unwrap();
+                from += connection.feed(SEC, &text.as_bytes()[from..*to], &mut ended).unwrap();
             }
-            (ended, line.disconnect())
+            (ended, connection.disconnect())
         };
-        let (whole, left) = fed(&[text.len()]);
-        assert!(whole.len() == calls as usize && left.is_empty());
-        let pieces = cuts(&mut chance, text.len());
-        assert_eq!(fed(&pieces).0, whole, "{round}: {pieces:?} of {text:?}");
-        let short = chance.usize(1..text.len());
-        let (some, left) = fed(&cuts(&mut chance, short));
-        assert_eq!(some[..], whole[..some.len()], "{round}: {short} of {text:?}");
-        assert_eq!(some.len() + left.len(), calls as usize, "each call ends once");
-        assert!(left.iter().all(|end| end.1 == CallOutcome::Reset));
+        let (whole, pending) = feed(&[text.len()]);
+        assert!(whole.len() == calls as usize && pending.is_empty());
+        let pieces = random_cuts(&mut rng, text.len());
+        assert_eq!(feed(&pieces).0, whole, "{round}: {pieces:?} of {text:?}");
+        let short = rng.usize(1..text.len());
+        let (completed, pending) = feed(&random_cuts(&mut rng, short));
+        assert_eq!(completed[..], whole[..completed.len()], "{round}: {short} of {text:?}");
+        assert_eq!(completed.len() + pending.len(), calls as usize, "each call ends once");
+        assert!(pending.iter().all(|call| call.1 == CallOutcome::Reset));
     }
 }
 
-// ---- The same on connections.
+// The same on real connections to a gateway process.
 
-fn gateway(server: &Peer) -> Program {
+/// Starts a gateway that knows this server, with discovery down and a quota that never makes a request wait.
+fn start_gateway(server: &Peer) -> Program {
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let steady =
+    let settings =
         settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
-    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), &steady)
+    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), &settings)
 }
 
 #[test]
-fn a_client_that_ends_at_any_byte_of_its_message_has_nothing_sent_on_before_it_is_whole() {
+fn request_whose_connection_ends_at_any_byte_before_it_is_whole_is_not_forwarded() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    let gateway = gateway(&server);
+    let gateway = start_gateway(&server);
     let whole = |number: usize| rpc("verify", 5000).replace("0123456789abcdef", &format!("{number:016x}"));
     let length = whole(0).len();
     for cut in (0..length).step_by(3).chain([length - 1]) {
@@ -231,38 +234,39 @@
             if resets { client.reset() } else { drop(client) }
         }
     }
-    // What the gateway took before this one has been dealt with: connections are taken in the order in which they came.
+    // Connections are accepted in the order in which they arrive, so the gateway has handled all earlier ones by then.
     assert!(gateway.client().ask(&whole(1 << 20)).ends_with("on"));
     assert!(server.next().1.contains(&format!("{:016x}", 1 << 20)) && server.nothing_came());
 }
 
 #[test]
-fn an_answer_that_ends_at_any_byte_is_passed_on_whole_or_not_at_all_and_is_never_asked_for_twice() {
+fn response_whose_connection_ends_at_any_byte_is_forwarded_whole_or_not_at_all_without_a_retry() {
     let server = Peer::new(|_, _| (Vec::new(), false));
-    let gateway = gateway(&server);
-    let (fixed, open) = ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole", "HTTP/1.1 200 OK\r\n\r\nwhole");
-    for (text, told) in [(fixed, true), (open, false)] {
+    let gateway = start_gateway(&server);
+    let (with_length, without_length) =
+        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole", "HTTP/1.1 200 OK\r\n\r\nwhole");
+    for (text, marks_end) in [(with_length, true), (without_length, false)] {
         for cut in 0..=text.len() {
             for resets in [false, true] {
                 let mut client = gateway.client();
                 client.send(&rpc("verify", 5000));
-                let on = server.next().0;
-                server.tell(on, &text[..cut]);
+                let connection = server.next().0;
+                server.tell(connection, &text[..cut]);
                 if resets {
-                    server.reset(on)
+                    server.reset(connection)
                 } else {
-                    server.close(on)
+                    server.close(connection)
                 }
                 let got = client.answer().unwrap();
-                let passed =
-                    if told { cut == text.len() } else { !resets && text[..cut].contains("\r\n\r\n") };
+                let forwarded =
+                    if marks_end { cut == text.len() } else { !resets && text[..cut].contains("\r\n\r\n") };
                 assert_eq!(
                     status(&got),
-                    if passed { 200 } else { 502 },
+                    if forwarded { 200 } else { 502 },
                     "{cut} of {text:?}, reset {resets}: {got}"
                 );
                 let body = &text[..cut].split("\r\n\r\n").nth(1).unwrap_or_default();
-                assert!(!passed || got.ends_with(&format!("\r\n\r\n{body}")), "{got}");
+                assert!(!forwarded || got.ends_with(&format!("\r\n\r\n{body}")), "{got}");
             }
         }
     }
@@ -270,23 +274,24 @@
 }
 
 #[test]
-fn a_watch_that_ends_at_any_byte_leaves_the_list_as_the_last_whole_object_told_it() {
+fn watch_that_ends_at_any_byte_leaves_the_list_of_the_last_whole_object() {
     let (old, new) = (Peer::new(|_, _| answer(200, "", "old")), Peer::new(|_, _| answer(200, "", "new")));
     let object = list(4, true, &[entry("s1", new.address, "ready")]);
     let text = chunk(&object);
     let discovery = Peer::new(|_, _| say(WATCH));
     for cut in (0..text.len()).step_by(29).chain([text.len() - 3, text.len()]) {
         let known = list(3, true, &[entry("s0", old.address, "ready")]);
-        let pushed = settings("\"membershipMode\":\"push\",");
-        let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &pushed);
-        let (on, asked) = discovery.next();
-        assert!(asked.contains("from=3"));
-        discovery.tell(on, &text[..cut]);
-        discovery.reset(on);
-        let (_, again) = discovery.next();
-        // The object is whole without the chunk's last bytes: a line end each of the object and of the chunk.
+        let settings = settings("\"membershipMode\":\"push\",");
+        let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &settings);
+        let (connection, request) = discovery.next();
+        assert!(request.contains("from=3"));
+        discovery.tell(connection, &text[..cut]);
+        discovery.reset(connection);
+        let (_, next_request) = discovery.next();
+        // The object is whole without the chunk's last three bytes: the line feed after the object and the CRLF after
+        // the chunk.
         let whole = cut + 3 >= text.len();
-        assert!(again.contains(if whole { "from=4" } else { "from=3" }), "{cut} of {}", text.len());
+        assert!(next_request.contains(if whole { "from=4" } else { "from=3" }), "{cut} of {}", text.len());
         let got = gateway.client().ask(&rpc("read", 2000));
         assert!(got.ends_with(if whole { "new" } else { "old" }), "{cut}: {got}");
     }
--- a/crates/gateway/tests/quiet_times.rs
+++ b/crates/gateway/tests/quiet_times.rs
@@ -1,5 +1,5 @@
-//! Trouble after a quiet time, and RPCs with hardly any time: every one gets its one answer, and what must not run twice
-//! does not.
+//! Connections to servers that break while idle, RPCs with very short deadlines, and reloads while discovery is down:
+//! every RPC gets one answer, and a non-idempotent RPC runs at most once.
 
 use standins::scripted::{Client, Peer, answer, entry, rpc, status, with_id};
 use std::collections::BTreeMap;
@@ -11,63 +11,65 @@
 use support::{discovery_peer, long_timeout_settings, start_gateway};
 
 const METHODS: [&str; 3] = ["read", "submit", "verify"];
-/// Clients, and so about as many connections to servers that rest when the trouble begins.
+/// Number of clients, and so about the number of idle connections to servers when the fault occurs.
 const CLIENTS: usize = 8;
 
 fn id_of(message: &str) -> String {
     message.split("X-Txn: ").nth(1).and_then(|rest| rest.split('\r').next()).expect("an id").to_string()
 }
 
-/// How often each RPC ran, by its id.
-type Runs = Arc<Mutex<BTreeMap<String, usize>>>;
+/// How often each RPC ran, by its ID.
+type RunCounts = Arc<Mutex<BTreeMap<String, usize>>>;
 
-/// A server that counts what it runs, after a while so that connections are not shared; once it is `mute` it says nothing on
-/// connections that it knew before.
-fn counting(runs: &Runs, mute: &Arc<AtomicBool>) -> Peer {
-    let (runs, mute) = (runs.clone(), mute.clone());
-    let known = Mutex::new(std::collections::BTreeSet::new());
+/// A server that counts how often it runs each RPC. Each run takes a while, so that concurrent RPCs use separate
+/// connections. Once `mute` is set, it does not answer on connections that it had before.
+fn counting_server(run_counts: &RunCounts, mute: &Arc<AtomicBool>) -> Peer {
+    let (run_counts, mute) = (run_counts.clone(), mute.clone());
+    let known_connections = Mutex::new(std::collections::BTreeSet::new());
     Peer::new(move |number, message| {
-        let is_new = known.lock().unwrap().insert(number);
+        let is_new = known_connections.lock().unwrap().insert(number);
         if mute.load(Ordering::Relaxed) && !is_new {
-            return (Vec::new(), false); // it has forgotten this connection
+            return (Vec::new(), false); // as if the server had lost this connection's state
         }
-        *runs.lock().unwrap().entry(id_of(message)).or_default() += 1;
-        std::thread::sleep(Duration::from_millis(20)); // the work
+        *run_counts.lock().unwrap().entry(id_of(message)).or_default() += 1;
+        std::thread::sleep(Duration::from_millis(20)); // service time
         answer(200, "", "ok")
     })
 }
 
-/// Two servers with resting connections; then `trouble`, and RPCs of every method at once.
-fn after_a_quiet_time(trouble: impl Fn(&[&Peer], &AtomicBool)) {
-    let (runs, mute) = (Runs::default(), Arc::<AtomicBool>::default());
-    let (one, two) = (counting(&runs, &mute), counting(&runs, &mute));
+/// Starts two servers, lets connections to them become idle, injects `fault`, and then sends RPCs of every method at
+/// once.
+fn check_fault_on_idle_connections(fault: impl Fn(&[&Peer], &AtomicBool)) {
+    let (run_counts, mute) = (RunCounts::default(), Arc::<AtomicBool>::default());
+    let (first_server, second_server) =
+        (counting_server(&run_counts, &mute), counting_server(&run_counts, &mute));
     let discovery = discovery_peer();
-    let entries = [entry("s0", one.address, "ready"), entry("s1", two.address, "ready")];
+    let entries = [entry("s0", first_server.address, "ready"), entry("s1", second_server.address, "ready")];
     let gateway = start_gateway(&discovery, &entries, &long_timeout_settings());
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("read", 5000), id as u64));
     }
     assert!(clients.iter_mut().all(|client| client.answer().is_some_and(|got| status(&got) == 200)));
-    trouble(&[&one, &two], &mute);
-    let asked = Instant::now();
+    fault(&[&first_server, &second_server], &mute);
+    let sent_at = Instant::now();
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc(METHODS[id % METHODS.len()], 2000), 100 + id as u64));
     }
     for (id, client) in clients.iter_mut().enumerate() {
         let method = METHODS[id % METHODS.len()];
         let got = status(&client.answer().unwrap_or_else(|| panic!("{method} has no answer")));
-        let ran = runs.lock().unwrap().get(&format!("{:016x}", 100 + id)).copied().unwrap_or(0);
-        assert!(method != "verify" || ran <= 1, "{method} ran {ran} times");
-        assert!(!(method == "verify" && ran == 1 && matches!(got, 429 | 503)), "{got} though it ran");
+        let run_count = run_counts.lock().unwrap().get(&format!("{:016x}", 100 + id)).copied().unwrap_or(0);
+        assert!(method != "verify" || run_count <= 1, "{method} ran {run_count} times");
+        assert!(!(method == "verify" && run_count == 1 && matches!(got, 429 | 503)), "{got} although it ran");
         assert!(matches!(got, 200 | 429 | 502 | 503 | 504), "{method}: {got}");
     }
-    assert!(asked.elapsed() < Duration::from_millis(2500), "{:?}", asked.elapsed());
+    assert!(sent_at.elapsed() < Duration::from_millis(2500), "{:?}", sent_at.elapsed());
 }
 
 #[test]
-fn all_resting_connections_to_servers_reset_at_once() {
-    after_a_quiet_time(|servers, _| {
+fn all_idle_server_connections_are_reset_at_once() {
+    check_fault_on_idle_connections(|servers, _| {
         for server in servers {
             (0..server.connections()).for_each(|number| server.reset(number));
         }
@@ -75,8 +77,8 @@
 }
 
 #[test]
-fn all_resting_connections_to_servers_closed_at_once() {
-    after_a_quiet_time(|servers, _| {
+fn all_idle_server_connections_are_closed_at_once() {
+    check_fault_on_idle_connections(|servers, _| {
         for server in servers {
             (0..server.connections()).for_each(|number| server.close(number));
         }
@@ -84,40 +86,41 @@
 }
 
 #[test]
-fn all_resting_connections_to_servers_forgotten_without_a_word() {
-    after_a_quiet_time(|_, mute| mute.store(true, Ordering::Relaxed));
+fn all_idle_server_connections_are_lost_without_notice() {
+    check_fault_on_idle_connections(|_, mute| mute.store(true, Ordering::Relaxed));
 }
 
 #[test]
-fn rpcs_with_0_to_30_ms_left_get_an_answer_in_their_time_though_servers_drop_them() {
+fn rpcs_with_0_to_30_ms_left_are_answered_in_time_though_servers_never_answer() {
     let (server, discovery) = (Peer::new(|_, _| (Vec::new(), false)), discovery_peer());
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     for (id, remaining) in (0..=30).step_by(3).enumerate() {
         for (nth, method) in METHODS.into_iter().enumerate() {
             let mut client = gateway.client();
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             client.send(&with_id(&rpc(method, remaining), (METHODS.len() * id + nth) as u64));
             let got = status(&client.answer().unwrap_or_else(|| panic!("{method} {remaining}: no answer")));
             assert!(matches!(got, 429 | 502 | 503 | 504), "{method} {remaining}: {got}");
-            let most = Duration::from_millis(remaining + 500);
-            assert!(asked.elapsed() < most, "{method} {remaining}: {:?}", asked.elapsed());
+            let limit = Duration::from_millis(remaining + 500);
+            assert!(sent_at.elapsed() < limit, "{method} {remaining}: {:?}", sent_at.elapsed());
         }
     }
 }
 
 #[test]
-fn configurations_in_a_row_during_an_outage_of_discovery_lose_nothing() {
+fn consecutive_reloads_during_a_discovery_outage_lose_no_rpc() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let (first, nowhere) = (discovery_peer(), standins::scripted::nowhere());
-    let gateway = start_gateway(&first, &[entry("s0", server.address, "ready")], &long_timeout_settings());
+    let (discovery, unreachable) = (discovery_peer(), standins::scripted::nowhere());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     for id in 0..20 {
-        let at = if id % 2 == 0 { nowhere } else { first.address };
+        let at = if id % 2 == 0 { unreachable } else { discovery.address };
         gateway.rewrite(&gateway.config(at, "", &long_timeout_settings()));
         gateway.signal("-HUP");
         let got = client.ask(&with_id(&rpc(METHODS[id % METHODS.len()], 3000), id as u64));
         assert_eq!(status(&got), 200, "{id}");
     }
-    assert!(first.next().1.contains("watch=1"), "it comes back to discovery");
+    assert!(discovery.next().1.contains("watch=1"), "the gateway reconnects to discovery");
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak: fleets of real processes under random faults that overlap, judged by the invariants. Longer runs over
-//! more seeds are `martenramp-rig soak` (`docs/rig.md`).
+//! A short soak test: fleets of gateway processes under random, overlapping faults, checked against the invariants.
+//! `martenramp-rig soak` (`docs/rig.md`) runs longer soaks with more seeds.
 
 use rig::scenario::SystemCalls;
 use rig::soak;
@@ -8,7 +8,7 @@
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
-fn nothing_is_broken(seed: u64, system_calls: Option<SystemCalls>) {
+fn check_no_violations(seed: u64, system_calls: Option<SystemCalls>) {
     let size = Size { gateways: 8, servers: 10, seconds: 12.0, faults: 8 };
     let run = soak::run(seed, size, &[], system_calls, Path::new(BIN)).unwrap();
     println!("{}", run.shown());
@@ -16,13 +16,14 @@
     assert!(run.sent > 200 && run.counts.checked > 0, "{}", run.shown());
 }
 
-/// A seed whose clients keep few gateways with few descriptors busy while silent connections crowd them.
-const CROWDED: u64 = 3012;
+/// A seed whose scenario has few gateways with few descriptors, busy with clients while silent connections use up the
+/// descriptors.
+const CROWD_SEED: u64 = 3012;
 
 #[test]
-fn nothing_is_broken_while_silent_connections_crowd_busy_gateways() {
+fn no_violations_while_silent_connections_crowd_busy_gateways() {
     let size = Size { gateways: 4, servers: 8, seconds: 6.0, faults: 4 };
-    let run = soak::run(CROWDED, size, &[], None, Path::new(BIN)).unwrap();
+    let run = soak::run(CROWD_SEED, size, &[], None, Path::new(BIN)).unwrap();
     println!("{}", run.shown());
     assert!(run.violations.is_empty(), "{}", run.shown());
     assert!(run.scenario.sockets < 200 && run.sent > 500 && run.served > run.sent / 3, "{}", run.shown());
@@ -30,13 +31,13 @@
 }
 
 #[test]
-fn nothing_is_broken_by_the_faults_of_one_seed() {
-    nothing_is_broken(1, None);
+fn no_violations_under_the_faults_of_seed_1() {
+    check_no_violations(1, None);
 }
 
 #[test]
-fn nothing_is_broken_by_the_faults_of_another_seed_with_system_calls_that_fail() {
-    let test = std::env::current_exe().unwrap();
-    let library = test.parent().unwrap().join("libmartenramp_faults.so");
-    nothing_is_broken(2, Some(SystemCalls { library, rate: 0.01 }));
+fn no_violations_under_the_faults_of_seed_2_with_failing_system_calls() {
+    let test_binary = std::env::current_exe().unwrap();
+    let library = test_binary.parent().unwrap().join("libmartenramp_faults.so");
+    check_no_violations(2, Some(SystemCalls { library, rate: 0.01 }));
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Set-up that several stories with real processes share.
+//! Setup shared by the tests that run the gateway as a process.
 
 use standins::scripted::{Peer, Program, WATCH, list, say, settings};
 
 pub const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
-/// Settings that leave a connection and an RPC all the time that a late connection needs.
+/// Settings whose connection timeout and deadlines are long enough for a connection that is established late.
 pub fn long_timeout_settings() -> String {
     let wide =
         settings("\"membershipMode\":\"push\",").replace("\"dialTimeout\":0.25", "\"dialTimeout\":15.0");
@@ -12,7 +12,8 @@
     wide.replace("\"onTime\":0.8", "\"onTime\":15").replace("\"window\":5.0", "\"window\":1.0")
 }
 
-/// A gateway with these entries in its list, under a watch that the test speaks on.
+/// Starts a gateway with these entries as its list and waits until it watches `discovery`, on which the test can
+/// send further lists.
 pub fn start_gateway(discovery: &Peer, entries: &[String], settings: &str) -> Program {
     let known = list(3, true, entries);
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), settings);
@@ -20,6 +21,7 @@
     gateway
 }
 
+/// A discovery service that accepts watches and sends only what the test tells it to.
 pub fn discovery_peer() -> Peer {
     Peer::new(|_, _| say(WATCH))
 }
--- a/crates/gateway/tests/turns.rs
+++ b/crates/gateway/tests/turns.rs
@@ -1,4 +1,4 @@
-//! The driver's turns, with something else than the gateway to turn: what one connection can take of them.
+//! Turns of the driver's event loop, run with a test handler: how much of a turn one connection can use.
 
 use gateway::driver::{Driver, EventHandler, Net};
 use gateway::logs::LogBuffer;
@@ -8,40 +8,42 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-const MOST: usize = 64 << 10;
-const FLOODS: usize = 4;
-const FLOOD: usize = 8 << 20;
+const MAX_INPUT: usize = 64 << 10;
+const SENDERS: usize = 4;
+const FLOOD_BYTES: usize = 8 << 20;
 const MS: Nanos = 1_000_000;
 
-/// Takes all that comes and notes how much each connection had of a turn, and how often its timer rang.
-struct Taker {
+/// An event handler that consumes all input and records how many bytes each connection delivered per turn, and how
+/// often its timer fired.
+struct RecordingHandler {
     net: Net,
-    turn: BTreeMap<usize, usize>,
-    most: usize,
+    turn_bytes: BTreeMap<usize, usize>,
+    max_turn_bytes: usize,
     turns: usize,
-    rings: usize,
+    timer_fires: usize,
     due_at: Nanos,
-    taken: usize,
-    /// Of each connection, all its turns together.
-    flooded: BTreeMap<usize, usize>,
-    left: usize,
-    /// How long the start takes, and how late the first turn takes itself to be.
-    start_takes: Duration,
-    first_late: Option<Nanos>,
+    received: usize,
+    /// Bytes received per connection over all turns.
+    total_bytes: BTreeMap<usize, usize>,
+    open_senders: usize,
+    /// How long [`EventHandler::start`] takes.
+    start_duration: Duration,
+    /// The input delay that the first turn reported.
+    first_input_delay: Option<Nanos>,
 }
 
-impl EventHandler for Taker {
+impl EventHandler for RecordingHandler {
     fn net(&mut self) -> &mut Net {
         &mut self.net
     }
     fn start(&mut self, now: Nanos) {
-        std::thread::sleep(self.start_takes);
-        self.due_at = now + self.start_takes.as_nanos() as Nanos + MS;
+        std::thread::sleep(self.start_duration);
+        self.due_at = now + self.start_duration.as_nanos() as Nanos + MS;
     }
     fn turn_started(&mut self) {
-        self.first_late.get_or_insert(self.net.input_delay);
+        self.first_input_delay.get_or_insert(self.net.input_delay);
         self.turns += 1;
-        self.turn.clear();
+        self.turn_bytes.clear();
     }
     fn datagram_received(&mut self, _: &[u8]) {}
     fn next_timer(&mut self) -> Option<Nanos> {
@@ -53,13 +55,13 @@
         true
     }
     fn is_finished(&self) -> bool {
-        self.left == 0
+        self.open_senders == 0
     }
     fn can_accept(&mut self) -> bool {
         true
     }
     fn max_client_input(&self) -> usize {
-        MOST
+        MAX_INPUT
     }
     fn accepted(&mut self, _: usize) {}
     fn retry_accept_later(&mut self) {}
@@ -69,23 +71,23 @@
     fn connected(&mut self, _: usize) {}
     fn output_written(&mut self, _: usize) {}
     fn input_received(&mut self, id: usize) {
-        let got = self.net.input(id).len();
-        self.net.consume(id, got);
-        self.taken += got;
-        let had = self.turn.entry(id).or_default();
-        *had += got;
-        self.most = self.most.max(*had);
-        let flooded = self.flooded.entry(id).or_default();
-        *flooded += got;
-        if *flooded == FLOOD || self.net.connection_end(id).is_some() {
-            self.flooded.remove(&id);
+        let length = self.net.input(id).len();
+        self.net.consume(id, length);
+        self.received += length;
+        let in_turn = self.turn_bytes.entry(id).or_default();
+        *in_turn += length;
+        self.max_turn_bytes = self.max_turn_bytes.max(*in_turn);
+        let total = self.total_bytes.entry(id).or_default();
+        *total += length;
+        if *total == FLOOD_BYTES || self.net.connection_end(id).is_some() {
+            self.total_bytes.remove(&id);
             self.net.close(id);
-            self.left -= 1;
+            self.open_senders -= 1;
         }
     }
     fn run_due_timers(&mut self) -> bool {
         if self.net.now >= self.due_at {
-            self.rings += 1;
+            self.timer_fires += 1;
             self.due_at = self.net.now + MS;
         }
         false
@@ -94,50 +96,54 @@
     fn write_attempts(&mut self) {}
 }
 
-/// Some clients send megabytes as fast as they can, and stay until they are sent away: one that goes while its buffer is
-/// full has gone, and what it sent last is not read.
-fn flooded(start_takes: Duration) -> Taker {
+/// Runs the driver while several clients send megabytes as fast as they can. The clients stay until the server closes
+/// their connection: when a client closes while its buffer is full, its last bytes are not read.
+fn run_flood(start_duration: Duration) -> RecordingHandler {
     let (driver, net, address) = Driver::new("127.0.0.1:0".parse().unwrap()).unwrap();
-    let floods: Vec<_> = (0..FLOODS)
+    let senders: Vec<_> = (0..SENDERS)
         .map(|_| {
             std::thread::spawn(move || {
                 let mut client = TcpStream::connect(address).unwrap();
-                let _ = client.write_all(&vec![b'x'; FLOOD]);
+                let _ = client.write_all(&vec![b'x'; FLOOD_BYTES]);
                 let _ = client.read(&mut [0]);
             })
         })
         .collect();
-    let (turn, flooded) = (BTreeMap::new(), BTreeMap::new());
-    let mut taker = Taker {
+    let (turn_bytes, total_bytes) = (BTreeMap::new(), BTreeMap::new());
+    let mut handler = RecordingHandler {
         net,
-        turn,
-        most: 0,
+        turn_bytes,
+        max_turn_bytes: 0,
         turns: 0,
-        rings: 0,
+        timer_fires: 0,
         due_at: 0,
-        taken: 0,
-        flooded,
-        left: FLOODS,
-        start_takes,
-        first_late: None,
+        received: 0,
+        total_bytes,
+        open_senders: SENDERS,
+        start_duration,
+        first_input_delay: None,
     };
-    driver.run(&mut taker, &LogBuffer::default()).unwrap();
-    floods.into_iter().for_each(|flood| flood.join().unwrap());
-    taker
+    driver.run(&mut handler, &LogBuffer::default()).unwrap();
+    senders.into_iter().for_each(|sender| sender.join().unwrap());
+    handler
 }
 
 #[test]
-fn a_flood_has_no_more_than_two_buffers_of_a_turn_and_the_timer_rings_on() {
-    let taker = flooded(Duration::ZERO);
-    assert_eq!(taker.taken, FLOODS * FLOOD, "nothing is lost on the way");
-    // One for the event, one for what was resumed.
-    assert!(taker.most <= 2 * MOST, "{} bytes of one connection in a turn", taker.most);
-    assert!(taker.turns >= FLOOD / (2 * MOST) && taker.rings > 0, "{} turns", taker.turns);
+fn flooding_connection_gets_two_buffers_per_turn_and_the_timer_keeps_firing() {
+    let run = run_flood(Duration::ZERO);
+    assert_eq!(run.received, SENDERS * FLOOD_BYTES, "no bytes are lost");
+    // One buffer for the event and one for the resumed read.
+    assert!(
+        run.max_turn_bytes <= 2 * MAX_INPUT,
+        "{} bytes of one connection in one turn",
+        run.max_turn_bytes
+    );
+    assert!(run.turns >= FLOOD_BYTES / (2 * MAX_INPUT) && run.timer_fires > 0, "{} turns", run.turns);
 }
 
 #[test]
-fn what_waited_while_the_process_started_counts_as_that_old() {
-    let start_takes = Duration::from_millis(300);
-    let late = flooded(start_takes).first_late.expect("a turn");
-    assert!(late >= start_takes.as_nanos() as Nanos, "{late} ns");
+fn input_that_waited_during_startup_counts_as_that_old() {
+    let start_duration = Duration::from_millis(300);
+    let input_delay = run_flood(start_duration).first_input_delay.expect("at least one turn");
+    assert!(input_delay >= start_duration.as_nanos() as Nanos, "{input_delay} ns");
 }
