--- a/crates/gateway/tests/answer_delivery.rs
+++ b/crates/gateway/tests/answer_delivery.rs
@@ -1,5 +1,6 @@
-//! An answer is owed to a client until its last byte is out: whatever ends connections (room for others, a shutdown, a
-//! reload), none is ended with an answer still waiting in its buffer.
+//! No client connection is closed while an answer to it is pending or still in its output buffer: not to make room for
+//! new connections, not on shutdown, not on a reload. Requests that wait for a free connection slot keep their
+//! deadlines.
 
 use standins::scripted::{Client, Peer, Program, answer, entry, list, rpc, status, told_wait_ms, with_id};
 use std::time::Duration;
@@ -7,72 +8,79 @@
 mod support;
 use support::{discovery_peer, long_timeout_settings, start_gateway};
 
-/// How many descriptors a gateway is given here, and how many clients it takes with that, the spare ones among them.
-const SOCKETS: &str = "\"limits\":{\"sockets\":64},";
-const CLIENTS: usize = 24;
-/// Accepting is tried again within this time where there was no room.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(30);
-/// A command that has not come through to the server by then does not.
-const STUCK: Duration = Duration::from_millis(500);
+/// The descriptor limit of the gateway in these tests, and the number of client connections that it accepts with it,
+/// including the spare ones.
+const DESCRIPTOR_LIMIT: &str = "\"limits\":{\"sockets\":64},";
+const MAX_CLIENTS: usize = 24;
+/// Within this time, the gateway tries again to accept after it had no free connection slot.
+const ACCEPT_RETRY_WITHIN: Duration = Duration::from_millis(30);
+/// A command that has not reached the server within this time is blocked.
+const BLOCKED_AFTER: Duration = Duration::from_millis(500);
 
 const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole";
 
-/// A server that takes RPCs and answers only when the test does.
+/// A server that reads RPCs and sends only what the test tells it to.
 fn silent_server() -> Peer {
     Peer::new(|_, _| (Vec::new(), false))
 }
 
-/// A gateway with few descriptors.
-fn small(discovery: &Peer, server: &Peer) -> Program {
+/// Starts a gateway with few descriptors.
+fn start_with_few_descriptors(discovery: &Peer, server: &Peer) -> Program {
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let more = format!("{SOCKETS}\"known\":{known},");
+    let more = format!("{DESCRIPTOR_LIMIT}\"known\":{known},");
     let gateway = Program::start(support::BIN, discovery.address, &more, &long_timeout_settings());
     assert!(discovery.next().1.contains("from=3"));
     gateway
 }
 
-/// Takes all descriptors for clients but one with connections that stand in the middle of a message.
-fn crowd(gateway: &Program) -> Vec<Client> {
-    let half = rpc("verify", 20_000).replace("Host:", "Expect: 100-continue\r\nHost:");
-    let half = half.strip_suffix("body").expect("a message with a body").to_string();
-    let others = (1..CLIENTS).map(|_| {
+/// Fills all client connection slots but one with connections that have sent an incomplete message.
+fn fill_slots(gateway: &Program) -> Vec<Client> {
+    let incomplete = rpc("verify", 20_000).replace("Host:", "Expect: 100-continue\r\nHost:");
+    let incomplete = incomplete.strip_suffix("body").expect("a message with a body").to_string();
+    let others = (1..MAX_CLIENTS).map(|_| {
         let mut other = gateway.client();
-        assert_eq!(status(&other.ask(&half)), 100, "it is taken, and its message is not whole");
+        assert_eq!(
+            status(&other.ask(&incomplete)),
+            100,
+            "the connection is accepted and its message is incomplete"
+        );
         other
     });
     others.collect()
 }
 
 #[test]
-fn a_connection_whose_answer_is_not_out_does_not_give_way_to_a_new_one() {
+fn connection_with_a_pending_answer_is_not_closed_for_a_new_client() {
     let (server, discovery) = (silent_server(), discovery_peer());
-    let gateway = small(&discovery, &server);
+    let gateway = start_with_few_descriptors(&discovery, &server);
     let mut client = gateway.client();
     client.send(&rpc("read", 20_000));
     assert_eq!(server.next().0, 0);
-    let others = crowd(&gateway);
-    // There is no room for it, so it is tried again on a timer; in one turn the answer comes and the timer is due.
-    let newcomer = gateway.client();
+    let others = fill_slots(&gateway);
+    // There is no slot for the new connection, so the gateway tries again on a timer. The answer arrives and the timer
+    // comes due in the same turn.
+    let new_client = gateway.client();
     let turn = gateway.hold_turn(|| {
         server.tell(0, ANSWER);
-        std::thread::sleep(ACCEPT_AGAIN); // the timer's own time
+        std::thread::sleep(ACCEPT_RETRY_WITHIN); // until the timer is due
     });
     turn.go_on();
     assert_eq!(client.answer().map(|got| status(&got)), Some(200), "{:#?}", gateway.lines_now());
-    drop((newcomer, others));
+    drop((new_client, others));
 }
 
-/// The body of a long answer, and so many of them that no socket holds them all.
-const LONG: usize = 60 << 10;
-const MANY: usize = 200;
+/// The length of a long answer's body, and a number of such answers that exceeds the socket buffers.
+const LONG_BODY: usize = 60 << 10;
+const MANY_ANSWERS: usize = 200;
 
-/// Sends one command after another and reads no answer, until one does not get through or so many have; how many have.
-fn asked_without_reading(gateway: &Program, server: &Peer, most: usize) -> (Client, usize) {
+/// Sends commands one after another without reading answers, until one does not reach the server or `limit` have;
+/// returns the connection and how many have.
+fn send_without_reading(gateway: &Program, server: &Peer, limit: usize) -> (Client, usize) {
     let mut client = gateway.client();
     let mut served = 0;
-    while served < most {
+    while served < limit {
         client.send(&with_id(&rpc("read", 20_000), served as u64));
-        match server.seen_within(STUCK) {
+        match server.seen_within(BLOCKED_AFTER) {
             Some(_) => served += 1,
             None => break,
         }
@@ -81,25 +89,25 @@
 }
 
 #[test]
-fn a_client_that_reads_slowly_does_not_give_way_before_it_has_its_answers() {
-    let body = "y".repeat(LONG);
+fn slow_reader_is_not_disconnected_for_a_new_client_before_it_has_its_answers() {
+    let body = "y".repeat(LONG_BODY);
     let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), discovery_peer());
-    let gateway = small(&discovery, &server);
-    // Another client shows after how many answers that nobody reads the next command does not get through.
-    let stuck_after = asked_without_reading(&gateway, &server, MANY).1;
-    assert!(stuck_after < MANY, "all {MANY} answers found room in the sockets");
-    let (mut client, served) = asked_without_reading(&gateway, &server, stuck_after);
-    let others = crowd(&gateway);
-    let newcomers: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
-    std::thread::sleep(ACCEPT_AGAIN); // room was looked for by now
+    let gateway = start_with_few_descriptors(&discovery, &server);
+    // Measure with another client after how many unread answers the next command is blocked.
+    let blocked_after = send_without_reading(&gateway, &server, MANY_ANSWERS).1;
+    assert!(blocked_after < MANY_ANSWERS, "all {MANY_ANSWERS} answers fit into the socket buffers");
+    let (mut client, served) = send_without_reading(&gateway, &server, blocked_after);
+    let others = fill_slots(&gateway);
+    let new_clients: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
+    std::thread::sleep(ACCEPT_RETRY_WITHIN); // the gateway has looked for a free slot by now
     let got = (0..served).map_while(|_| client.answer()).filter(|got| got.ends_with('y')).count();
-    assert_eq!(got, served, "whole answers; {:#?}", gateway.lines_now());
-    drop((newcomers, others));
+    assert_eq!(got, served, "number of whole answers; {:#?}", gateway.lines_now());
+    drop((new_clients, others));
 }
 
 #[test]
-fn a_roomy_gateway_gives_a_slow_reader_all_answers() {
-    let body = "y".repeat(LONG);
+fn gateway_with_enough_descriptors_gives_a_slow_reader_all_answers() {
+    let body = "y".repeat(LONG_BODY);
     let (server, discovery) = (Peer::new(move |_, _| answer(200, "", &body)), discovery_peer());
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
@@ -112,60 +120,60 @@
 }
 
 #[test]
-fn what_waited_for_a_place_has_its_time_from_when_it_came() {
+fn deadline_of_a_request_that_waited_for_a_slot_starts_at_its_arrival() {
     let (server, discovery) = (silent_server(), discovery_peer());
-    let gateway = small(&discovery, &server);
-    let mut others = crowd(&gateway);
-    others.push(gateway.client()); // all places are taken
+    let gateway = start_with_few_descriptors(&discovery, &server);
+    let mut others = fill_slots(&gateway);
+    others.push(gateway.client()); // all slots are taken
     others.last_mut().expect("a client").send("GET /api/");
-    std::thread::sleep(ACCEPT_AGAIN); // it is taken by now
-    let (waits, remaining) = (Duration::from_millis(600), 2900);
+    std::thread::sleep(ACCEPT_RETRY_WITHIN); // it is accepted by now
+    let (waited, remaining) = (Duration::from_millis(600), 2900);
     let mut client = gateway.client();
     client.send(&rpc("verify", remaining));
-    std::thread::sleep(waits); // for a place
+    std::thread::sleep(waited); // for a slot
     others.clear();
-    let told = told_wait_ms(&server.next().1);
-    let left = remaining - waits.as_millis() as u64;
-    assert!(told <= left + 50, "{told} ms told, {left} left");
+    let wait_ms = told_wait_ms(&server.next().1);
+    let left = remaining - waited.as_millis() as u64;
+    assert!(wait_ms <= left + 50, "{wait_ms} ms sent to the server, {left} ms left");
 }
 
 #[test]
-fn what_waited_for_a_place_for_longer_than_its_time_is_refused_at_once() {
+fn request_that_waited_for_a_slot_beyond_its_deadline_is_rejected_at_once() {
     let (server, discovery) = (silent_server(), discovery_peer());
-    let gateway = small(&discovery, &server);
-    let mut others = crowd(&gateway);
+    let gateway = start_with_few_descriptors(&discovery, &server);
+    let mut others = fill_slots(&gateway);
     others.push(gateway.client());
     others.last_mut().expect("a client").send("GET /api/");
-    std::thread::sleep(ACCEPT_AGAIN); // it is taken by now
+    std::thread::sleep(ACCEPT_RETRY_WITHIN); // it is accepted by now
     let mut client = gateway.client();
     client.send(&rpc("read", 300));
-    std::thread::sleep(Duration::from_millis(400)); // its whole time, for a place
+    std::thread::sleep(Duration::from_millis(400)); // its whole deadline, waiting for a slot
     others.clear();
     assert_eq!(client.answer().map(|got| status(&got)), Some(503));
     assert!(server.nothing_came());
 }
 
-/// Processor time that a process has used.
+/// The processor time that the gateway process has used.
 fn processor_time(gateway: &Program) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", gateway.child.id())).unwrap();
     let fields: Vec<&str> = text.rsplit(')').next().expect("fields").split_whitespace().collect();
     let ticks: u64 = fields[11..13].iter().map(|field| field.parse::<u64>().unwrap()).sum();
-    Duration::from_millis(10 * ticks) // a hundred a second
+    Duration::from_millis(10 * ticks) // 100 ticks per second
 }
 
 #[test]
-fn many_that_wait_for_a_place_cost_no_more_than_one() {
+fn many_connections_waiting_for_a_slot_use_little_processor_time() {
     let (server, discovery) = (silent_server(), discovery_peer());
-    let gateway = small(&discovery, &server);
-    let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
-    // All places are taken by RPCs that their server does not answer, so nobody gives way.
-    for (id, client) in waiting.iter_mut().enumerate() {
+    let gateway = start_with_few_descriptors(&discovery, &server);
+    let mut clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| gateway.client()).collect();
+    // All slots are taken by RPCs that their server does not answer, so no connection can be closed to make room.
+    for (id, client) in clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
-    gateway.line("\"why\":\"no-room\""); // the spare places answer so, and take the next
-    let newcomers: Vec<Client> = (0..300)
+    gateway.line("\"why\":\"no-room\""); // the spare slots reject their request with this and accept the next
+    let new_clients: Vec<Client> = (0..300)
         .map(|_| {
-            std::thread::sleep(Duration::from_millis(1)); // so that each is an event of its own
+            std::thread::sleep(Duration::from_millis(1)); // so that each connection is a separate event
             gateway.client()
         })
         .collect();
@@ -173,56 +181,56 @@
     std::thread::sleep(span);
     let used = processor_time(&gateway) - before;
     assert!(used < span / 4, "{used:?} of processor time in {span:?}");
-    drop(newcomers);
+    drop(new_clients);
 }
 
 #[test]
-fn what_waits_for_a_place_as_the_process_stops_is_answered_before_it_can_be_killed() {
+fn request_waiting_for_a_slot_during_shutdown_is_answered_before_the_process_can_be_killed() {
     let (server, discovery) = (silent_server(), discovery_peer());
-    let gateway = small(&discovery, &server);
-    let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
-    // Places are taken by RPCs that their server does not answer, and the spare ones by halves of messages.
-    let (rpcs, halves) = waiting.split_at_mut(CLIENTS - 2);
+    let gateway = start_with_few_descriptors(&discovery, &server);
+    let mut clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| gateway.client()).collect();
+    // The slots are taken by RPCs that their server does not answer, and the spare ones by incomplete messages.
+    let (rpcs, incomplete) = clients.split_at_mut(MAX_CLIENTS - 2);
     for (id, client) in rpcs.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
-    halves.iter_mut().for_each(|client| client.send("GET /api/"));
-    while server.seen_within(STUCK).is_some() {} // all that get through have
-    let mut newcomers: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
-    for (id, client) in newcomers.iter_mut().enumerate() {
+    incomplete.iter_mut().for_each(|client| client.send("GET /api/"));
+    while server.seen_within(BLOCKED_AFTER).is_some() {} // all that can reach the server have
+    let mut new_clients: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
+    for (id, client) in new_clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), 100 + id as u64));
     }
     gateway.signal("-TERM");
-    let killed_after = Duration::from_millis(3700); // the longest deadline of these settings, 3 s, and 0.7 s
+    let killed_after = Duration::from_millis(3700); // the longest deadline of these settings, 3 s, plus 0.7 s
     let killed_at = std::time::Instant::now() + killed_after;
-    for (id, client) in newcomers.iter_mut().enumerate() {
+    for (id, client) in new_clients.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.lines_now());
     }
 }
 
 #[test]
-fn what_waits_for_a_place_until_the_process_ends_is_refused_then() {
+fn request_waiting_for_a_slot_until_the_process_ends_is_answered_before_it_ends() {
     let (server, discovery) = (silent_server(), discovery_peer());
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let more = format!("{SOCKETS}\"known\":{known},");
-    // SIGKILL comes 0.9 s after SIGTERM, which leaves no time to give everybody a place one after another.
-    let told = long_timeout_settings().replace("\"deadline\":3.0", "\"deadline\":0.2");
-    let gateway = Program::start(support::BIN, discovery.address, &more, &told);
+    let more = format!("{DESCRIPTOR_LIMIT}\"known\":{known},");
+    // SIGKILL comes 0.9 s after SIGTERM, which is too short to give every connection a slot in turn.
+    let settings = long_timeout_settings().replace("\"deadline\":3.0", "\"deadline\":0.2");
+    let gateway = Program::start(support::BIN, discovery.address, &more, &settings);
     assert!(discovery.next().1.contains("from=3"));
-    let mut waiting: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
-    waiting.iter_mut().for_each(|client| client.send("GET /api/"));
-    std::thread::sleep(ACCEPT_AGAIN); // they are taken by now
+    let mut clients: Vec<Client> = (0..MAX_CLIENTS).map(|_| gateway.client()).collect();
+    clients.iter_mut().for_each(|client| client.send("GET /api/"));
+    std::thread::sleep(ACCEPT_RETRY_WITHIN); // they are accepted by now
     gateway.signal("-TERM");
     let killed_at = std::time::Instant::now() + Duration::from_millis(900);
-    let mut newcomers: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
-    for (id, client) in newcomers.iter_mut().enumerate() {
+    let mut new_clients: Vec<Client> = (0..100).map(|_| gateway.client()).collect();
+    for (id, client) in new_clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 5_000), 100 + id as u64));
     }
-    for (id, client) in newcomers.iter_mut().enumerate() {
+    for (id, client) in new_clients.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "newcomer {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.lines_now());
     }
 }
--- a/crates/gateway/tests/client_guarantees.rs
+++ b/crates/gateway/tests/client_guarantees.rs
@@ -1,5 +1,6 @@
-//! What is promised to clients: nothing begins for one that has gone, a further attempt tells its server no more time than
-//! is left, and every request gets an answer in its time. Each story orders the events that break the promise.
+//! Guarantees to clients: no attempt starts for a client that has left, a retry sends its server no more than the time
+//! that is left, and every request is answered within its deadline. Each test orders the events in the way that breaks
+//! the guarantee if the gateway does not uphold it.
 
 mod support;
 
@@ -9,129 +10,131 @@
 use std::time::{Duration, Instant};
 use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
-/// More connections than one look at the sockets brings to light (256): a busy turn.
-const BUSY: usize = 300;
+/// More connections than one poll of the sockets returns events for (256), so that a turn is busy.
+const BUSY_CLIENTS: usize = 300;
 const HEALTHY: &str = "GET /-/healthy HTTP/1.1\r\n\r\n";
-/// What the gateway's buffer of a client takes at most is a head and a body of the largest size; these fill it in two steps,
-/// each of which the system's own buffer takes while the gateway stands still.
-const READ_BEFORE: usize = 56 << 10;
-const UNREAD: usize = 48 << 10;
-/// A request that found no server looks again within so long.
-const LOOKS_AGAIN: Duration = Duration::from_millis(40);
-/// The system may bring a burst of closes to the other side this much later than they return on a busy machine.
-const ARRIVES: Duration = Duration::from_millis(60);
-const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\non";
-
-/// The same message with an id of its own.
-fn numbered(message: &str, number: usize) -> String {
+/// The gateway's input buffer of a client holds at most a head and a body of the largest size. These two amounts fill
+/// it in two steps, each of which fits into the system's socket buffer while the gateway is stopped.
+const PREFILL_BYTES: usize = 56 << 10;
+const OVERFLOW_BYTES: usize = 48 << 10;
+/// Within this time, a request that found no server tries again.
+const SERVER_RETRY_WITHIN: Duration = Duration::from_millis(40);
+/// On a busy machine, the system may deliver a burst of closes to the other side this long after the calls return.
+const CLOSE_DELIVERY: Duration = Duration::from_millis(60);
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\non";
+
+/// The same message with this transaction ID.
+fn with_number(message: &str, number: usize) -> String {
     message.replace("X-Txn: 0123456789abcdef", &format!("X-Txn: {number:016x}"))
 }
 
-// ---- A client that has gone: no attempt, first or further, begins after it.
+// Clients that leave: no attempt, neither the first nor a retry, starts afterwards.
 
-/// How a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaving {
+enum Departure {
     Closes,
     Resets,
-    /// It ends its sending and keeps its connection.
+    /// It shuts down its sending side and keeps the connection.
     HalfCloses,
-    /// It closes right behind some bytes of a further message.
-    ClosesBehindBytes,
-    /// It closes behind more than the gateway's buffer takes.
-    ClosesBehindFullBuffer,
+    /// It closes after sending the first bytes of another message.
+    ClosesAfterPartialMessage,
+    /// It closes after sending more than the gateway's input buffer holds.
+    ClosesAfterFillingBuffer,
 }
 
-const LEAVINGS: [Leaving; 5] = [
-    Leaving::Closes,
-    Leaving::Resets,
-    Leaving::HalfCloses,
-    Leaving::ClosesBehindBytes,
-    Leaving::ClosesBehindFullBuffer,
+const DEPARTURES: [Departure; 5] = [
+    Departure::Closes,
+    Departure::Resets,
+    Departure::HalfCloses,
+    Departure::ClosesAfterPartialMessage,
+    Departure::ClosesAfterFillingBuffer,
 ];
 
-/// When the client goes, of the moment that would bring it an attempt.
+/// When the client leaves, relative to the event that would start an attempt for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Moment {
-    /// Both are found by one look at the sockets, the leaving first.
+enum Timing {
+    /// Before the event; one poll of the sockets returns both.
     JustBefore,
-    /// The same, the other way round.
+    /// After the event; one poll of the sockets returns both.
     JustAfter,
-    /// After it, and so many others send something between the two that one look does not find both.
-    BehindOthers,
-    /// While the turn is under way that brings the attempt: the look at the sockets is over.
-    InTheTurn,
+    /// After the event, with so many other clients sending in between that one poll does not return both.
+    AfterOtherClients,
+    /// During the turn that starts the attempt, after the poll of the sockets.
+    DuringTurn,
 }
 
-const MOMENTS: [Moment; 4] = [Moment::JustBefore, Moment::JustAfter, Moment::BehindOthers, Moment::InTheTurn];
+const TIMINGS: [Timing; 4] =
+    [Timing::JustBefore, Timing::JustAfter, Timing::AfterOtherClients, Timing::DuringTurn];
 
-/// A gateway under a watch, with clients that keep it busy.
-struct Scene {
+/// A gateway under test, with other clients that keep it busy.
+struct TestGateway {
     gateway: Program,
     others: Vec<Client>,
-    last: usize,
+    last_id: usize,
 }
 
-impl Scene {
-    fn new(gateway: Program) -> Scene {
-        Scene { gateway, others: Vec::new(), last: 0 }
+impl TestGateway {
+    fn new(gateway: Program) -> TestGateway {
+        TestGateway { gateway, others: Vec::new(), last_id: 0 }
     }
 
-    /// One with the others that this moment needs.
-    fn at(moment: Moment, gateway: Program) -> Scene {
-        let count = if moment == Moment::BehindOthers { BUSY } else { 0 };
-        // Each says something as soon as it is connected: who says nothing for two seconds is sent away.
+    /// Connects the other clients that this timing needs.
+    fn with_clients_for(timing: Timing, gateway: Program) -> TestGateway {
+        let count = if timing == Timing::AfterOtherClients { BUSY_CLIENTS } else { 0 };
+        // Each sends a request as soon as it is connected: the gateway closes connections that send nothing for two
+        // seconds.
         let others = (0..count).map(|_| {
             let mut other = gateway.client();
             assert_eq!(status(&other.ask(HEALTHY)), 200);
             other
         });
         let others = others.collect();
-        Scene { gateway, others, last: 0 }
+        TestGateway { gateway, others, last_id: 0 }
     }
 
-    /// A new client's request, which is with the gateway when this returns.
-    fn request(&mut self, method: &str, leaving: Leaving) -> Client {
-        self.last += 1;
+    /// Sends a request from a new client; the gateway has read it when this returns.
+    fn request(&mut self, method: &str, departure: Departure) -> Client {
+        self.last_id += 1;
         let mut client = self.gateway.client();
-        client.send(&numbered(&rpc(method, 20_000), self.last));
-        if leaving == Leaving::ClosesBehindFullBuffer {
-            client.send(&"x".repeat(READ_BEFORE));
+        client.send(&with_number(&rpc(method, 20_000), self.last_id));
+        if departure == Departure::ClosesAfterFillingBuffer {
+            client.send(&"x".repeat(PREFILL_BYTES));
         }
         self.gateway.catch_up();
         client
     }
 
-    /// Lets the client go at this moment of `attempt`, which brings an attempt for it.
-    fn leave(&mut self, client: Client, leaving: Leaving, moment: Moment, attempt: impl FnOnce()) {
-        let mut gone = None;
-        let goes = || {
-            gone = Some(goes(client, leaving));
-            std::thread::sleep(ARRIVES);
+    /// Lets the client leave at this timing relative to `trigger`, which starts an attempt for its request.
+    fn leave(&mut self, client: Client, departure: Departure, timing: Timing, trigger: impl FnOnce()) {
+        let mut kept = None;
+        let leave_now = || {
+            kept = Some(leave(client, departure));
+            std::thread::sleep(CLOSE_DELIVERY);
         };
-        match moment {
-            Moment::InTheTurn => {
-                let turn = self.gateway.hold_turn(attempt);
-                goes();
+        match timing {
+            Timing::DuringTurn => {
+                let turn = self.gateway.hold_turn(trigger);
+                leave_now();
                 turn.go_on();
             }
             _ => {
                 self.gateway.stand_still();
-                match moment {
-                    Moment::JustBefore => {
-                        goes();
-                        attempt();
+                match timing {
+                    Timing::JustBefore => {
+                        leave_now();
+                        trigger();
                     }
                     _ => {
-                        attempt();
-                        if moment == Moment::BehindOthers {
+                        trigger();
+                        if timing == Timing::AfterOtherClients {
                             self.others.iter_mut().for_each(|other| other.send(HEALTHY));
                         }
-                        goes();
+                        leave_now();
                     }
                 }
                 self.gateway.signal("-CONT");
-                if moment == Moment::BehindOthers {
+                if timing == Timing::AfterOtherClients {
                     self.others.iter_mut().for_each(|other| drop(other.answer().unwrap()));
                 }
             }
@@ -140,283 +143,296 @@
         self.gateway.catch_up();
     }
 
-    /// A request that is served, and before it nothing else reached this server.
-    fn serves_only_another(&mut self, server: &Peer, why: &str) {
-        self.last += 1;
+    /// Sends another request that is served, and checks that no other request reached this server.
+    fn check_only_next_request_is_served(&mut self, server: &Peer, why: &str) {
+        self.last_id += 1;
         let message =
-            numbered(&rpc("read", 20_000), self.last).replace("00000000b4d65521", "0000000000000001");
+            with_number(&rpc("read", 20_000), self.last_id).replace("00000000b4d65521", "0000000000000001");
         let mut client = self.gateway.client();
         client.send(&message);
         let (number, first) = server.next();
-        let id = format!("X-Txn: {:016x}", self.last);
-        assert!(first.contains(&id), "{why}: sent on for a client that had gone: {first}");
-        server.tell(number, SERVED);
+        let id = format!("X-Txn: {:016x}", self.last_id);
+        assert!(first.contains(&id), "{why}: forwarded for a client that had left: {first}");
+        server.tell(number, RESPONSE);
         assert_eq!(status(&client.answer().unwrap()), 200, "{why}");
         assert!(server.nothing_came(), "{why}");
     }
 
-    /// So many connections to this server rest when this returns.
-    fn rest_connections(&mut self, server: &Peer, count: usize) {
+    /// Opens this many connections to this server, which are idle when this returns.
+    fn open_idle_connections(&mut self, server: &Peer, count: usize) {
         let mut clients: Vec<Client> = (0..count).map(|_| self.gateway.client()).collect();
         for client in &mut clients {
-            self.last += 1;
-            client.send(&numbered(&rpc("read", 20_000), self.last));
+            self.last_id += 1;
+            client.send(&with_number(&rpc("read", 20_000), self.last_id));
         }
-        let on: Vec<usize> = (0..count).map(|_| server.next().0).collect();
-        on.into_iter().for_each(|number| server.tell(number, SERVED));
+        let connections: Vec<usize> = (0..count).map(|_| server.next().0).collect();
+        connections.into_iter().for_each(|number| server.tell(number, RESPONSE));
         clients.iter_mut().for_each(|client| assert_eq!(status(&client.answer().unwrap()), 200));
     }
 }
 
-/// The client goes; what is given back keeps the connection that it only half closed.
-fn goes(mut client: Client, leaving: Leaving) -> Option<Client> {
-    match leaving {
-        Leaving::Closes => drop(client),
-        Leaving::Resets => client.reset(),
-        Leaving::HalfCloses => {
+/// Lets the client leave; returns the client if its connection is only half closed, so that it stays open.
+fn leave(mut client: Client, departure: Departure) -> Option<Client> {
+    match departure {
+        Departure::Closes => drop(client),
+        Departure::Resets => client.reset(),
+        Departure::HalfCloses => {
             client.end_sending();
             return Some(client);
         }
-        Leaving::ClosesBehindBytes => client.send(&rpc("read", 20_000)[..100]),
-        Leaving::ClosesBehindFullBuffer => client.send(&"x".repeat(UNREAD)),
+        Departure::ClosesAfterPartialMessage => client.send(&rpc("read", 20_000)[..100]),
+        Departure::ClosesAfterFillingBuffer => client.send(&"x".repeat(OVERFLOW_BYTES)),
     }
     None
 }
 
-/// Each way to leave at each moment.
-fn leavings() -> impl Iterator<Item = (Leaving, Moment)> {
-    MOMENTS.into_iter().flat_map(|moment| LEAVINGS.map(|leaving| (leaving, moment)))
+/// All combinations of a way to leave and a timing.
+fn departures() -> impl Iterator<Item = (Departure, Timing)> {
+    TIMINGS.into_iter().flat_map(|timing| DEPARTURES.map(|departure| (departure, timing)))
 }
 
-/// A server that says nothing by itself.
-fn silent() -> Peer {
+/// A server that sends only what the test tells it to.
+fn silent_server() -> Peer {
     Peer::new(|_, _| (Vec::new(), false))
 }
 
-/// Settings whose quota never makes a request wait.
-fn wide_settings() -> String {
+/// Settings with a quota that never makes a request wait.
+fn ample_quota_settings() -> String {
     long_timeout_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6")
 }
 
-/// A gateway that knows this server from before, with discovery down.
-fn knowing(server: std::net::SocketAddr, settings: &str) -> Program {
+/// Starts a gateway that knows this server, with discovery down.
+fn start_with_known_server(server: std::net::SocketAddr, settings: &str) -> Program {
     let known = list(3, true, &[entry("s0", server, "ready")]);
     Program::start(BIN, nowhere(), &format!("\"known\":{known},"), settings)
 }
 
 #[test]
-fn who_leaves_while_its_request_waits_for_a_server_is_not_sent_on() {
-    for (leaving, moment) in leavings() {
-        let (discovery, server) = (discovery_peer(), silent());
+fn request_waiting_for_a_server_is_not_forwarded_after_its_client_leaves() {
+    for (departure, timing) in departures() {
+        let (discovery, server) = (discovery_peer(), silent_server());
         let known = [entry("s0", server.address, "ready")];
-        let mut scene = Scene::at(moment, start_gateway(&discovery, &known, &wide_settings()));
-        scene.rest_connections(&server, 1);
-        let tell = |index, status| {
+        let mut under_test =
+            TestGateway::with_clients_for(timing, start_gateway(&discovery, &known, &ample_quota_settings()));
+        under_test.open_idle_connections(&server, 1);
+        let update_list = |index, status| {
             discovery.tell(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
         };
-        tell(4, "draining");
-        scene.gateway.catch_up();
-        let client = scene.request("verify", leaving);
-        scene.leave(client, leaving, moment, || {
-            tell(5, "ready");
-            std::thread::sleep(LOOKS_AGAIN);
+        update_list(4, "draining");
+        under_test.gateway.catch_up();
+        let client = under_test.request("verify", departure);
+        under_test.leave(client, departure, timing, || {
+            update_list(5, "ready");
+            std::thread::sleep(SERVER_RETRY_WITHIN);
         });
-        scene.serves_only_another(&server, &format!("{leaving:?}, {moment:?}"));
+        under_test.check_only_next_request_is_served(&server, &format!("{departure:?}, {timing:?}"));
     }
 }
 
 #[test]
-fn who_leaves_while_its_request_waits_for_quota_is_not_sent_on() {
-    // Two units at the start, as many as a request takes, and two more after two seconds.
-    let scarce = long_timeout_settings()
+fn request_waiting_for_quota_is_not_forwarded_after_its_client_leaves() {
+    // The quota has two units at the start, which is what one request costs, and two more after two seconds.
+    let low_quota = long_timeout_settings()
         .replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1.0,\"depth\":2.0");
-    let round = |leaving, moment| {
-        let server = silent();
-        let mut scene = Scene::at(moment, knowing(server.address, &scarce));
-        scene.rest_connections(&server, 1);
-        let client = scene.request("verify", leaving);
-        assert!(server.nothing_came(), "its quota is spent");
-        scene.leave(client, leaving, moment, || std::thread::sleep(Duration::from_millis(2200)));
-        scene.serves_only_another(&server, &format!("{leaving:?}, {moment:?}"));
+    let run = |departure, timing| {
+        let server = silent_server();
+        let mut under_test =
+            TestGateway::with_clients_for(timing, start_with_known_server(server.address, &low_quota));
+        under_test.open_idle_connections(&server, 1);
+        let client = under_test.request("verify", departure);
+        assert!(server.nothing_came(), "the quota is spent");
+        under_test.leave(client, departure, timing, || std::thread::sleep(Duration::from_millis(2200)));
+        under_test.check_only_next_request_is_served(&server, &format!("{departure:?}, {timing:?}"));
     };
-    side_by_side(round);
+    run_concurrently(run);
 }
 
 #[test]
-fn who_leaves_between_two_attempts_gets_no_further_one() {
-    for (leaving, moment) in leavings() {
-        let server = silent();
-        let mut scene = Scene::at(moment, knowing(server.address, &wide_settings()));
-        scene.rest_connections(&server, 2);
-        let client = scene.request("submit", leaving);
+fn no_retry_starts_after_the_client_leaves_between_two_attempts() {
+    for (departure, timing) in departures() {
+        let server = silent_server();
+        let mut under_test = TestGateway::with_clients_for(
+            timing,
+            start_with_known_server(server.address, &ample_quota_settings()),
+        );
+        under_test.open_idle_connections(&server, 2);
+        let client = under_test.request("submit", departure);
         let first = server.next().0;
-        scene.leave(client, leaving, moment, || server.reset(first));
-        scene.serves_only_another(&server, &format!("{leaving:?}, {moment:?}"));
+        under_test.leave(client, departure, timing, || server.reset(first));
+        under_test.check_only_next_request_is_served(&server, &format!("{departure:?}, {timing:?}"));
     }
 }
 
 #[test]
-fn who_leaves_while_its_connection_to_a_server_comes_up_is_not_sent_on() {
-    side_by_side(|leaving, moment| {
-        let why = format!("{leaving:?}, {moment:?}");
+fn request_is_not_forwarded_if_its_client_leaves_while_the_server_connection_is_established() {
+    run_concurrently(|departure, timing| {
+        let why = format!("{departure:?}, {timing:?}");
         let late = Late::default();
-        let mut scene = Scene::at(moment, knowing(late.address, &wide_settings()));
-        let client = scene.request("verify", leaving);
+        let mut under_test = TestGateway::with_clients_for(
+            timing,
+            start_with_known_server(late.address, &ample_quota_settings()),
+        );
+        let client = under_test.request("verify", departure);
         let mut server = None;
-        scene.leave(client, leaving, moment, || server = Some(late.open()));
+        under_test.leave(client, departure, timing, || server = Some(late.open()));
         let mut server = server.unwrap();
-        assert!(scene.gateway.line("\"not written\"").contains("client-left"), "{why}");
+        assert!(under_test.gateway.line("\"not written\"").contains("client-left"), "{why}");
         assert!(server.nothing_came(), "{why}");
-        let mut next = scene.gateway.client();
+        let mut next = under_test.gateway.client();
         next.send(&rpc("read", 20_000));
         assert!(server.answer().unwrap().starts_with("GET "), "{why}");
     });
 }
 
-/// Each way to leave behind others, and each moment of a plain close, side by side since each takes its time.
-fn side_by_side(round: impl Fn(Leaving, Moment) + Sync) {
-    let round = &round;
+/// Runs a test concurrently for all ways to leave at [`Timing::AfterOtherClients`] and for a plain close at all timings,
+/// since each run takes seconds.
+fn run_concurrently(run: impl Fn(Departure, Timing) + Sync) {
+    let run = &run;
     std::thread::scope(|scope| {
-        for (leaving, moment) in leavings() {
-            if leaving == Leaving::Closes || moment == Moment::BehindOthers {
-                scope.spawn(move || round(leaving, moment));
+        for (departure, timing) in departures() {
+            if departure == Departure::Closes || timing == Timing::AfterOtherClients {
+                scope.spawn(move || run(departure, timing));
             }
         }
     });
 }
 
 #[test]
-fn hundreds_that_leave_in_a_busy_turn_are_not_sent_on() {
-    let (discovery, server) = (discovery_peer(), silent());
-    let mut scene =
-        Scene::new(start_gateway(&discovery, &[entry("s0", server.address, "ready")], &wide_settings()));
-    scene.rest_connections(&server, 2);
+fn requests_of_hundreds_of_clients_that_leave_in_a_busy_turn_are_not_forwarded() {
+    let (discovery, server) = (discovery_peer(), silent_server());
+    let mut under_test = TestGateway::new(start_gateway(
+        &discovery,
+        &[entry("s0", server.address, "ready")],
+        &ample_quota_settings(),
+    ));
+    under_test.open_idle_connections(&server, 2);
     discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
-    scene.gateway.catch_up();
+    under_test.gateway.catch_up();
     let mut clients = Vec::new();
-    for number in 0..BUSY {
-        let mut client = scene.gateway.client();
-        // Each is another customer's, so that none waits behind others.
-        let message = numbered(&rpc("read", 20_000), 1000 + number);
+    for number in 0..BUSY_CLIENTS {
+        let mut client = under_test.gateway.client();
+        // Each request is for a different customer, so that none waits behind others.
+        let message = with_number(&rpc("read", 20_000), 1000 + number);
         client.send(&message.replace("00000000b4d65521", &format!("{number:016x}")));
         clients.push(client);
     }
-    scene.gateway.catch_up();
-    scene.gateway.stand_still();
+    under_test.gateway.catch_up();
+    under_test.gateway.stand_still();
     discovery.tell(0, &chunk(&list(5, false, &[entry("s0", server.address, "ready")])));
-    std::thread::sleep(LOOKS_AGAIN);
+    std::thread::sleep(SERVER_RETRY_WITHIN);
     drop(clients);
-    std::thread::sleep(ARRIVES);
-    scene.gateway.signal("-CONT");
-    scene.gateway.catch_up();
-    scene.serves_only_another(&server, "hundreds left");
+    std::thread::sleep(CLOSE_DELIVERY);
+    under_test.gateway.signal("-CONT");
+    under_test.gateway.catch_up();
+    under_test.check_only_next_request_is_served(&server, "hundreds of clients left");
 }
 
-// ---- The time that a further attempt tells its server.
+// The remaining time that a retry sends to its server.
 
-/// A request's time, from a moment at which it was still unsent or has just been sent.
-struct Left {
-    of: Duration,
-    from: Instant,
+/// The time that a client waits for an answer, counted from when its request has just been sent.
+struct RemainingTime {
+    total: Duration,
+    sent_at: Instant,
 }
 
-impl Left {
-    /// At most so much is left now, of what the client waits.
-    fn at_most(&self) -> u64 {
-        self.of.saturating_sub(self.from.elapsed()).as_millis() as u64
+impl RemainingTime {
+    /// The most milliseconds that can be left now.
+    fn max_ms(&self) -> u64 {
+        self.total.saturating_sub(self.sent_at.elapsed()).as_millis() as u64
     }
 }
 
-const WAITS: Duration = Duration::from_secs(10);
+const CLIENT_WAIT: Duration = Duration::from_secs(10);
 
-/// Sends a request that waits so long.
-fn timed(client: &mut Client, message: &str) -> Left {
+/// Sends a request whose client waits [`CLIENT_WAIT`] for the answer.
+fn send_timed(client: &mut Client, message: &str) -> RemainingTime {
     client.send(message);
-    Left { of: WAITS, from: Instant::now() }
+    RemainingTime { total: CLIENT_WAIT, sent_at: Instant::now() }
 }
 
 #[test]
-fn a_further_attempt_tells_what_is_left_when_its_bytes_go_out_and_not_when_the_turn_began() {
-    let server = silent();
-    let mut scene = Scene::new(knowing(server.address, &wide_settings()));
-    scene.rest_connections(&server, 2);
-    let mut client = scene.gateway.client();
-    let left = timed(&mut client, &rpc("submit", WAITS.as_millis() as u64));
+fn retry_sends_the_time_left_when_its_bytes_are_written_not_when_the_turn_began() {
+    let server = silent_server();
+    let mut under_test = TestGateway::new(start_with_known_server(server.address, &ample_quota_settings()));
+    under_test.open_idle_connections(&server, 2);
+    let mut client = under_test.gateway.client();
+    let remaining = send_timed(&mut client, &rpc("submit", CLIENT_WAIT.as_millis() as u64));
     let first = server.next();
-    assert!(told_wait_ms(&first.1) <= WAITS.as_millis() as u64);
-    // The turn that finds the first attempt reset lasts for half a second, as with a tenth of a core it may.
-    let turn = scene.gateway.hold_turn(|| server.reset(first.0));
+    assert!(told_wait_ms(&first.1) <= CLIENT_WAIT.as_millis() as u64);
+    // The turn that detects the reset of the first attempt lasts half a second, as it may on a tenth of a core.
+    let turn = under_test.gateway.hold_turn(|| server.reset(first.0));
     std::thread::sleep(Duration::from_millis(500));
-    let at_most = left.at_most();
+    let at_most = remaining.max_ms();
     turn.go_on();
-    let further = server.next().1;
-    assert!(told_wait_ms(&further) <= at_most, "{} ms are left at most: {further}", at_most);
+    let retry = server.next().1;
+    assert!(told_wait_ms(&retry) <= at_most, "at most {} ms are left: {retry}", at_most);
 }
 
 #[test]
-fn a_further_attempt_whose_time_passed_within_its_turn_is_not_written() {
-    let server = silent();
-    let mut scene = Scene::new(knowing(server.address, &wide_settings()));
-    scene.rest_connections(&server, 2);
-    let mut client = scene.gateway.client();
+fn retry_whose_deadline_passes_within_its_turn_is_not_written() {
+    let server = silent_server();
+    let mut under_test = TestGateway::new(start_with_known_server(server.address, &ample_quota_settings()));
+    under_test.open_idle_connections(&server, 2);
+    let mut client = under_test.gateway.client();
     client.send(&rpc("submit", 3000));
     let first = server.next().0;
-    let turn = scene.gateway.hold_turn(|| server.reset(first));
+    let turn = under_test.gateway.hold_turn(|| server.reset(first));
     std::thread::sleep(Duration::from_millis(3100));
     turn.go_on();
     let got = client.answer().unwrap();
     assert!(status(&got) != 200, "{got}");
-    scene.serves_only_another(&server, "its time was over");
+    under_test.check_only_next_request_is_served(&server, "the deadline had passed");
 }
 
 #[test]
-fn a_further_attempt_after_the_process_stood_still_tells_what_is_left() {
-    let server = silent();
-    let mut scene = Scene::new(knowing(server.address, &wide_settings()));
-    scene.rest_connections(&server, 2);
-    let mut client = scene.gateway.client();
-    // It stands still both before the request is read and while the first attempt is out.
-    scene.gateway.stand_still();
-    let left = timed(&mut client, &rpc("submit", WAITS.as_millis() as u64));
+fn retry_after_the_process_was_stopped_sends_the_time_left() {
+    let server = silent_server();
+    let mut under_test = TestGateway::new(start_with_known_server(server.address, &ample_quota_settings()));
+    under_test.open_idle_connections(&server, 2);
+    let mut client = under_test.gateway.client();
+    // The process is stopped both before it reads the request and while the first attempt is in flight.
+    under_test.gateway.stand_still();
+    let remaining = send_timed(&mut client, &rpc("submit", CLIENT_WAIT.as_millis() as u64));
     std::thread::sleep(Duration::from_millis(600));
-    scene.gateway.signal("-CONT");
+    under_test.gateway.signal("-CONT");
     let first = server.next().0;
-    scene.gateway.stand_still();
+    under_test.gateway.stand_still();
     server.reset(first);
     std::thread::sleep(Duration::from_millis(400));
-    let at_most = left.at_most();
-    scene.gateway.signal("-CONT");
-    let further = server.next().1;
-    // What is overdue tells how long the process stood still, to within a look for what is idle (a quarter of a second).
-    assert!(told_wait_ms(&further) <= at_most + 250, "{at_most} ms are left at most: {further}");
+    let at_most = remaining.max_ms();
+    under_test.gateway.signal("-CONT");
+    let retry = server.next().1;
+    // The gateway infers from overdue timers how long it was stopped, to within one check for idle connections (a
+    // quarter of a second).
+    assert!(told_wait_ms(&retry) <= at_most + 250, "at most {at_most} ms are left: {retry}");
 }
 
 #[test]
-fn a_further_attempt_whose_connection_comes_up_late_tells_what_is_left_then() {
-    let (discovery, first, late) = (discovery_peer(), silent(), Late::default());
-    let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &wide_settings());
+fn retry_on_a_connection_that_is_established_late_sends_the_time_left_then() {
+    let (discovery, first, late) = (discovery_peer(), silent_server(), Late::default());
+    let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &ample_quota_settings());
     let mut client = gateway.client();
-    let left = timed(&mut client, &rpc("read", WAITS.as_millis() as u64));
-    let on = first.next().0;
-    let next = [entry("s0", first.address, "draining"), entry("s1", late.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &next)));
+    let remaining = send_timed(&mut client, &rpc("read", CLIENT_WAIT.as_millis() as u64));
+    let connection = first.next().0;
+    let listed = [entry("s0", first.address, "draining"), entry("s1", late.address, "ready")];
+    discovery.tell(0, &chunk(&list(4, false, &listed)));
     gateway.catch_up();
-    first.reset(on);
+    first.reset(connection);
     assert!(gateway.line("\"server\"").contains("\"reset\""));
     std::thread::sleep(Duration::from_millis(300));
-    let at_most = left.at_most();
-    let further = late.open().answer().unwrap();
-    assert!(told_wait_ms(&further) <= at_most, "{at_most} ms are left at most: {further}");
+    let at_most = remaining.max_ms();
+    let retry = late.open().answer().unwrap();
+    assert!(told_wait_ms(&retry) <= at_most, "at most {at_most} ms are left: {retry}");
 }
 
-// ---- Every request gets an answer in its time.
+// Every request is answered within its deadline.
 
-/// Messages in all the forms that HTTP/1.1 and the protocol page allow, and the body that each carries on.
-fn forms() -> Vec<(&'static str, String)> {
+/// Requests in all the forms that HTTP/1.1 and the protocol documentation allow, each with a name for messages.
+fn message_forms() -> Vec<(&'static str, String)> {
     let (read, submit) = (rpc("read", 5000), rpc("submit", 5000));
     let verify = rpc("verify", 5000);
-    let with_line =
-        |message: &str, line: &str| message.replacen("\r\nHost", &format!("\r\n{line}\r\nHost"), 1);
+    let with_header =
+        |message: &str, header: &str| message.replacen("\r\nHost", &format!("\r\n{header}\r\nHost"), 1);
     let long_body = "b".repeat(64 << 10);
     let lower = verify.replace("X-", "x-").replace("Content-Length", "content-length");
     vec![
@@ -430,7 +446,7 @@
         ("longer path", verify.replace("/api/", "/some/longer/api/")),
         ("no spaces behind colons", verify.replace(": ", ":")),
         ("spaces behind values", verify.replace("X-Remaining-Ms: 5000", "X-Remaining-Ms:   5000 \t")),
-        ("no body told", read.replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n")),
+        ("content length 0", read.replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n")),
         ("empty body", verify.replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 0\r\n\r\n")),
         (
             "longest body",
@@ -439,51 +455,51 @@
                 &format!("Content-Length: 65536\r\n\r\n{long_body}"),
             ),
         ),
-        ("keep-alive", with_line(&verify, "Connection: keep-alive")),
-        ("marked as a retry", with_line(&verify, "X-Resent: 1")),
-        ("a long header", with_line(&verify, &format!("X-Other: {}", "o".repeat(8 << 10)))),
-        ("an empty header", with_line(&verify, "X-Other:")),
+        ("keep-alive", with_header(&verify, "Connection: keep-alive")),
+        ("marked as a retry", with_header(&verify, "X-Resent: 1")),
+        ("a long header", with_header(&verify, &format!("X-Other: {}", "o".repeat(8 << 10)))),
+        ("an empty header", with_header(&verify, "X-Other:")),
         ("other metering order", verify.replace("units=2,spread=1,first=0", "first=0, units=2.0 ,spread=1")),
         ("hexadecimal capitals", verify.replace("b4d65521", "B4D65521")),
         ("HTTP/1.0", verify.replace("HTTP/1.1", "HTTP/1.0")),
-        ("closes after it", with_line(&verify, "Connection: close")),
+        ("closes after it", with_header(&verify, "Connection: close")),
     ]
 }
 
 #[test]
-fn every_form_of_message_is_served_whole_and_byte_by_byte() {
-    let server = Peer::new(|_, _| say(SERVED));
-    let gateway = knowing(server.address, &wide_settings());
+fn every_form_of_message_is_served_whole_and_in_pieces() {
+    let server = Peer::new(|_, _| say(RESPONSE));
+    let gateway = start_with_known_server(server.address, &ample_quota_settings());
     let mut number = 0;
-    for (form, message) in forms() {
-        for pieces in [message.len(), 1 + message.len() / 50] {
+    for (form, message) in message_forms() {
+        for piece_length in [message.len(), 1 + message.len() / 50] {
             number += 1;
-            let message = numbered(&message.replace("x-txn", "X-Txn"), number);
+            let message = with_number(&message.replace("x-txn", "X-Txn"), number);
             let mut client = gateway.client();
-            for piece in message.as_bytes().chunks(pieces) {
+            for piece in message.as_bytes().chunks(piece_length) {
                 client.send(std::str::from_utf8(piece).unwrap());
-                if pieces < message.len() {
-                    gateway.catch_up(); // each piece is read by itself
+                if piece_length < message.len() {
+                    gateway.catch_up(); // the gateway reads each piece separately
                 }
             }
             let got = client.answer().unwrap_or_else(|| panic!("{form}: no answer"));
-            assert!(status(&got) == 200 && got.ends_with("on"), "{form}, {pieces}: {got}");
+            assert!(status(&got) == 200 && got.ends_with("on"), "{form}, {piece_length}: {got}");
         }
     }
 }
 
 #[test]
-fn a_slow_writer_whose_message_is_whole_in_two_seconds_is_served() {
-    let server = Peer::new(|_, _| say(SERVED));
-    let gateway = knowing(server.address, &wide_settings());
+fn slow_client_whose_message_is_whole_within_two_seconds_is_served() {
+    let server = Peer::new(|_, _| say(RESPONSE));
+    let gateway = start_with_known_server(server.address, &ample_quota_settings());
     std::thread::scope(|scope| {
         for (number, method) in ["read", "submit", "verify"].into_iter().cycle().take(12).enumerate() {
-            let message = numbered(&rpc(method, 5000), number);
+            let message = with_number(&rpc(method, 5000), number);
             let mut client = gateway.client();
             scope.spawn(move || {
                 for piece in message.as_bytes().chunks(message.len().div_ceil(30)) {
                     client.send(std::str::from_utf8(piece).unwrap());
-                    std::thread::sleep(Duration::from_millis(40)); // 1.2 s in all
+                    std::thread::sleep(Duration::from_millis(40)); // 1.2 s in total
                 }
                 assert_eq!(status(&client.answer().unwrap()), 200, "{method}");
             });
@@ -492,28 +508,28 @@
 }
 
 #[test]
-fn a_writer_slower_than_its_own_time_is_answered_once_its_message_is_whole() {
-    let server = silent();
-    let mut scene = Scene::new(knowing(server.address, &wide_settings()));
+fn client_slower_than_its_own_deadline_is_answered_once_its_message_is_whole() {
+    let server = silent_server();
+    let mut under_test = TestGateway::new(start_with_known_server(server.address, &ample_quota_settings()));
     let message = rpc("submit", 300);
-    let mut client = scene.gateway.client();
+    let mut client = under_test.gateway.client();
     client.send(&message[..100]);
     std::thread::sleep(Duration::from_millis(400));
     client.send(&message[100..]);
-    assert_eq!(status(&client.answer().unwrap()), 503, "it was never sent on");
-    scene.serves_only_another(&server, "its time was over");
+    assert_eq!(status(&client.answer().unwrap()), 503, "it was never forwarded");
+    under_test.check_only_next_request_is_served(&server, "the deadline had passed");
 }
 
 #[test]
-fn commands_sent_at_once_are_all_answered_in_their_order_and_in_their_time() {
-    let server = Peer::new(|_, _| say(SERVED));
-    let gateway = knowing(server.address, &wide_settings());
+fn pipelined_commands_are_all_answered_in_order_and_in_time() {
+    let server = Peer::new(|_, _| say(RESPONSE));
+    let gateway = start_with_known_server(server.address, &ample_quota_settings());
     let mut client = gateway.client();
     let count = 200;
-    let all: String = (0..count)
-        .map(|number| numbered(&rpc(["read", "submit", "verify"][number % 3], 10_000), number))
+    let messages: String = (0..count)
+        .map(|number| with_number(&rpc(["read", "submit", "verify"][number % 3], 10_000), number))
         .collect();
-    client.send(&all);
+    client.send(&messages);
     for number in 0..count {
         let got = client.answer().unwrap_or_else(|| panic!("command {number} has no answer"));
         assert_eq!(status(&got), 200, "command {number}: {got}");
@@ -521,38 +537,39 @@
 }
 
 #[test]
-fn commands_that_wait_behind_one_whose_server_says_nothing_are_answered_when_their_time_is_up() {
-    let server = silent();
-    let gateway = knowing(server.address, &wide_settings());
+fn commands_queued_behind_one_whose_server_never_answers_are_answered_at_their_deadline() {
+    let server = silent_server();
+    let gateway = start_with_known_server(server.address, &ample_quota_settings());
     let mut client = gateway.client();
     let count = 5;
-    let all: String = (0..count).map(|number| numbered(&rpc("read", 1500), number)).collect();
-    let sent = Instant::now();
-    client.send(&all);
+    let messages: String = (0..count).map(|number| with_number(&rpc("read", 1500), number)).collect();
+    let sent_at = Instant::now();
+    client.send(&messages);
     for number in 0..count {
         assert!(client.answer().is_some(), "command {number} has no answer");
     }
-    // Half a second later a request is lost; were the time of each counted from its turn, it would be 1.5 s for each.
-    assert!(sent.elapsed() < Duration::from_millis(2000), "{:?}", sent.elapsed());
+    // A request counts as lost half a second after its deadline. If the deadlines were counted from the time at which
+    // each request is processed, each would take another 1.5 s.
+    assert!(sent_at.elapsed() < Duration::from_millis(2000), "{:?}", sent_at.elapsed());
 }
 
 #[test]
-fn a_message_that_came_while_the_process_stood_still_has_its_time_from_then() {
-    let (server, discovery) = (Peer::new(|_, _| say(SERVED)), discovery_peer());
+fn deadline_of_a_message_received_while_the_process_is_stopped_starts_at_its_arrival() {
+    let (server, discovery) = (Peer::new(|_, _| say(RESPONSE)), discovery_peer());
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
-    let (held_up, remaining) = (Duration::from_millis(500), 2900);
-    // The time of the hold-up within the gateway's own rounds is chance, so several.
+    let (stopped, remaining) = (Duration::from_millis(500), 2900);
+    // Where in the gateway's periodic checks the stop falls is random, so this is tried several times.
     for id in 0..5 {
         let mut client = gateway.client();
         gateway.catch_up();
         gateway.stand_still();
-        client.send(&numbered(&rpc("verify", remaining), id));
-        std::thread::sleep(held_up);
+        client.send(&with_number(&rpc("verify", remaining), id));
+        std::thread::sleep(stopped);
         gateway.signal("-CONT");
         assert_eq!(client.answer().map(|got| status(&got)), Some(200));
-        let told = told_wait_ms(&server.next().1);
-        let left = remaining - held_up.as_millis() as u64;
-        assert!(told <= left + 30, "{told} ms told, {left} left");
+        let wait_ms = told_wait_ms(&server.next().1);
+        let left = remaining - stopped.as_millis() as u64;
+        assert!(wait_ms <= left + 30, "{wait_ms} ms sent to the server, {left} ms left");
     }
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in the ways that Linux documents, a call in fifty: every request has its answer in its time,
-//! and nearly all are served.
+//! One system call in fifty fails in a way that Linux documents: every request is answered within its deadline, and
+//! at least 95% succeed. Also: a lost wake-up on a signal, and a standard error that can't be written.
 
 use standins::scripted::{Client, Peer, Program, WATCH, answer, entry, list, rpc, say, settings, status};
 use std::collections::BTreeMap;
@@ -13,115 +13,120 @@
 const CLIENTS: u64 = 24;
 const REQUESTS: u64 = 200;
 const DEADLINE: Duration = Duration::from_millis(500);
-/// An answer may be so much later than its client's time.
+/// How long after its deadline a client may still receive the answer.
 const SLACK: Duration = Duration::from_millis(50);
 
-/// The library that makes calls fail, built beside this test.
-fn faults() -> PathBuf {
-    let test = std::env::current_exe().unwrap();
-    test.parent().unwrap().join("libmartenramp_faults.so")
+/// Path of the preload library that makes system calls fail; it is built beside this test.
+fn fault_library() -> PathBuf {
+    let test_binary = std::env::current_exe().unwrap();
+    test_binary.parent().unwrap().join("libmartenramp_faults.so")
 }
 
-/// A gateway before these servers whose calls fail at this rate.
-fn disturbed(discovery: &Peer, servers: &[&Peer], seed: u64, rate: f64, report: &PathBuf) -> Program {
+/// Starts a gateway for these servers whose system calls fail at this rate; it writes the faults that occurred to
+/// `report`.
+fn start_with_faults(discovery: &Peer, servers: &[&Peer], seed: u64, rate: f64, report: &PathBuf) -> Program {
     let entries: Vec<String> = servers
         .iter()
         .enumerate()
         .map(|(at, server)| entry(&format!("s{at}"), server.address, "ready"))
         .collect();
     let mut command = Command::new(BIN);
-    command.env("LD_PRELOAD", faults());
+    command.env("LD_PRELOAD", fault_library());
     command.env("MARTENRAMP_FAULTS", format!("seed={seed},rate={rate}"));
     command.env("MARTENRAMP_FAULTS_REPORT", report);
     let more = format!("\"known\":{},", list(3, true, &entries));
-    let told = settings("\"membershipMode\":\"push\",").replace("100.0", "100000.0");
-    Program::run(&mut command, discovery.address, &more, &told)
+    let settings = settings("\"membershipMode\":\"push\",").replace("100.0", "100000.0");
+    Program::run(&mut command, discovery.address, &more, &settings)
 }
 
-/// How the requests of one client ended, and the longest time that one took.
-fn ask_in_turn(address: std::net::SocketAddr, client: u64) -> (BTreeMap<u16, u64>, Duration) {
-    let (mut ends, mut longest) = (BTreeMap::new(), Duration::ZERO);
+/// Sends the requests of one client one after another; returns the number of answers by status (0 for none) and the
+/// longest time that a request took.
+fn send_requests(address: std::net::SocketAddr, client: u64) -> (BTreeMap<u16, u64>, Duration) {
+    let (mut statuses, mut longest) = (BTreeMap::new(), Duration::ZERO);
     let mut connection = Client::new(address);
     for number in 0..REQUESTS {
         let id = format!("X-Txn: {:016x}", client << 32 | number);
         let text = rpc(["read", "submit", "verify"][number as usize % 3], DEADLINE.as_millis() as u64);
-        let since = Instant::now();
+        let sent_at = Instant::now();
         let text = text.replace("X-Txn: 0123456789abcdef", &id);
         let mut got = connection.try_ask(&text);
         if got.is_none() && number > 0 {
-            // A resting connection may be closed as the request crosses: it is sent once more on a new one.
+            // The gateway may close an idle connection while the request is on its way: send it again on a new one.
             connection = Client::new(address);
             got = connection.try_ask(&text);
         }
-        longest = longest.max(since.elapsed());
-        *ends.entry(got.as_deref().map_or(0, status)).or_default() += 1;
+        longest = longest.max(sent_at.elapsed());
+        *statuses.entry(got.as_deref().map_or(0, status)).or_default() += 1;
         if got.is_none_or(|got| got.contains("Connection: close")) {
             connection = Client::new(address);
         }
     }
-    (ends, longest)
+    (statuses, longest)
 }
 
-/// What a process wrote of the faults that happened to it.
-fn happened(report: &PathBuf) -> BTreeMap<String, u64> {
+/// Reads and deletes a process's fault report: the number of faults by name.
+fn read_fault_report(report: &PathBuf) -> BTreeMap<String, u64> {
     let text = std::fs::read_to_string(report).unwrap_or_default();
     let _ = std::fs::remove_file(report);
-    let line = |line: &str| {
+    let parse_line = |line: &str| {
         line.split_once(": ").map(|(fault, count)| (fault.to_string(), count.parse().unwrap_or(0)))
     };
-    text.lines().filter_map(line).collect()
+    text.lines().filter_map(parse_line).collect()
 }
 
-fn one_call_in_fifty_fails(seed: u64) {
+fn check_one_call_in_fifty_failing(seed: u64) {
     let servers: Vec<Peer> = (0..4).map(|_| Peer::new(|_, _| answer(200, "", "served"))).collect();
     let discovery = Peer::new(|_, _| say(WATCH));
     let report = std::env::temp_dir().join(format!("martenramp-faults-{}-{seed}.txt", std::process::id()));
-    let mut gateway = disturbed(&discovery, &servers.iter().collect::<Vec<_>>(), seed, 0.02, &report);
+    let mut gateway = start_with_faults(&discovery, &servers.iter().collect::<Vec<_>>(), seed, 0.02, &report);
     let address = gateway.address;
     let clients: Vec<_> =
-        (0..CLIENTS).map(|client| std::thread::spawn(move || ask_in_turn(address, client))).collect();
-    let (mut ends, mut longest) = (BTreeMap::<u16, u64>::new(), Duration::ZERO);
+        (0..CLIENTS).map(|client| std::thread::spawn(move || send_requests(address, client))).collect();
+    let (mut statuses, mut longest) = (BTreeMap::<u16, u64>::new(), Duration::ZERO);
     for client in clients {
-        let (its, time) = client.join().unwrap();
-        its.into_iter().for_each(|(status, count)| *ends.entry(status).or_default() += count);
+        let (client_statuses, time) = client.join().unwrap();
+        client_statuses.into_iter().for_each(|(status, count)| *statuses.entry(status).or_default() += count);
         longest = longest.max(time);
     }
     gateway.signal("-HUP");
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
     let lines = gateway.lines_until("\"msg\":\"ended\"");
-    let end = &lines[lines.len() - 1];
-    let faults = happened(&report);
-    println!("{ends:?}, longest {longest:?}, {faults:?}");
-    let closed = |line: &&String| line.contains("\"client\"") && !line.contains("\"closed\"");
-    let closed: Vec<&String> = lines.iter().filter(closed).collect();
-    assert_eq!(ends.get(&0), None, "no request is without an answer: {ends:?} {closed:#?}");
+    let ended_line = &lines[lines.len() - 1];
+    let faults = read_fault_report(&report);
+    println!("{statuses:?}, longest {longest:?}, {faults:?}");
+    let abnormal_ends = |line: &&String| line.contains("\"client\"") && !line.contains("\"closed\"");
+    let abnormal_ends: Vec<&String> = lines.iter().filter(abnormal_ends).collect();
+    assert_eq!(statuses.get(&0), None, "requests without an answer: {statuses:?} {abnormal_ends:#?}");
     assert!(longest <= DEADLINE + SLACK, "{longest:?}");
-    let served = ends.get(&200).copied().unwrap_or(0);
-    assert!(served * 100 >= CLIENTS * REQUESTS * 95, "{ends:?}");
-    assert!(end.contains("\"violations\":\"\"") && end.contains("\"unanswered\":0"), "{end}");
+    let served = statuses.get(&200).copied().unwrap_or(0);
+    assert!(served * 100 >= CLIENTS * REQUESTS * 95, "{statuses:?}");
+    assert!(
+        ended_line.contains("\"violations\":\"\"") && ended_line.contains("\"unanswered\":0"),
+        "{ended_line}"
+    );
     for call in ["recv EINTR", "recv short", "send EINTR", "send short", "epoll_wait EINTR"] {
-        assert!(faults.get(call).is_some_and(|count| *count > 0), "{call} never happened: {faults:?}");
+        assert!(faults.get(call).is_some_and(|count| *count > 0), "{call} never occurred: {faults:?}");
     }
 }
 
 #[test]
-fn with_one_call_in_fifty_failing_all_are_answered_in_time() {
-    one_call_in_fifty_fails(1);
+fn with_one_system_call_in_fifty_failing_all_requests_are_answered_in_time() {
+    check_one_call_in_fifty_failing(1);
 }
 
 #[test]
-fn with_one_call_in_fifty_failing_by_another_seed_all_are_answered_in_time() {
-    one_call_in_fifty_fails(2);
+fn with_one_system_call_in_fifty_failing_all_requests_are_answered_in_time_with_another_seed() {
+    check_one_call_in_fifty_failing(2);
 }
 
 #[test]
-fn a_signal_whose_wake_is_lost_still_ends_the_process() {
+fn signal_whose_wake_up_is_lost_still_stops_the_process() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let (discovery, report) =
         (Peer::new(|_, _| say(WATCH)), std::env::temp_dir().join("martenramp-no-report"));
     let mut command = Command::new(BIN);
-    command.env("LD_PRELOAD", faults()).env("MARTENRAMP_FAULTS", "seed=1,rate=1,only=wakes");
+    command.env("LD_PRELOAD", fault_library()).env("MARTENRAMP_FAULTS", "seed=1,rate=1,only=wakes");
     command.env("MARTENRAMP_FAULTS_REPORT", &report);
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"known\":{known},");
@@ -133,23 +138,23 @@
 }
 
 #[test]
-fn a_standard_error_without_room_changes_nothing() {
+fn gateway_serves_requests_while_writes_to_standard_error_fail() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let discovery = discovery_peer();
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
+    let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").unwrap();
     let mut command = Command::new(BIN);
-    let text = gateway.config(discovery.address, "", &long_timeout_settings());
-    // Another process under the same list, whose standard error answers ENOSPC to every write.
+    let config = gateway.config(discovery.address, "", &long_timeout_settings());
+    // Another process with the same list, whose standard error fails every write with ENOSPC.
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let text = text.replacen('{', &format!("{{\"known\":{known},"), 1);
+    let config = config.replacen('{', &format!("{{\"known\":{known},"), 1);
     let address = gateway.address;
     drop(gateway);
-    let file = standins::scripted::config_file(&text);
-    let child = command.args(["serve", "--config"]).arg(&file).stderr(full).spawn().unwrap();
-    let mut child = Ended(child);
-    let mut client = connected(address);
+    let file = standins::scripted::config_file(&config);
+    let child = command.args(["serve", "--config"]).arg(&file).stderr(full_device).spawn().unwrap();
+    let mut child = KillOnDrop(child);
+    let mut client = connect_when_listening(address);
     for _ in 0..20 {
         assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     }
@@ -160,21 +165,21 @@
     let _ = std::fs::remove_file(file);
 }
 
-/// A process that is ended when it is dropped.
-struct Ended(std::process::Child);
+/// Kills its child process when it is dropped.
+struct KillOnDrop(std::process::Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A connection to a process that tells nobody when it listens.
-fn connected(address: std::net::SocketAddr) -> Client {
-    let until = Instant::now() + standins::scripted::PATIENCE;
+/// Connects to a process whose log can't be read for the line that says it listens.
+fn connect_when_listening(address: std::net::SocketAddr) -> Client {
+    let deadline = Instant::now() + standins::scripted::PATIENCE;
     while std::net::TcpStream::connect(address).is_err() {
-        assert!(Instant::now() < until, "nobody listens at {address}");
+        assert!(Instant::now() < deadline, "no process listens at {address}");
         std::thread::sleep(Duration::from_millis(5));
     }
     Client::new(address)
