--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! What is said on the connections, without a socket: state machines fed bytes, whole, in pieces and garbled.
+//! Parsers and state machines of the gateway's connections, tested without sockets on whole, partial and malformed
+//! input.
 
 use gateway::clients::{self, Client, Parsed};
 use gateway::config::Config;
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn the_configuration_is_read_as_the_module_gets_it_on_the_wire() {
+fn configuration_is_parsed_into_settings_and_methods() {
     let config = config();
     assert_eq!((config.seed, config.descriptor_limit), (0x8c1f30d27a5be964, 512));
     let get = |name: &str| config.settings[name].as_str();
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn an_rpc_is_found_whole_wherever_its_bytes_are_cut() {
+fn rpc_is_parsed_only_once_it_is_whole() {
     let (config, text) = (config(), rpc("submit", 480) + "GET /-/ready");
     let whole = text.len() - "GET /-/ready".len();
     for cut in 0..whole {
@@ -53,7 +54,7 @@
     assert_eq!((found.customer, found.remaining_ms, found.method, found.plan), (0xb4d65521, 480, 1, 0));
     assert_eq!((found.units, found.width, found.first, found.body.end), (2.0, 1, 0, whole));
     assert!(&text[found.body.clone()] == "body" && !found.is_get && !found.close);
-    // Its time runs from the first byte, not from the last.
+    // The deadline counts from the first byte of the message, not from the last.
     let mut slow = Client::default();
     slow.parse_message(&config, SEC, &text.as_bytes()[..10]).unwrap();
     slow.parse_message(&config, 2 * SEC, text.as_bytes()).unwrap();
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_client_that_asks_first_may_send_its_body_and_is_told_so_once() {
+fn client_that_expects_100_continue_is_asked_for_its_body_once() {
     let (config, mut client) = (config(), Client::default());
     let text = rpc("submit", 480).replace("X-Lane", "Expect: 100-continue\r\nX-Lane");
     let head = &text.as_bytes()[..text.len() - 4];
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_pushback_says_when_to_come_back_and_an_answer_where_it_ends() {
+fn rejection_has_a_retry_after_header_and_a_content_length() {
     let mut out = Vec::new();
     clients::write_response(&mut out, 429, 250 * MS, true);
     let text = String::from_utf8(out).unwrap();
@@ -81,30 +82,32 @@
     assert!(head.contains(&format!("Content-Length: {}\r\n", body.len())));
 }
 
-/// What a link makes of an answer that comes whole, and of one that the connection's end follows.
-fn looked(text: &str, ended: bool) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
-    looked_at(text, ended.then_some(ConnectionEnd::Closed))
+/// Parses a response; with `closed`, at the end of a connection that was closed.
+fn parse_response(text: &str, closed: bool) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
+    parse_response_at_end(text, closed.then_some(ConnectionEnd::Closed))
 }
 
-fn looked_at(
+/// Parses a response, at the end of its connection if `connection_end` is given: its outcome, its body, and whether the
+/// connection can be reused.
+fn parse_response_at_end(
     text: &str,
-    ended: Option<ConnectionEnd>,
+    connection_end: Option<ConnectionEnd>,
 ) -> Result<Option<(CallOutcome, String, bool)>, &'static str> {
-    let answer = ServerConnection::new(1, 0).parse_response(text.as_bytes(), ended)?;
-    Ok(answer.map(|answer| {
-        let body = match &answer.body {
+    let response = ServerConnection::new(1, 0).parse_response(text.as_bytes(), connection_end)?;
+    Ok(response.map(|response| {
+        let body = match &response.body {
             Body::Buffered(range) => text[range.clone()].to_string(),
             Body::Decoded(bytes) => String::from_utf8(bytes.clone()).unwrap(),
         };
-        (answer.outcome, body, answer.reusable)
+        (response.outcome, body, response.reusable)
     }))
 }
 
 #[test]
-fn answers_of_servers_mean_what_the_table_says() {
-    let ok = |how, body: &str, reusable| Ok(Some((how, body.to_string(), reusable)));
+fn server_responses_are_mapped_to_outcomes() {
+    let ok = |outcome, body: &str, reusable| Ok(Some((outcome, body.to_string(), reusable)));
     let length = "Content-Length: 2\r\n";
-    for (status, lines, how) in [
+    for (status, lines, outcome) in [
         (200, "", CallOutcome::Ok),
         (500, "", CallOutcome::Error),
         (503, "X-Turned-Away: 1\r\n", CallOutcome::Full),
@@ -114,44 +117,59 @@
         (404, "", CallOutcome::Error),
     ] {
         let text = format!("HTTP/1.1 {status} X\r\n{lines}{length}\r\nab");
-        assert_eq!(looked(&text, false), ok(how, "ab", true), "{text}");
+        assert_eq!(parse_response(&text, false), ok(outcome, "ab", true), "{text}");
         (0..text.len())
-            .for_each(|cut| assert_eq!(looked(&text[..cut], true), Ok(None), "truncated at {cut}"));
+            .for_each(|cut| assert_eq!(parse_response(&text[..cut], true), Ok(None), "truncated at {cut}"));
     }
     assert_eq!(
-        looked("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false),
+        parse_response("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false),
         ok(CallOutcome::Ok, "x", true)
     );
     let interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
     assert_eq!(
-        looked(&(interim.repeat(99) + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), false),
+        parse_response(&(interim.repeat(99) + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"), false),
         ok(CallOutcome::Ok, "x", true)
     );
-    assert_eq!(looked(&interim.repeat(9_000), false), Err("head-too-large"), "however long, it is bounded");
     assert_eq!(
-        looked("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", false),
+        parse_response(&interim.repeat(9_000), false),
+        Err("head-too-large"),
+        "the total length of interim responses is limited"
+    );
+    assert_eq!(
+        parse_response("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", false),
         ok(CallOutcome::Ok, "x", false)
     );
-    assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", false), Ok(None), "its end is the connection's");
-    assert_eq!(looked("HTTP/1.1 200 OK\r\n\r\nall", true), ok(CallOutcome::Ok, "all", false));
+    assert_eq!(
+        parse_response("HTTP/1.1 200 OK\r\n\r\nall", false),
+        Ok(None),
+        "it ends when the connection is closed"
+    );
+    assert_eq!(parse_response("HTTP/1.1 200 OK\r\n\r\nall", true), ok(CallOutcome::Ok, "all", false));
     for broken in [ConnectionEnd::Reset, ConnectionEnd::Failed("broken-pipe")] {
-        assert_eq!(looked_at("HTTP/1.1 200 OK\r\n\r\nall", Some(broken)), Ok(None), "{broken:?} is no end");
+        assert_eq!(
+            parse_response_at_end("HTTP/1.1 200 OK\r\n\r\nall", Some(broken)),
+            Ok(None),
+            "{broken:?} does not end a response"
+        );
         let turned_away = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\n";
-        assert_eq!(looked_at(turned_away, Some(broken)), Ok(None), "{broken:?}");
+        assert_eq!(parse_response_at_end(turned_away, Some(broken)), Ok(None), "{broken:?}");
     }
-    assert_eq!(looked("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", false), Err("body-too-large"));
-    assert_eq!(looked("SSH-2.0-x\r\n\r\n", false), Err("bad-head"));
+    assert_eq!(
+        parse_response("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", false),
+        Err("body-too-large")
+    );
+    assert_eq!(parse_response("SSH-2.0-x\r\n\r\n", false), Err("bad-head"));
 }
 
 #[test]
-fn a_chunked_answer_is_joined_wherever_its_bytes_are_cut() {
+fn chunked_response_is_decoded_whatever_pieces_it_arrives_in() {
     let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Settled: 2.5\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n";
     for cut in 1..text.len() {
-        let mut link = ServerConnection::new(1, 0);
-        assert_eq!(link.parse_response(&text.as_bytes()[..cut], None), Ok(None), "{cut}");
-        let answer = link.parse_response(text.as_bytes(), None).unwrap().unwrap();
+        let mut connection = ServerConnection::new(1, 0);
+        assert_eq!(connection.parse_response(&text.as_bytes()[..cut], None), Ok(None), "{cut}");
+        let response = connection.parse_response(text.as_bytes(), None).unwrap().unwrap();
         assert_eq!(
-            (answer.body, answer.settled, answer.message_length),
+            (response.body, response.settled, response.message_length),
             (Body::Decoded(b"abcde".to_vec()), 2.5, text.len())
         );
     }
@@ -165,16 +183,16 @@
 }
 
 #[test]
-fn a_call_out_passes_on_all_but_what_is_of_one_connection() {
+fn attempt_forwards_the_request_without_hop_by_hop_headers() {
     let config = config();
     let text = rpc("submit", 480)
         .replace("X-Lane", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTraceparent: t\r\nX-Lane");
     let Ok(Parsed::Rpc(found)) = Client::default().parse_message(&config, SEC, text.as_bytes()) else {
         panic!()
     };
-    let (mut link, mut out) = (ServerConnection::new(1, 0), Vec::new());
+    let (mut connection, mut out) = (ServerConnection::new(1, 0), Vec::new());
     let attempt = Attempt { rpc: 1, number: 0, requested_at: SEC, deadline: 2 * SEC, write_by: u64::MAX };
-    link.write_attempt(&mut out, attempt, &found, text.as_bytes(), 300 * MS);
+    connection.write_attempt(&mut out, attempt, &found, text.as_bytes(), 300 * MS);
     let sent = String::from_utf8(out).unwrap();
     assert!(sent.starts_with("POST /api/00000000b4d65521?q=1 HTTP/1.1\r\nHost: service.internal\r\n"));
     assert!(sent.ends_with("Content-Length: 4\r\nX-Remaining-Ms: 300\r\n\r\nbody"));
@@ -185,182 +203,201 @@
     assert!(
         !sent.contains("Hop") && !sent.contains("Connection") && sent.matches("X-Remaining-Ms").count() == 1
     );
-    assert!(link.carries(1, 0) && !link.carries(1, 1));
+    assert!(connection.carries(1, 0) && !connection.carries(1, 1));
 }
 
 #[test]
-fn a_load_report_is_put_in_the_order_of_the_settings() {
+fn load_report_values_are_ordered_by_the_configured_columns() {
     let columns = ["util".to_string(), "inflight".to_string(), "queue".to_string()];
     assert_eq!(
         servers::parse_load_report(b"{\"inflight\":7,\"util\":0.61,\"queue\":0}", &columns),
         [0.61, 7.0, 0.0]
     );
-    // What can't be read is untold, never nought.
-    for spoilt in [
+    // A report that can't be parsed counts as missing, never as zero load.
+    for invalid in [
         "7",
         "{\"inflight\":7,\"util\":0.61}",
         "{\"inflight\":\"x\",\"util\":0.61,\"queue\":0}",
         "{\"inflight\":",
     ] {
-        assert!(servers::parse_load_report(spoilt.as_bytes(), &columns).is_empty(), "{spoilt}");
+        assert!(servers::parse_load_report(invalid.as_bytes(), &columns).is_empty(), "{invalid}");
     }
 }
 
 #[test]
-fn servers_are_known_by_name_and_their_old_connections_go_with_their_address() {
+fn servers_are_identified_by_name_and_their_idle_connections_dropped_when_they_move_or_restart() {
     let mut all = Servers::default();
-    let listed = |name, came_up| DiscoveredServer {
+    let listed = |name, start_time| DiscoveredServer {
         key: subsetting::key(name),
-        started_at: came_up,
+        started_at: start_time,
         ready: true,
         ..DiscoveredServer::default()
     };
-    let (one, _) = all.upsert(&listed("a", 0), address(1));
-    let (two, _) = all.upsert(&listed("b", 0), address(1));
-    assert!(one != two);
-    all.by_number.get_mut(&one).unwrap().idle_connections.push((77, SEC));
-    assert_eq!(all.upsert(&listed("a", 0), address(1)), (one, vec![]));
-    assert_eq!(all.upsert(&listed("a", 0), address(2)), (one, vec![77]));
-    all.by_number.get_mut(&one).unwrap().idle_connections.push((78, SEC));
-    assert_eq!(all.upsert(&listed("a", 9), address(2)), (one, vec![78]), "a new life at the same address");
-    all.by_number.get_mut(&one).unwrap().idle_connections.push((79, SEC));
-    all.by_number.get_mut(&one).unwrap().open_connections = 1;
-    let (off, idle) = all.delist(subsetting::key("a")).unwrap();
-    assert!((off.server, off.ready, idle) == (one, false, vec![79]));
+    let (first, _) = all.upsert(&listed("a", 0), address(1));
+    let (second, _) = all.upsert(&listed("b", 0), address(1));
+    assert!(first != second);
+    all.by_number.get_mut(&first).unwrap().idle_connections.push((77, SEC));
+    assert_eq!(all.upsert(&listed("a", 0), address(1)), (first, vec![]));
+    assert_eq!(all.upsert(&listed("a", 0), address(2)), (first, vec![77]));
+    all.by_number.get_mut(&first).unwrap().idle_connections.push((78, SEC));
+    assert_eq!(
+        all.upsert(&listed("a", 9), address(2)),
+        (first, vec![78]),
+        "a new incarnation at the same address"
+    );
+    all.by_number.get_mut(&first).unwrap().idle_connections.push((79, SEC));
+    all.by_number.get_mut(&first).unwrap().open_connections = 1;
+    let (delisted, idle) = all.delist(subsetting::key("a")).unwrap();
+    assert!((delisted.server, delisted.ready, idle) == (first, false, vec![79]));
     all.remove_unused();
-    assert!(!all.by_key(subsetting::key("a")).unwrap().is_listed, "held while a connection is open");
-    all.by_number.get_mut(&one).unwrap().open_connections = 0;
+    assert!(!all.by_key(subsetting::key("a")).unwrap().is_listed, "kept while a connection is open");
+    all.by_number.get_mut(&first).unwrap().open_connections = 0;
     all.remove_unused();
     assert!(
         all.by_key(subsetting::key("a")).is_none()
-            && all.by_key(subsetting::key("b")).unwrap().last_listed.server == two
+            && all.by_key(subsetting::key("b")).unwrap().last_listed.server == second
     );
-    assert!(all.upsert(&listed("a", 9), address(2)).0 != one, "numbers are not used again");
+    assert!(all.upsert(&listed("a", 9), address(2)).0 != first, "numbers are not reused");
 }
 
 #[test]
-fn connections_that_break_after_a_rest_are_not_used_after_such_a_rest() {
-    let mut reuses = ReuseHistory::default();
-    // One in ten breaks whatever its rest: nothing follows from that.
-    (0..200).for_each(|one| reuses.record(SEC, one % 20 * 10 * MS, one % 10 == 0));
-    assert!(reuses.allows(SEC, 190 * MS));
-    // Most of those that rested for 0.15 s break.
-    (0..200).for_each(|one| reuses.record(SEC, one % 20 * 10 * MS, one % 20 >= 15 && one % 2 == 0));
-    assert!(!reuses.allows(SEC, 170 * MS) && reuses.allows(SEC, 100 * MS));
-    assert!(reuses.allows(32 * SEC, 170 * MS), "which is tried again after a while");
+fn connections_are_not_reused_after_idle_times_that_often_break_them() {
+    let mut reuse_history = ReuseHistory::default();
+    // One connection in ten breaks regardless of its idle time: no limit on the idle time follows.
+    (0..200).for_each(|index| reuse_history.record(SEC, index % 20 * 10 * MS, index % 10 == 0));
+    assert!(reuse_history.allows(SEC, 190 * MS));
+    // Most connections that were idle for 0.15 s or longer break.
+    (0..200).for_each(|index| {
+        reuse_history.record(SEC, index % 20 * 10 * MS, index % 20 >= 15 && index % 2 == 0)
+    });
+    assert!(!reuse_history.allows(SEC, 170 * MS) && reuse_history.allows(SEC, 100 * MS));
+    assert!(reuse_history.allows(32 * SEC, 170 * MS), "reuse is tried again after a while");
 }
 
 #[test]
-fn the_watch_finds_its_objects_wherever_the_bytes_are_cut() {
-    let one = list(41, true, &[entry("a", address(1), "ready"), entry("b", address(2), "draining")]);
-    let two = list(43, false, &["{\"name\":\"a\",\"status\":\"gone\"}".to_string()]);
-    let text = format!("{WATCH}{}1\r\n\n\r\n{}", chunk(&one), chunk(&two));
+fn watch_finds_list_objects_whatever_pieces_they_arrive_in() {
+    let snapshot = list(41, true, &[entry("a", address(1), "ready"), entry("b", address(2), "draining")]);
+    let change = list(43, false, &["{\"name\":\"a\",\"status\":\"gone\"}".to_string()]);
+    let text = format!("{WATCH}{}1\r\n\n\r\n{}", chunk(&snapshot), chunk(&change));
     for step in [1, 7, 64, text.len()] {
         let (mut watch, mut out) = (Watch::new(0, usize::MAX), Vec::new());
-        let (mut told, mut buffer) = (Vec::new(), Vec::new());
+        let (mut updates, mut buffer) = (Vec::new(), Vec::new());
         watch.index = 9;
         watch.write_request(&mut out, SEC);
         assert!(out.starts_with(b"GET /api/targets?watch=1&from=9 HTTP/1.1\r\n"));
         for piece in text.as_bytes().chunks(step) {
             buffer.extend_from_slice(piece);
-            let used = watch.feed(2 * SEC, &buffer, &mut told).unwrap();
+            let used = watch.feed(2 * SEC, &buffer, &mut updates).unwrap();
             buffer.drain(..used);
         }
-        assert_eq!((told.len(), watch.last_received), (2, 2 * SEC));
+        assert_eq!((updates.len(), watch.last_received), (2, 2 * SEC));
         assert!(
-            told[0].is_snapshot
-                && told[0].index == 41
-                && told[0].entries[0].ready
-                && !told[0].entries[1].ready
+            updates[0].is_snapshot
+                && updates[0].index == 41
+                && updates[0].entries[0].ready
+                && !updates[0].entries[1].ready
         );
-        assert!(!told[1].is_snapshot && told[1].entries[0].gone);
+        assert!(!updates[1].is_snapshot && updates[1].entries[0].gone);
     }
 }
 
 #[test]
-fn a_watch_that_is_refused_ends_or_makes_no_sense_is_broken_off() {
-    let fed = |text: String| {
-        let mut told = Vec::new();
-        (Watch::new(0, usize::MAX).feed(SEC, text.as_bytes(), &mut told), told.len())
+fn watch_fails_on_a_refusal_an_end_or_invalid_content() {
+    let feed = |text: String| {
+        let mut updates = Vec::new();
+        (Watch::new(0, usize::MAX).feed(SEC, text.as_bytes(), &mut updates), updates.len())
     };
-    assert_eq!(fed("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_string()).0, Err("watch-refused"));
-    assert_eq!(fed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_string()).0, Err("watch-not-chunked"));
-    assert_eq!(fed(format!("{WATCH}0\r\n\r\n")).0, Err("watch-ended"));
+    assert_eq!(feed("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".to_string()).0, Err("watch-refused"));
+    assert_eq!(
+        feed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_string()).0,
+        Err("watch-not-chunked")
+    );
+    assert_eq!(feed(format!("{WATCH}0\r\n\r\n")).0, Err("watch-ended"));
     let good = chunk(&list(41, true, &[entry("a", address(1), "ready")]));
     let nameless = chunk(&list(42, true, &["{\"status\":\"ready\"}".to_string()]));
     assert_eq!(
-        fed(format!("{WATCH}{good}{nameless}{good}")),
+        feed(format!("{WATCH}{good}{nameless}{good}")),
         (Err("garbled-object"), 1),
-        "what came before it counts"
+        "objects before the invalid one are applied"
     );
 }
 
-/// A list service as crowded ones are: it takes 20 calls a second in turn, works on those that nobody waits for any
-/// more as well, turns callers away while 100 are in line, and a caller hangs up after 2 s. All lost their watch at
-/// once and ask again after `rest`, which is told how many calls failed and how long the last one took: how many still have
-/// no list after so long.
-fn without_a_list(callers: u64, within: u64, mut rest: impl FnMut(u64, u32, u64) -> u64) -> usize {
-    let mut line = std::collections::VecDeque::new();
-    let (mut fails, mut has) = (vec![1; callers as usize], vec![false; callers as usize]);
+/// Simulates an overloaded list service. It serves 20 calls a second in order of arrival, including those whose caller
+/// has given up, and rejects calls while 100 are queued; a caller gives up after 2 s. All callers lose their watch at
+/// the same time and call again after `retry_delay(caller, failures, duration of the last call)`. Returns how many
+/// callers still have no list after the time `within`.
+fn callers_without_list(
+    callers: u64,
+    within: u64,
+    mut retry_delay: impl FnMut(u64, u32, u64) -> u64,
+) -> usize {
+    let mut queue = std::collections::VecDeque::new();
+    let (mut failures, mut has_list) = (vec![1; callers as usize], vec![false; callers as usize]);
     let mut due: std::collections::BTreeSet<_> =
-        (0..callers).map(|caller| (rest(caller, 0, 0), caller)).collect();
+        (0..callers).map(|caller| (retry_delay(caller, 0, 0), caller)).collect();
     for turn in 0..within / (50 * MS) {
         let now = turn * 50 * MS;
         while let Some((_, caller)) = due.pop_first().filter(|at| at.0 <= now || !due.insert(*at)) {
-            let full = line.len() >= 100;
-            if !full {
-                line.push_back((now, caller));
+            let queue_full = queue.len() >= 100;
+            if !queue_full {
+                queue.push_back((now, caller));
             }
-            let took = if full { 0 } else { 2 * SEC };
-            due.insert((now + took + rest(caller, fails[caller as usize], took), caller));
-            fails[caller as usize] += 1;
+            let duration = if queue_full { 0 } else { 2 * SEC };
+            due.insert((now + duration + retry_delay(caller, failures[caller as usize], duration), caller));
+            failures[caller as usize] += 1;
         }
-        if let Some((came, caller)) = line.pop_front().filter(|call: &(u64, u64)| now < call.0 + 2 * SEC) {
-            has[caller as usize] = came <= now;
+        if let Some((called_at, caller)) =
+            queue.pop_front().filter(|call: &(u64, u64)| now < call.0 + 2 * SEC)
+        {
+            has_list[caller as usize] = called_at <= now;
             due.retain(|at| at.1 != caller);
         }
     }
-    has.iter().filter(|has| !**has).count()
+    has_list.iter().filter(|has_list| !**has_list).count()
 }
 
 #[test]
-fn a_herd_that_lost_its_watch_at_once_gets_through_to_a_list_service_that_turns_callers_away() {
-    let in_step = |_, fails: u32, _| ((100 * MS) << fails.min(4)).min(SEC);
-    assert!(without_a_list(100, 15 * SEC, in_step) > 30, "asked in step, the service works for nobody");
-    let (mut chance, mut watches) = (fastrand::Rng::with_seed(7), Vec::new());
+fn watches_lost_at_the_same_time_all_reconnect_to_an_overloaded_list_service() {
+    let synchronized = |_, failures: u32, _| ((100 * MS) << failures.min(4)).min(SEC);
+    assert!(callers_without_list(100, 15 * SEC, synchronized) > 30, "synchronized retries fail");
+    let (mut rng, mut watches) = (fastrand::Rng::with_seed(7), Vec::new());
     watches.resize_with(100, || Watch::new(0, usize::MAX));
-    let left = without_a_list(100, 15 * SEC, |caller, _, took| {
-        watches[caller as usize].retry_delay(took, false, 100, 2 * SEC, &mut chance)
+    let without_list = callers_without_list(100, 15 * SEC, |caller, _, duration| {
+        watches[caller as usize].retry_delay(duration, false, 100, 2 * SEC, &mut rng)
     });
-    assert_eq!(left, 0);
+    assert_eq!(without_list, 0);
 }
 
 #[test]
-fn rests_before_the_watch_is_asked_for_again_are_drawn_and_grow_with_the_fleet_but_not_past_5_s() {
-    let longest = |fleet: u32, fails: u32, took: u64| {
-        let mut chance = fastrand::Rng::with_seed(7);
+fn delays_before_reconnecting_a_watch_are_random_and_grow_with_the_fleet_up_to_5_s() {
+    let longest_ms = |fleet: u32, failures: u32, call_duration: u64| {
+        let mut rng = fastrand::Rng::with_seed(7);
         let mut watch = Watch::new(0, usize::MAX);
-        watch.failures = fails;
+        watch.failures = failures;
         (0..1000)
-            .map(|_| (watch.failures, watch.retry_delay(took, false, fleet, 2 * SEC, &mut chance)).1)
+            .map(|_| (watch.failures, watch.retry_delay(call_duration, false, fleet, 2 * SEC, &mut rng)).1)
             .max()
             .unwrap()
             / MS
     };
-    assert!((950..1000).contains(&longest(3, 9, 0)) && (4700..5000).contains(&longest(u32::MAX, 9, 0)));
-    // What a call without an answer took is part of the rest; something is always left, so that no fleet asks in step.
-    assert!((2600..2750).contains(&longest(u32::MAX, 9, 2250 * MS)));
-    assert!((230..250).contains(&longest(u32::MAX, 9, 60 * SEC)));
-    let mut firsts: Vec<_> = (0..50).map(|seed| first_rest(seed, 100) / (100 * MS)).collect();
-    firsts.sort_unstable();
-    firsts.dedup();
-    assert!(firsts.len() >= 9 && firsts.iter().all(|tenth| *tenth < 10), "spread over 1 s: {firsts:?}");
-    let mut short = Watch::new(0, usize::MAX);
-    let rest = short.retry_delay(0, false, 100, 250 * MS, &mut fastrand::Rng::with_seed(1));
-    assert!(rest < 125 * MS, "news of a drain is asked for within the time in which it must be heeded");
+    assert!((950..1000).contains(&longest_ms(3, 9, 0)) && (4700..5000).contains(&longest_ms(u32::MAX, 9, 0)));
+    // The duration of a call without an answer counts towards the delay, but some random delay always remains, so that
+    // a fleet never calls in step.
+    assert!((2600..2750).contains(&longest_ms(u32::MAX, 9, 2250 * MS)));
+    assert!((230..250).contains(&longest_ms(u32::MAX, 9, 60 * SEC)));
+    let mut first_delays: Vec<_> = (0..50).map(|seed| first_delay(seed, 100) / (100 * MS)).collect();
+    first_delays.sort_unstable();
+    first_delays.dedup();
+    assert!(
+        first_delays.len() >= 9 && first_delays.iter().all(|tenth| *tenth < 10),
+        "spread over 1 s: {first_delays:?}"
+    );
+    let mut watch = Watch::new(0, usize::MAX);
+    let delay = watch.retry_delay(0, false, 100, 250 * MS, &mut fastrand::Rng::with_seed(1));
+    assert!(delay < 125 * MS, "the watch reconnects within the time in which a drain must take effect");
 }
 
-fn first_rest(seed: u64, fleet: u32) -> u64 {
+fn first_delay(seed: u64, fleet: u32) -> u64 {
     Watch::new(0, usize::MAX).retry_delay(0, false, fleet, 2 * SEC, &mut fastrand::Rng::with_seed(seed))
 }
 
@@ -369,26 +406,26 @@
 }
 
 #[test]
-fn the_counter_is_called_in_resp2_once_its_connection_stands() {
-    let (mut line, mut out) = (CounterConnection::default(), Vec::new());
-    line.send_call(&mut out, SEC, call(1, 77));
-    assert!(out.is_empty() && line.has_call(1));
-    line.connected(&mut out, SEC);
+fn counter_is_called_in_resp2_once_its_connection_is_established() {
+    let (mut counter, mut out) = (CounterConnection::default(), Vec::new());
+    counter.send_call(&mut out, SEC, call(1, 77));
+    assert!(out.is_empty() && counter.has_call(1));
+    counter.connected(&mut out, SEC);
     assert_eq!(out, b"*4\r\n$7\r\nINCRTTL\r\n$2\r\n77\r\n$4\r\n-2.5\r\n$4\r\n1501\r\n");
 }
 
 #[test]
-fn answers_of_the_counter_are_told_apart_and_late_ones_keep_their_place() {
-    let (mut line, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
-    line.connected(&mut out, SEC);
-    (1..=5).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
-    line.send_ping(&mut out, SEC);
-    assert_eq!(line.time_out_call(2), Some((call(2, 2), CallOutcome::TimedOut)));
-    assert_eq!(line.time_out_call(2), None);
+fn counter_replies_are_matched_to_calls_and_late_ones_are_skipped() {
+    let (mut counter, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
+    counter.connected(&mut out, SEC);
+    (1..=5).for_each(|serial| counter.send_call(&mut out, SEC, call(serial, serial)));
+    counter.send_ping(&mut out, SEC);
+    assert_eq!(counter.time_out_call(2), Some((call(2, 2), CallOutcome::TimedOut)));
+    assert_eq!(counter.time_out_call(2), None);
     let text = b"$3\r\n7.5\r\n$4\r\n99.9\r\n-BUSY later\r\n-ERR no such call\r\n:8\r\n+PONG\r\n$2";
-    let used = line.feed(SEC, text, &mut ended).unwrap();
-    assert_eq!(used, text.len() - 2, "the last is not whole");
-    let ended: Vec<_> = ended.iter().map(|(call, how, total)| (call.serial, *how, *total)).collect();
+    let used = counter.feed(SEC, text, &mut ended).unwrap();
+    assert_eq!(used, text.len() - 2, "the last reply is incomplete");
+    let ended: Vec<_> = ended.iter().map(|(call, outcome, total)| (call.serial, *outcome, *total)).collect();
     assert_eq!(
         ended,
         [
@@ -397,45 +434,47 @@
             (4, CallOutcome::NotSent, 0.0),
             (5, CallOutcome::Ok, 8.0)
         ],
-        "the second was too late, and is nobody else's"
+        "the reply to the second call was late and matches no other call"
     );
-    assert_eq!(line.feed(SEC, b"+PONG\r\n", &mut Vec::new()), Err("answer-without-call"));
+    assert_eq!(counter.feed(SEC, b"+PONG\r\n", &mut Vec::new()), Err("answer-without-call"));
 }
 
 #[test]
-fn a_counter_answer_without_a_number_was_added_and_ends_its_connection() {
-    for spoilt in ["$3\r\nnan\r\n", "$-1\r\n", "+OK\r\n", "-\x7fx7\r\n", ":many\r\n", "$0\r\n\r\n"] {
-        let (mut line, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
-        line.connected(&mut out, SEC);
-        (1..=2).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
-        let fed = line.feed(SEC, format!("{spoilt}$1\r\n7\r\n").as_bytes(), &mut ended);
+fn counter_reply_without_a_number_counts_as_added_and_ends_the_connection() {
+    for invalid in ["$3\r\nnan\r\n", "$-1\r\n", "+OK\r\n", "-\x7fx7\r\n", ":many\r\n", "$0\r\n\r\n"] {
+        let (mut counter, mut out, mut ended) = (CounterConnection::default(), Vec::new(), Vec::new());
+        counter.connected(&mut out, SEC);
+        (1..=2).for_each(|serial| counter.send_call(&mut out, SEC, call(serial, serial)));
+        let result = counter.feed(SEC, format!("{invalid}$1\r\n7\r\n").as_bytes(), &mut ended);
         assert_eq!(
-            (fed, ended),
+            (result, ended),
             (Err("answer-without-number"), vec![(call(1, 1), CallOutcome::Error, 0.0)]),
-            "{spoilt}"
+            "{invalid}"
         );
-        assert_eq!(line.disconnect(), [(call(2, 2), CallOutcome::Reset)], "it may have been added");
+        assert_eq!(counter.disconnect(), [(call(2, 2), CallOutcome::Reset)], "it may have been added");
     }
 }
 
 #[test]
-fn calls_on_a_broken_connection_may_have_counted_only_if_they_were_written() {
-    let (mut line, mut out) = (CounterConnection::default(), Vec::new());
-    line.send_call(&mut out, SEC, call(1, 1));
-    assert_eq!(line.time_out_call(1), Some((call(1, 1), CallOutcome::NoConnection)), "never written");
-    line.send_call(&mut out, SEC, call(2, 2));
-    assert_eq!(line.disconnect(), [(call(2, 2), CallOutcome::NoConnection)]);
-    line.connected(&mut out, SEC);
-    line.send_call(&mut out, SEC, call(3, 3));
-    assert!(!line.is_unresponsive(SEC + REPLY_TIMEOUT) && line.is_unresponsive(SEC + REPLY_TIMEOUT + 1));
-    assert_eq!(line.disconnect(), [(call(3, 3), CallOutcome::Reset)]);
-    assert!(!line.is_connected && line.in_flight.is_empty());
+fn calls_on_a_broken_connection_may_have_been_counted_only_if_they_were_written() {
+    let (mut counter, mut out) = (CounterConnection::default(), Vec::new());
+    counter.send_call(&mut out, SEC, call(1, 1));
+    assert_eq!(counter.time_out_call(1), Some((call(1, 1), CallOutcome::NoConnection)), "never written");
+    counter.send_call(&mut out, SEC, call(2, 2));
+    assert_eq!(counter.disconnect(), [(call(2, 2), CallOutcome::NoConnection)]);
+    counter.connected(&mut out, SEC);
+    counter.send_call(&mut out, SEC, call(3, 3));
+    assert!(
+        !counter.is_unresponsive(SEC + REPLY_TIMEOUT) && counter.is_unresponsive(SEC + REPLY_TIMEOUT + 1)
+    );
+    assert_eq!(counter.disconnect(), [(call(3, 3), CallOutcome::Reset)]);
+    assert!(!counter.is_connected && counter.in_flight.is_empty());
 }
 
 #[test]
-fn no_bytes_whatever_make_anything_panic() {
+fn no_input_makes_a_parser_panic() {
     let config = config();
-    let mut chance = fastrand::Rng::with_seed(5);
+    let mut rng = fastrand::Rng::with_seed(5);
     let seeds = [
         rpc("submit", 480),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_string(),
@@ -444,48 +483,48 @@
     ];
     for round in 0..20_000 {
         let mut bytes = seeds[round % seeds.len()].clone().into_bytes();
-        for _ in 0..chance.usize(1..6) {
-            let at = chance.usize(..bytes.len());
-            match chance.u8(..4) {
-                0 => bytes[at] = chance.u8(..),
+        for _ in 0..rng.usize(1..6) {
+            let at = rng.usize(..bytes.len());
+            match rng.u8(..4) {
+                0 => bytes[at] = rng.u8(..),
                 1 => bytes.truncate(at.max(1)),
-                2 => bytes.insert(at, *chance.choice(b"0123456789abcdef\r\n:,=-$+\xff").unwrap()),
+                2 => bytes.insert(at, *rng.choice(b"0123456789abcdef\r\n:,=-$+\xff").unwrap()),
                 _ => bytes.extend_from_within(at..),
             }
         }
         let _ = Client::default().parse_message(&config, SEC, &bytes);
-        let mut link = ServerConnection::new(1, 0);
-        let cut = chance.usize(..=bytes.len());
-        let _ = link
+        let mut connection = ServerConnection::new(1, 0);
+        let cut = rng.usize(..=bytes.len());
+        let _ = connection
             .parse_response(&bytes[..cut], None)
-            .and_then(|_| link.parse_response(&bytes, Some(ConnectionEnd::Closed)));
+            .and_then(|_| connection.parse_response(&bytes, Some(ConnectionEnd::Closed)));
         let _ = Watch::new(0, usize::MAX).feed(SEC, &bytes, &mut Vec::new());
-        let (mut line, mut out) = (CounterConnection::default(), Vec::new());
-        line.connected(&mut out, SEC);
-        (1..4).for_each(|serial| line.send_call(&mut out, SEC, call(serial, serial)));
-        let _ = line.feed(SEC, &bytes, &mut Vec::new());
+        let (mut counter, mut out) = (CounterConnection::default(), Vec::new());
+        counter.connected(&mut out, SEC);
+        (1..4).for_each(|serial| counter.send_call(&mut out, SEC, call(serial, serial)));
+        let _ = counter.feed(SEC, &bytes, &mut Vec::new());
         let _ = Config::parse(&String::from_utf8_lossy(&bytes), |_| None);
         let _ = servers::parse_load_report(&bytes, &["util".to_string()]);
     }
 }
 
 #[test]
-fn the_clock_starts_at_unix_time_and_never_goes_back() {
+fn clock_starts_at_unix_time_and_never_goes_back() {
     let clock = gateway::driver::Clock::start();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_nanos() as u64;
-    let (one, two) = (clock.now(), clock.now());
-    assert!(one <= two && unix.abs_diff(one) < 10 * SEC);
+    let (first, second) = (clock.now(), clock.now());
+    assert!(first <= second && unix.abs_diff(first) < 10 * SEC);
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_their_key() {
-    let read = |settings: &str| {
+fn invalid_settings_are_rejected_with_their_key() {
+    let parse_error = |settings: &str| {
         let text = format!(
             "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"1\",\"settings\":{settings}}}"
         );
         Config::parse(&text, |_| None).err()
     };
-    assert_eq!(read(&settings("")), None);
+    assert_eq!(parse_error(&settings("")), None);
     for (from, to, why) in [
         (
             "\"free\"",
@@ -527,7 +566,7 @@
     ] {
         let changed = settings("").replacen(from, to, 1);
         assert_ne!(changed, settings(""));
-        let said = read(&changed).unwrap_or_default();
-        assert!(said.starts_with(why) && !said.contains('\n'), "{to}: {said}");
+        let message = parse_error(&changed).unwrap_or_default();
+        assert!(message.starts_with(why) && !message.contains('\n'), "{to}: {message}");
     }
 }
