--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! Every wait within the process's own life: after SIGTERM the platform kills the process the longest deadline (3 s at
-//! most) and 0.7 s later. Whatever it read has its one answer before that, and the process ends by itself.
+//! Graceful shutdown: the platform kills the process at a fixed time after SIGTERM, namely the longest deadline (at
+//! most 3 s) plus 0.7 s. By then, every request that the process has read is answered once and the process has exited
+//! by itself.
 
 use standins::scripted::{
     Client, Late, Peer, Program, answer, entry, list, rpc, say, settings, status, told_wait_ms, with_id,
@@ -9,42 +10,47 @@
 mod support;
 use support::{discovery_peer, long_timeout_settings, start_gateway};
 
-/// Of the time between SIGTERM and SIGKILL, what does not hang on the settings; and the longest deadline that counts.
+/// The time between SIGTERM and SIGKILL is this grace period plus the longest deadline of the settings, but at most
+/// [`MAX_DEADLINE`].
 const KILL_GRACE: Duration = Duration::from_millis(700);
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
-/// A gateway that was sent SIGTERM.
-struct Stopping {
+/// A gateway that has received SIGTERM.
+struct StoppingGateway {
     gateway: Program,
-    since: Instant,
-    /// When the platform may kill it.
+    signaled_at: Instant,
+    /// When the platform may send SIGKILL.
     killed_at: Instant,
 }
 
-impl Stopping {
-    /// Sends SIGTERM to a gateway whose settings tell this as the longest deadline.
-    fn begin(gateway: Program, longest: Duration) -> Stopping {
+impl StoppingGateway {
+    /// Sends SIGTERM to a gateway whose settings have this longest deadline.
+    fn send_sigterm(gateway: Program, longest: Duration) -> StoppingGateway {
         gateway.signal("-TERM");
-        let since = Instant::now();
+        let signaled_at = Instant::now();
         gateway.line("\"stopping\"");
-        Stopping { gateway, since, killed_at: since + longest.min(DEADLINE_MOST) + KILL_GRACE }
+        StoppingGateway {
+            gateway,
+            signaled_at,
+            killed_at: signaled_at + longest.min(MAX_DEADLINE) + KILL_GRACE,
+        }
     }
 
-    /// Waits until so long after SIGTERM: the time itself is what these stories are about.
+    /// Waits until this long after SIGTERM.
     fn wait_until(&self, after: Duration) {
-        std::thread::sleep((self.since + after).saturating_duration_since(Instant::now()));
+        std::thread::sleep((self.signaled_at + after).saturating_duration_since(Instant::now()));
     }
 
-    /// The client's whole answer, if it comes before the process may be killed.
+    /// The client's whole answer, if it arrives before the process may be killed.
     fn answer(&self, client: &mut Client) -> Option<String> {
         client.answer_within(self.killed_at.saturating_duration_since(Instant::now()))
     }
 
-    /// Whether the process ended by itself, with 0, before it may be killed.
-    fn ends_by_itself(&mut self) -> bool {
+    /// Whether the process exits by itself, with status 0, before it may be killed.
+    fn exits_by_itself(&mut self) -> bool {
         while Instant::now() < self.killed_at {
-            if let Some(how) = self.gateway.ended() {
-                return how.success();
+            if let Some(status) = self.gateway.ended() {
+                return status.success();
             }
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -52,89 +58,90 @@
     }
 }
 
-/// The operators' settings in the incident: deadlines of 6, 5 and 2.5 s. One attempt an RPC, as when the limit of an
-/// attempt is left out because answers are slow.
+/// Settings from a production incident: deadlines of 6, 5 and 2.5 s, and one attempt per RPC, as when attempts have no
+/// limit of their own because answers are slow.
 fn long_deadlines() -> String {
-    let told = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
-    let told = told.replacen("\"deadline\":3.0", "\"deadline\":6.0", 1);
-    let told = told.replacen("\"deadline\":3.0", "\"deadline\":5.0", 1);
-    told.replacen("\"deadline\":3.0", "\"deadline\":2.5", 1)
+    let settings = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
+    let settings = settings.replacen("\"deadline\":3.0", "\"deadline\":6.0", 1);
+    let settings = settings.replacen("\"deadline\":3.0", "\"deadline\":5.0", 1);
+    settings.replacen("\"deadline\":3.0", "\"deadline\":2.5", 1)
 }
 
-/// A server that takes every RPC and says nothing.
-fn hangs() -> Peer {
+/// A server that reads every RPC and never answers.
+fn silent_server() -> Peer {
     Peer::new(|_, _| (Vec::new(), false))
 }
 
 #[test]
-fn what_is_read_late_in_a_shutdown_has_its_answer_before_the_process_is_killed() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn requests_read_late_in_a_shutdown_are_answered_before_the_process_is_killed() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut clients: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
-    gateway.catch_up(); // they are taken, and have said nothing yet
-    let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
+    gateway.catch_up(); // the connections are accepted and have sent nothing yet
+    let mut stopping = StoppingGateway::send_sigterm(gateway, Duration::from_secs(6));
     stopping.wait_until(Duration::from_millis(900));
     for (id, (client, method)) in clients.iter_mut().zip(["read", "submit", "verify"]).enumerate() {
         client.send(&with_id(&rpc(method, 5000), id as u64 + 1));
     }
     let answers: Vec<Option<String>> = clients.iter_mut().map(|client| stopping.answer(client)).collect();
     let statuses: Vec<Option<u16>> = answers.iter().map(|got| got.as_deref().map(status)).collect();
-    assert!(statuses.iter().all(Option::is_some), "an answer each: {statuses:?}");
+    assert!(statuses.iter().all(Option::is_some), "every request has an answer: {statuses:?}");
     assert!(matches!(statuses[2], Some(502 | 504)), "it may have run: {statuses:?}");
     drop(clients);
-    assert!(stopping.ends_by_itself());
+    assert!(stopping.exits_by_itself());
 }
 
-/// Settings whose longest deadline is this.
+/// Settings with this deadline for all methods and one attempt per RPC.
 fn deadlines_of(longest: Duration) -> String {
-    let told = format!("\"deadline\":{}", longest.as_secs_f64());
+    let deadline = format!("\"deadline\":{}", longest.as_secs_f64());
     long_timeout_settings()
         .replace("\"attemptsCap\":2", "\"attemptsCap\":1")
-        .replace("\"deadline\":3.0", &told)
+        .replace("\"deadline\":3.0", &deadline)
 }
 
-/// The time between SIGTERM and SIGKILL where deadlines are this long.
-fn until_kill(longest: Duration) -> Duration {
-    longest.min(DEADLINE_MOST) + KILL_GRACE
+/// The time between SIGTERM and SIGKILL if the longest deadline is this.
+fn time_until_kill(longest: Duration) -> Duration {
+    longest.min(MAX_DEADLINE) + KILL_GRACE
 }
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Requests of every effect, sent to a hanging server at several times after SIGTERM, on connections of every kind.
-fn every_request_is_answered(longest: Duration) {
-    let (server, discovery) = (hangs(), discovery_peer());
-    let told = deadlines_of(longest);
-    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &told);
+/// Sends requests of every retry safety, for a server that never answers, at several times after SIGTERM and on idle,
+/// new and silent connections; checks that all are answered.
+fn check_every_request_is_answered(longest: Duration) {
+    let (server, discovery) = (silent_server(), discovery_peer());
+    let settings = deadlines_of(longest);
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings);
     let mut silent: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
-    let mut resting: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
-    for client in &mut resting {
+    let mut idle: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
+    for client in &mut idle {
         assert_eq!(status(&client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     }
-    let mut stopping = Stopping::begin(gateway, longest);
+    let mut stopping = StoppingGateway::send_sigterm(gateway, longest);
     let remaining = longest.as_millis() as u64;
     let mut sent: Vec<(Client, &str, u64)> = Vec::new();
-    // At once on resting ones, which close later on.
-    for (id, (mut client, method)) in resting.drain(..).zip(["read", "submit", "verify"]).enumerate() {
+    // At once on idle connections, which the gateway closes later.
+    for (id, (mut client, method)) in idle.drain(..).zip(["read", "submit", "verify"]).enumerate() {
         let id = 100 + id as u64;
         client.send(&with_id(&rpc(method, remaining), id));
         sent.push((client, method, id));
     }
-    // New ones while they are taken.
+    // On new connections while the gateway still accepts them.
     for (id, method) in ["read", "submit", "verify"].into_iter().enumerate() {
         let mut client = stopping.gateway.client();
         let id = 200 + id as u64;
         client.send(&with_id(&rpc(method, remaining), id));
         sent.push((client, method, id));
     }
-    // The others say something just before the last call, whole or in two pieces.
-    stopping.wait_until((until_kill(longest) - ms(400)).min(ms(900)));
+    // On the silent connections, shortly before the gateway stops reading: whole or in two pieces.
+    stopping.wait_until((time_until_kill(longest) - ms(400)).min(ms(900)));
     let methods = ["read", "submit", "verify"].repeat(2);
-    for (place, (mut client, method)) in silent.drain(..).zip(methods).enumerate() {
-        let id = 300 + place as u64;
+    for (index, (mut client, method)) in silent.drain(..).zip(methods).enumerate() {
+        let id = 300 + index as u64;
         let text = with_id(&rpc(method, remaining), id);
-        let cut = if place < 3 { text.len() } else { 120 };
+        let cut = if index < 3 { text.len() } else { 120 };
         client.send(&text[..cut]);
         client.send(&text[cut..]);
         sent.push((client, method, id));
@@ -143,74 +150,82 @@
     for (client, method, id) in &mut sent {
         let got = stopping.answer(client).unwrap_or_else(|| panic!("{method} {id} has no answer"));
         let may_have_run = seen.iter().any(|message| message.contains(&format!("X-Txn: {id:016x}")));
-        let refused = matches!(status(&got), 429 | 503);
-        assert!(matches!(status(&got), 502 | 504) || refused, "{method} {id}: {got}");
-        assert!(!(refused && may_have_run && *method == "verify"), "{id} may have run: {got}");
+        let rejected = matches!(status(&got), 429 | 503);
+        assert!(matches!(status(&got), 502 | 504) || rejected, "{method} {id}: {got}");
+        assert!(!(rejected && may_have_run && *method == "verify"), "{id} may have run: {got}");
     }
     drop(sent);
-    let broken = ended_well(&mut stopping);
-    assert_eq!(broken, "", "invariants");
+    let violations = wait_for_exit(&mut stopping);
+    assert_eq!(violations, "", "violated invariants");
 }
 
-/// Waits for the process's end by itself, and returns the invariants that it found broken.
-fn ended_well(stopping: &mut Stopping) -> String {
-    assert!(stopping.ends_by_itself(), "it ends by itself before it is killed");
-    let end = stopping.gateway.line("\"msg\":\"ended\"");
-    assert!(end.contains("\"unanswered\":0"), "{end}");
-    end.split("\"violations\":\"").nth(1).and_then(|rest| rest.split('"').next()).unwrap_or("?").to_string()
+/// Waits until the process has exited by itself, and returns the invariants that it reports as violated.
+fn wait_for_exit(stopping: &mut StoppingGateway) -> String {
+    assert!(stopping.exits_by_itself(), "the process exits by itself before it is killed");
+    let ended_line = stopping.gateway.line("\"msg\":\"ended\"");
+    assert!(ended_line.contains("\"unanswered\":0"), "{ended_line}");
+    ended_line
+        .split("\"violations\":\"")
+        .nth(1)
+        .and_then(|rest| rest.split('"').next())
+        .unwrap_or("?")
+        .to_string()
 }
 
 #[test]
-fn requests_of_every_effect_are_answered_where_deadlines_are_30_s() {
-    every_request_is_answered(Duration::from_secs(30));
+fn requests_of_every_retry_safety_are_answered_with_deadlines_of_30_s() {
+    check_every_request_is_answered(Duration::from_secs(30));
 }
 
 #[test]
-fn requests_of_every_effect_are_answered_where_deadlines_are_2_5_s() {
-    every_request_is_answered(ms(2500));
+fn requests_of_every_retry_safety_are_answered_with_deadlines_of_2_5_s() {
+    check_every_request_is_answered(ms(2500));
 }
 
 #[test]
-fn requests_of_every_effect_are_answered_where_deadlines_are_0_2_s() {
-    every_request_is_answered(ms(200));
+fn requests_of_every_retry_safety_are_answered_with_deadlines_of_0_2_s() {
+    check_every_request_is_answered(ms(200));
 }
 
 #[test]
-fn an_answer_that_comes_a_moment_before_the_end_is_passed_on() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn response_just_before_the_end_is_forwarded() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
     gateway.catch_up();
-    let mut stopping = Stopping::begin(gateway, Duration::from_secs(6));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, Duration::from_secs(6));
     client.send(&rpc("verify", 5000));
-    assert!(told_wait_ms(&server.next().1) <= 3700, "a server is told no more than the process's own time");
+    assert!(
+        told_wait_ms(&server.next().1) <= 3700,
+        "a server is sent no more than the time that the process has left"
+    );
     stopping.wait_until(ms(3300));
     server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
     assert!(stopping.answer(&mut client).unwrap().ends_with("late"));
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn an_answer_that_trickles_beyond_the_end_is_given_up_before_it() {
+fn response_that_would_take_beyond_the_end_is_abandoned_before_it() {
     let (server, discovery) =
         (Peer::new(|_, _| say("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     server.next();
-    let mut stopping = Stopping::begin(gateway, ms(2500));
-    while stopping.since.elapsed() < ms(2800) && server.try_tell(0, "x") {
-        std::thread::sleep(ms(20)); // the pace of the trickle
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(2500));
+    while stopping.signaled_at.elapsed() < ms(2800) && server.try_tell(0, "x") {
+        std::thread::sleep(ms(20)); // the interval between the bytes
     }
     let got = stopping.answer(&mut client).expect("an answer before the end");
     assert!(matches!(status(&got), 502 | 504), "{got}");
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_client_that_reads_nothing_does_not_keep_a_stopping_process() {
+fn client_that_reads_nothing_does_not_delay_the_end_of_a_stopping_process() {
     let body = "y".repeat(60 << 10);
     let server = Peer::new(move |_, _| answer(200, "", &body));
     let discovery = discovery_peer();
@@ -218,100 +233,101 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 200));
     server.next();
-    let mut stopping = Stopping::begin(gateway, ms(200));
-    assert_eq!(ended_well(&mut stopping), "");
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(200));
+    assert_eq!(wait_for_exit(&mut stopping), "");
     assert!(
         client.answer().unwrap().ends_with(&"y".repeat(60 << 10)),
-        "what was written outlives the process"
+        "what was written is delivered after the process has exited"
     );
 }
 
 #[test]
-fn commands_sent_at_once_to_a_stopping_process_have_an_answer_each() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn pipelined_commands_to_a_stopping_process_are_all_answered() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(1000)));
     let mut client = gateway.client();
     gateway.catch_up();
-    let mut stopping = Stopping::begin(gateway, ms(1000));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1000));
     let commands: String = (1..=3).map(|id| with_id(&rpc("verify", 1000), id)).collect();
     client.send(&commands);
     let got: Vec<u16> = (0..3).map_while(|_| stopping.answer(&mut client)).map(|got| status(&got)).collect();
-    assert_eq!(got.len(), 3, "one each, not {got:?}");
+    assert_eq!(got.len(), 3, "expected one answer each, got {got:?}");
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn half_a_command_behind_another_is_refused_as_the_process_stops() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn incomplete_command_behind_another_is_rejected_as_the_process_stops() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2000)));
     let mut client = gateway.client();
     gateway.catch_up();
-    let mut stopping = Stopping::begin(gateway, ms(2000));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(2000));
     client.send(&(with_id(&rpc("verify", 1500), 1) + &with_id(&rpc("submit", 1500), 2)[..100]));
-    let first = stopping.answer(&mut client).expect("the whole one's");
+    let first = stopping.answer(&mut client).expect("the answer to the whole command");
     assert!(matches!(status(&first), 502 | 504), "{first}");
-    // The last call has passed, so the half is not waited for.
+    // The time to read further messages has passed, so the gateway does not wait for the rest of the second command.
     let since = Instant::now();
     assert_eq!(stopping.answer(&mut client).map(|got| status(&got)), Some(503));
     assert!(since.elapsed() < ms(500), "{:?}", since.elapsed());
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_connection_that_never_comes_up_does_not_outlast_a_stopping_process() {
+fn connection_that_is_never_established_does_not_delay_the_end_of_a_stopping_process() {
     let (late, discovery) = (Late::default(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &deadlines_of(ms(1500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
-    let mut stopping = Stopping::begin(gateway, ms(1500));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1500));
     assert_eq!(stopping.answer(&mut client).map(|got| status(&got)), Some(503), "it never ran");
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_claim_that_the_counter_never_answers_does_not_outlast_a_stopping_process() {
-    let (server, counter) = (hangs(), hangs());
+fn unanswered_counter_call_does_not_delay_the_end_of_a_stopping_process() {
+    let (server, counter) = (silent_server(), silent_server());
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
-    let told = deadlines_of(ms(1500));
-    let told = told.replacen('{', "{\"extra\":{\"hasCounter\":true,\"countWait\":60.0,\"largest\":8},", 1);
+    let settings = deadlines_of(ms(1500));
+    let settings =
+        settings.replacen('{', "{\"extra\":{\"hasCounter\":true,\"countWait\":60.0,\"largest\":8},", 1);
     let discovery = discovery_peer();
-    let gateway = Program::start(support::BIN, discovery.address, &more, &told);
+    let gateway = Program::start(support::BIN, discovery.address, &more, &settings);
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000).replace("spread=1", "spread=2"));
     counter.next();
-    let mut stopping = Stopping::begin(gateway, ms(1500));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1500));
     let got = stopping.answer(&mut client).map(|got| status(&got));
-    // The silent counter is given up within the shutdown, so that the RPC may still be tried.
+    // The gateway stops waiting for the silent counter during the shutdown, so the RPC may still be attempted.
     let expected = if server.seen_now().is_some() { [502, 504] } else { [429, 503] };
     assert!(got.is_some_and(|got| expected.contains(&got)), "{got:?}, expected one of {expected:?}");
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_configuration_with_shorter_deadlines_read_while_stopping_brings_the_end_forward() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn shorter_deadlines_read_while_stopping_bring_the_end_forward() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
     client.send(&rpc("verify", 5000));
     server.next();
     gateway.rewrite(&gateway.config(discovery.address, "", &deadlines_of(ms(800))));
-    let mut stopping = Stopping::begin(gateway, ms(800));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(800));
     stopping.gateway.signal("-HUP");
     stopping.gateway.signal("-TERM");
     assert!(matches!(stopping.answer(&mut client).map(|got| status(&got)), Some(502 | 504)));
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_configuration_with_longer_deadlines_read_before_or_while_stopping_does_not_put_the_end_off() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn longer_deadlines_read_before_or_while_stopping_do_not_postpone_the_end() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
     gateway.rewrite(&gateway.config(discovery.address, "", &long_deadlines()));
     gateway.signal("-HUP");
@@ -319,40 +335,44 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
-    let mut stopping = Stopping::begin(gateway, ms(800));
+    let mut stopping = StoppingGateway::send_sigterm(gateway, ms(800));
     stopping.gateway.signal("-HUP");
     assert!(matches!(stopping.answer(&mut client).map(|got| status(&got)), Some(502 | 504)));
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_process_that_stands_still_as_the_signal_comes_counts_from_the_signal() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn shutdown_time_counts_from_the_signal_even_if_the_process_was_stopped_then() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
     gateway.stand_still();
-    let began = Instant::now();
+    let signal_time = Instant::now();
     gateway.signal("-TERM");
-    std::thread::sleep(ms(150)); // the hold-up that the operators name
+    std::thread::sleep(ms(150)); // the length of a stop that the operators report
     gateway.signal("-CONT");
     gateway.line("\"stopping\"");
-    let mut stopping = Stopping { gateway, since: began, killed_at: began + until_kill(ms(800)) };
+    let mut stopping = StoppingGateway {
+        gateway,
+        signaled_at: signal_time,
+        killed_at: signal_time + time_until_kill(ms(800)),
+    };
     assert!(matches!(stopping.answer(&mut client).map(|got| status(&got)), Some(502 | 504)));
     drop(client);
-    assert_eq!(ended_well(&mut stopping), "");
+    assert_eq!(wait_for_exit(&mut stopping), "");
 }
 
 #[test]
-fn a_first_request_has_its_time_from_when_it_is_read_however_old_its_connection_is() {
-    let (server, discovery) = (hangs(), discovery_peer());
+fn deadline_of_a_first_request_does_not_depend_on_the_age_of_its_connection() {
+    let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     gateway.catch_up();
-    std::thread::sleep(ms(1000)); // the connection's age
+    std::thread::sleep(ms(1000)); // the age of the connection
     client.send(&rpc("verify", 2900));
-    let told = told_wait_ms(&server.next().1);
-    assert!((2700..=2900).contains(&told), "{told} ms told");
+    let wait_ms = told_wait_ms(&server.next().1);
+    assert!((2700..=2900).contains(&wait_ms), "{wait_ms} ms sent to the server");
 }
