--- a/crates/gateway/tests/long_lists.rs
+++ b/crates/gateway/tests/long_lists.rs
@@ -9,7 +9,7 @@
 
 const SERVERS: usize = 1600;
 const GATEWAYS: usize = 900;
-/// Interval between changes of one server's state.
+/// The interval at which the state of one server in the list changes.
 const CHANGE_EVERY: Duration = Duration::from_millis(20);
 const RPCS: usize = 150;
 /// Far more than an answer takes here, and far less than one change of the list took when it was processed within a
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -175,7 +175,7 @@
     }
 }
 
-/// Connects to a process whose log can't be read for the line that says it listens.
+/// Connects to a process as soon as it listens, without its log, which can't be read.
 fn connect_when_listening(address: std::net::SocketAddr) -> Client {
     let deadline = Instant::now() + standins::scripted::PATIENCE;
     while std::net::TcpStream::connect(address).is_err() {
