--- a/crates/gateway/tests/answer_delivery.rs
+++ b/crates/gateway/tests/answer_delivery.rs
@@ -2,7 +2,9 @@
 //! new connections, not on shutdown, not on a reload. Requests that wait for a free connection slot keep their
 //! deadlines.
 
-use standins::scripted::{Client, Peer, Program, answer, entry, list, rpc, status, told_wait_ms, with_id};
+use standins::scripted::{
+    Client, Peer, Program, answer, entry, list, remaining_ms_header, rpc, status, with_id,
+};
 use std::time::Duration;
 
 mod support;
@@ -61,11 +63,11 @@
     // comes due in the same turn.
     let new_client = gateway.client();
     let turn = gateway.hold_turn(|| {
-        server.tell(0, ANSWER);
+        server.write(0, ANSWER);
         std::thread::sleep(ACCEPT_RETRY_WITHIN); // until the timer is due
     });
-    turn.go_on();
-    assert_eq!(client.answer().map(|got| status(&got)), Some(200), "{:#?}", gateway.lines_now());
+    turn.resume();
+    assert_eq!(client.answer().map(|got| status(&got)), Some(200), "{:#?}", gateway.new_lines());
     drop((new_client, others));
 }
 
@@ -80,7 +82,7 @@
     let mut served = 0;
     while served < limit {
         client.send(&with_id(&rpc("read", 20_000), served as u64));
-        match server.seen_within(BLOCKED_AFTER) {
+        match server.next_within(BLOCKED_AFTER) {
             Some(_) => served += 1,
             None => break,
         }
@@ -101,7 +103,7 @@
     let new_clients: Vec<Client> = (0..2).map(|_| gateway.client()).collect();
     std::thread::sleep(ACCEPT_RETRY_WITHIN); // the gateway has looked for a free slot by now
     let got = (0..served).map_while(|_| client.answer()).filter(|got| got.ends_with('y')).count();
-    assert_eq!(got, served, "number of whole answers; {:#?}", gateway.lines_now());
+    assert_eq!(got, served, "number of whole answers; {:#?}", gateway.new_lines());
     drop((new_clients, others));
 }
 
@@ -132,7 +134,7 @@
     client.send(&rpc("verify", remaining));
     std::thread::sleep(waited); // for a slot
     others.clear();
-    let wait_ms = told_wait_ms(&server.next().1);
+    let wait_ms = remaining_ms_header(&server.next().1);
     let left = remaining - waited.as_millis() as u64;
     assert!(wait_ms <= left + 50, "{wait_ms} ms sent to the server, {left} ms left");
 }
@@ -150,7 +152,7 @@
     std::thread::sleep(Duration::from_millis(400)); // its whole deadline, waiting for a slot
     others.clear();
     assert_eq!(client.answer().map(|got| status(&got)), Some(503));
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 /// The processor time that the gateway process has used.
@@ -170,7 +172,7 @@
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
-    gateway.line("\"why\":\"no-room\""); // the spare slots reject their request with this and accept the next
+    gateway.wait_for_line("\"why\":\"no-room\""); // the spare slots reject their request with this and accept the next
     let new_clients: Vec<Client> = (0..300)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(1)); // so that each connection is a separate event
@@ -195,7 +197,7 @@
         client.send(&with_id(&rpc("verify", 10_000), id as u64));
     }
     incomplete.iter_mut().for_each(|client| client.send("GET /api/"));
-    while server.seen_within(BLOCKED_AFTER).is_some() {} // all that can reach the server have
+    while server.next_within(BLOCKED_AFTER).is_some() {} // all that can reach the server have
     let mut new_clients: Vec<Client> = (0..10).map(|_| gateway.client()).collect();
     for (id, client) in new_clients.iter_mut().enumerate() {
         client.send(&with_id(&rpc("verify", 10_000), 100 + id as u64));
@@ -206,7 +208,7 @@
     for (id, client) in new_clients.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.new_lines());
     }
 }
 
@@ -231,6 +233,6 @@
     for (id, client) in new_clients.iter_mut().enumerate() {
         let left = killed_at.saturating_duration_since(std::time::Instant::now());
         let got = client.answer_within(left).map(|got| status(&got));
-        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.lines_now());
+        assert!(got.is_some(), "new connection {id} has no answer; {:#?}", gateway.new_lines());
     }
 }
--- a/crates/gateway/tests/client_guarantees.rs
+++ b/crates/gateway/tests/client_guarantees.rs
@@ -5,7 +5,8 @@
 mod support;
 
 use standins::scripted::{
-    Client, Late, Peer, Program, chunk, entry, list, nowhere, rpc, say, status, told_wait_ms,
+    Client, FullBacklog, Peer, Program, chunk, entry, list, raw_reply, refusing_address, remaining_ms_header,
+    rpc, status,
 };
 use std::time::{Duration, Instant};
 use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
@@ -101,7 +102,7 @@
         if departure == Departure::ClosesAfterFillingBuffer {
             client.send(&"x".repeat(PREFILL_BYTES));
         }
-        self.gateway.catch_up();
+        self.gateway.wait_until_processed();
         client
     }
 
@@ -116,10 +117,10 @@
             Timing::DuringTurn => {
                 let turn = self.gateway.hold_turn(trigger);
                 leave_now();
-                turn.go_on();
+                turn.resume();
             }
             _ => {
-                self.gateway.stand_still();
+                self.gateway.pause();
                 match timing {
                     Timing::JustBefore => {
                         leave_now();
@@ -139,8 +140,8 @@
                 }
             }
         }
-        self.gateway.line("left-before-answer");
-        self.gateway.catch_up();
+        self.gateway.wait_for_line("left-before-answer");
+        self.gateway.wait_until_processed();
     }
 
     /// Sends another request that is served, and checks that no other request reached this server.
@@ -153,9 +154,9 @@
         let (number, first) = server.next();
         let id = format!("X-Txn: {:016x}", self.last_id);
         assert!(first.contains(&id), "{why}: forwarded for a client that had left: {first}");
-        server.tell(number, RESPONSE);
+        server.write(number, RESPONSE);
         assert_eq!(status(&client.answer().unwrap()), 200, "{why}");
-        assert!(server.nothing_came(), "{why}");
+        assert!(server.nothing_received(), "{why}");
     }
 
     /// Opens this many connections to this server, which are idle when this returns.
@@ -166,7 +167,7 @@
             client.send(&with_number(&rpc("read", 20_000), self.last_id));
         }
         let connections: Vec<usize> = (0..count).map(|_| server.next().0).collect();
-        connections.into_iter().for_each(|number| server.tell(number, RESPONSE));
+        connections.into_iter().for_each(|number| server.write(number, RESPONSE));
         clients.iter_mut().for_each(|client| assert_eq!(status(&client.answer().unwrap()), 200));
     }
 }
@@ -177,7 +178,7 @@
         Departure::Closes => drop(client),
         Departure::Resets => client.reset(),
         Departure::HalfCloses => {
-            client.end_sending();
+            client.shutdown_write();
             return Some(client);
         }
         Departure::ClosesAfterPartialMessage => client.send(&rpc("read", 20_000)[..100]),
@@ -204,7 +205,7 @@
 /// Starts a gateway that knows this server, with discovery down.
 fn start_with_known_server(server: std::net::SocketAddr, settings: &str) -> Program {
     let known = list(3, true, &[entry("s0", server, "ready")]);
-    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), settings)
+    Program::start(BIN, refusing_address(), &format!("\"known\":{known},"), settings)
 }
 
 #[test]
@@ -216,10 +217,10 @@
             TestGateway::with_clients_for(timing, start_gateway(&discovery, &known, &ample_quota_settings()));
         under_test.open_idle_connections(&server, 1);
         let update_list = |index, status| {
-            discovery.tell(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
+            discovery.write(0, &chunk(&list(index, false, &[entry("s0", server.address, status)])));
         };
         update_list(4, "draining");
-        under_test.gateway.catch_up();
+        under_test.gateway.wait_until_processed();
         let client = under_test.request("verify", departure);
         under_test.leave(client, departure, timing, || {
             update_list(5, "ready");
@@ -240,7 +241,7 @@
             TestGateway::with_clients_for(timing, start_with_known_server(server.address, &low_quota));
         under_test.open_idle_connections(&server, 1);
         let client = under_test.request("verify", departure);
-        assert!(server.nothing_came(), "the quota is spent");
+        assert!(server.nothing_received(), "the quota is spent");
         under_test.leave(client, departure, timing, || std::thread::sleep(Duration::from_millis(2200)));
         under_test.check_only_next_request_is_served(&server, &format!("{departure:?}, {timing:?}"));
     };
@@ -267,7 +268,7 @@
 fn request_is_not_forwarded_if_its_client_leaves_while_the_server_connection_is_established() {
     run_concurrently(|departure, timing| {
         let why = format!("{departure:?}, {timing:?}");
-        let late = Late::default();
+        let late = FullBacklog::default();
         let mut under_test = TestGateway::with_clients_for(
             timing,
             start_with_known_server(late.address, &ample_quota_settings()),
@@ -276,8 +277,8 @@
         let mut server = None;
         under_test.leave(client, departure, timing, || server = Some(late.open()));
         let mut server = server.unwrap();
-        assert!(under_test.gateway.line("\"not written\"").contains("client-left"), "{why}");
-        assert!(server.nothing_came(), "{why}");
+        assert!(under_test.gateway.wait_for_line("\"not written\"").contains("client-left"), "{why}");
+        assert!(server.nothing_received(), "{why}");
         let mut next = under_test.gateway.client();
         next.send(&rpc("read", 20_000));
         assert!(server.answer().unwrap().starts_with("GET "), "{why}");
@@ -306,8 +307,8 @@
         &ample_quota_settings(),
     ));
     under_test.open_idle_connections(&server, 2);
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
-    under_test.gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
+    under_test.gateway.wait_until_processed();
     let mut clients = Vec::new();
     for number in 0..BUSY_CLIENTS {
         let mut client = under_test.gateway.client();
@@ -316,14 +317,14 @@
         client.send(&message.replace("00000000b4d65521", &format!("{number:016x}")));
         clients.push(client);
     }
-    under_test.gateway.catch_up();
-    under_test.gateway.stand_still();
-    discovery.tell(0, &chunk(&list(5, false, &[entry("s0", server.address, "ready")])));
+    under_test.gateway.wait_until_processed();
+    under_test.gateway.pause();
+    discovery.write(0, &chunk(&list(5, false, &[entry("s0", server.address, "ready")])));
     std::thread::sleep(SERVER_RETRY_WITHIN);
     drop(clients);
     std::thread::sleep(CLOSE_DELIVERY);
     under_test.gateway.signal("-CONT");
-    under_test.gateway.catch_up();
+    under_test.gateway.wait_until_processed();
     under_test.check_only_next_request_is_served(&server, "hundreds of clients left");
 }
 
@@ -358,14 +359,14 @@
     let mut client = under_test.gateway.client();
     let remaining = send_timed(&mut client, &rpc("submit", CLIENT_WAIT.as_millis() as u64));
     let first = server.next();
-    assert!(told_wait_ms(&first.1) <= CLIENT_WAIT.as_millis() as u64);
+    assert!(remaining_ms_header(&first.1) <= CLIENT_WAIT.as_millis() as u64);
     // The turn that detects the reset of the first attempt lasts half a second, as it may on a tenth of a core.
     let turn = under_test.gateway.hold_turn(|| server.reset(first.0));
     std::thread::sleep(Duration::from_millis(500));
     let at_most = remaining.max_ms();
-    turn.go_on();
+    turn.resume();
     let retry = server.next().1;
-    assert!(told_wait_ms(&retry) <= at_most, "at most {} ms are left: {retry}", at_most);
+    assert!(remaining_ms_header(&retry) <= at_most, "at most {} ms are left: {retry}", at_most);
 }
 
 #[test]
@@ -378,7 +379,7 @@
     let first = server.next().0;
     let turn = under_test.gateway.hold_turn(|| server.reset(first));
     std::thread::sleep(Duration::from_millis(3100));
-    turn.go_on();
+    turn.resume();
     let got = client.answer().unwrap();
     assert!(status(&got) != 200, "{got}");
     under_test.check_only_next_request_is_served(&server, "the deadline had passed");
@@ -391,12 +392,12 @@
     under_test.open_idle_connections(&server, 2);
     let mut client = under_test.gateway.client();
     // The process is stopped both before it reads the request and while the first attempt is in flight.
-    under_test.gateway.stand_still();
+    under_test.gateway.pause();
     let remaining = send_timed(&mut client, &rpc("submit", CLIENT_WAIT.as_millis() as u64));
     std::thread::sleep(Duration::from_millis(600));
     under_test.gateway.signal("-CONT");
     let first = server.next().0;
-    under_test.gateway.stand_still();
+    under_test.gateway.pause();
     server.reset(first);
     std::thread::sleep(Duration::from_millis(400));
     let at_most = remaining.max_ms();
@@ -404,25 +405,25 @@
     let retry = server.next().1;
     // The gateway infers from overdue timers how long it was stopped, to within one check for idle connections (a
     // quarter of a second).
-    assert!(told_wait_ms(&retry) <= at_most + 250, "at most {at_most} ms are left: {retry}");
+    assert!(remaining_ms_header(&retry) <= at_most + 250, "at most {at_most} ms are left: {retry}");
 }
 
 #[test]
 fn retry_on_a_connection_that_is_established_late_sends_the_time_left_then() {
-    let (discovery, first, late) = (discovery_peer(), silent_server(), Late::default());
+    let (discovery, first, late) = (discovery_peer(), silent_server(), FullBacklog::default());
     let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &ample_quota_settings());
     let mut client = gateway.client();
     let remaining = send_timed(&mut client, &rpc("read", CLIENT_WAIT.as_millis() as u64));
     let connection = first.next().0;
     let listed = [entry("s0", first.address, "draining"), entry("s1", late.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &listed)));
-    gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &listed)));
+    gateway.wait_until_processed();
     first.reset(connection);
-    assert!(gateway.line("\"server\"").contains("\"reset\""));
+    assert!(gateway.wait_for_line("\"server\"").contains("\"reset\""));
     std::thread::sleep(Duration::from_millis(300));
     let at_most = remaining.max_ms();
     let retry = late.open().answer().unwrap();
-    assert!(told_wait_ms(&retry) <= at_most, "at most {at_most} ms are left: {retry}");
+    assert!(remaining_ms_header(&retry) <= at_most, "at most {at_most} ms are left: {retry}");
 }
 
 // Every request is answered within its deadline.
@@ -468,7 +469,7 @@
 
 #[test]
 fn every_form_of_message_is_served_whole_and_in_pieces() {
-    let server = Peer::new(|_, _| say(RESPONSE));
+    let server = Peer::new(|_, _| raw_reply(RESPONSE));
     let gateway = start_with_known_server(server.address, &ample_quota_settings());
     let mut number = 0;
     for (form, message) in message_forms() {
@@ -479,7 +480,7 @@
             for piece in message.as_bytes().chunks(piece_length) {
                 client.send(std::str::from_utf8(piece).unwrap());
                 if piece_length < message.len() {
-                    gateway.catch_up(); // the gateway reads each piece separately
+                    gateway.wait_until_processed(); // the gateway reads each piece separately
                 }
             }
             let got = client.answer().unwrap_or_else(|| panic!("{form}: no answer"));
@@ -490,7 +491,7 @@
 
 #[test]
 fn slow_client_whose_message_is_whole_within_two_seconds_is_served() {
-    let server = Peer::new(|_, _| say(RESPONSE));
+    let server = Peer::new(|_, _| raw_reply(RESPONSE));
     let gateway = start_with_known_server(server.address, &ample_quota_settings());
     std::thread::scope(|scope| {
         for (number, method) in ["read", "submit", "verify"].into_iter().cycle().take(12).enumerate() {
@@ -522,7 +523,7 @@
 
 #[test]
 fn pipelined_commands_are_all_answered_in_order_and_in_time() {
-    let server = Peer::new(|_, _| say(RESPONSE));
+    let server = Peer::new(|_, _| raw_reply(RESPONSE));
     let gateway = start_with_known_server(server.address, &ample_quota_settings());
     let mut client = gateway.client();
     let count = 200;
@@ -555,20 +556,20 @@
 
 #[test]
 fn deadline_of_a_message_received_while_the_process_is_stopped_starts_at_its_arrival() {
-    let (server, discovery) = (Peer::new(|_, _| say(RESPONSE)), discovery_peer());
+    let (server, discovery) = (Peer::new(|_, _| raw_reply(RESPONSE)), discovery_peer());
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let (stopped, remaining) = (Duration::from_millis(500), 2900);
     // Where in the gateway's periodic checks the stop falls is random, so this is tried several times.
     for id in 0..5 {
         let mut client = gateway.client();
-        gateway.catch_up();
-        gateway.stand_still();
+        gateway.wait_until_processed();
+        gateway.pause();
         client.send(&with_number(&rpc("verify", remaining), id));
         std::thread::sleep(stopped);
         gateway.signal("-CONT");
         assert_eq!(client.answer().map(|got| status(&got)), Some(200));
-        let wait_ms = told_wait_ms(&server.next().1);
+        let wait_ms = remaining_ms_header(&server.next().1);
         let left = remaining - stopped.as_millis() as u64;
         assert!(wait_ms <= left + 30, "{wait_ms} ms sent to the server, {left} ms left");
     }
--- a/crates/gateway/tests/cold_servers.rs
+++ b/crates/gateway/tests/cold_servers.rs
@@ -2,7 +2,7 @@
 //! send to a cold server within the span of the `fall` rule stays below N + 2 sqrt(N) + 2, where N is the number that
 //! the settings allow at that time.
 
-use rig::fleet::{Outcome, play};
+use rig::fleet::{RunResult, run_scenario};
 use rig::scenario::Scenario;
 use rig::{Nanos, nanos};
 use std::collections::BTreeMap;
@@ -59,16 +59,21 @@
     }
 }
 
-fn worst_spans(outcome: &Outcome, rules: &ColdServerRules) -> Vec<WorstSpan> {
+fn worst_spans(outcome: &RunResult, rules: &ColdServerRules) -> Vec<WorstSpan> {
     let mut ages_by_server: BTreeMap<u32, Vec<Nanos>> = BTreeMap::new();
     for (server, state) in outcome.servers.iter().enumerate() {
         // A server that was listed as ready after the run began, for the first time or again, started cold then. A
         // server that left that state within one span is skipped.
-        let last_ready =
-            state.ready.last().filter(|span| span.0 > outcome.from && span.1 > span.0 + rules.span);
+        let last_ready = state
+            .ready_spans
+            .last()
+            .filter(|span| span.0 > outcome.measured_from && span.1 > span.0 + rules.span);
         let Some(since) = last_ready.map(|span| span.0) else { continue };
-        let rows = outcome.ledger.iter().filter(|row| row.server as usize == server && row.at >= since);
-        let mut ages: Vec<Nanos> = rows.map(|row| row.at - since).collect();
+        let rows = outcome
+            .server_rpcs
+            .iter()
+            .filter(|row| row.server as usize == server && row.received_at >= since);
+        let mut ages: Vec<Nanos> = rows.map(|row| row.received_at - since).collect();
         ages.sort_unstable();
         ages_by_server.insert(server as u32, ages);
     }
@@ -91,12 +96,12 @@
 #[test]
 fn thirty_unevenly_loaded_gateways_do_not_overload_cold_servers_during_a_burst_and_restarts() {
     let scenario = scenario("cold-burst");
-    let outcome = play(&scenario, Path::new(BIN)).unwrap();
+    let outcome = run_scenario(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
     // The scenario has the intended conditions: some gateways see several times the mean load, and many restarted.
     let mut calls_per_gateway = vec![0; scenario.gateways];
-    outcome.calls.iter().for_each(|call| calls_per_gateway[call.gateway] += 1);
-    let mean = outcome.calls.len() / scenario.gateways;
+    outcome.client_rpcs.iter().for_each(|call| calls_per_gateway[call.gateway] += 1);
+    let mean = outcome.client_rpcs.len() / scenario.gateways;
     assert!(
         calls_per_gateway.iter().any(|calls| *calls > 5 * mean / 2)
             && calls_per_gateway.iter().any(|calls| *calls < mean / 2),
@@ -117,7 +122,7 @@
     scenario.gateways = gateways;
     scenario.load.rate = thirty_gateways.load.rate * thirty_gateways.gateways as f64 / gateways as f64;
     scenario.load.width = thirty_gateways.load.width.min(gateways);
-    let outcome = play(&scenario, Path::new(BIN)).unwrap();
+    let outcome = run_scenario(&scenario, Path::new(BIN)).unwrap();
     assert_eq!(outcome.crashed, Vec::<String>::new());
     assert!(outcome.starts.iter().any(|starts| *starts > 1), "at least one gateway restarted");
     let worst_spans = worst_spans(&outcome, &ColdServerRules::from_scenario(&scenario));
--- a/crates/gateway/tests/idle_connections.rs
+++ b/crates/gateway/tests/idle_connections.rs
@@ -111,13 +111,13 @@
 #[test]
 fn consecutive_reloads_during_a_discovery_outage_lose_no_rpc() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let (discovery, unreachable) = (discovery_peer(), standins::scripted::nowhere());
+    let (discovery, unreachable) = (discovery_peer(), standins::scripted::refusing_address());
     let gateway =
         start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     for id in 0..20 {
         let at = if id % 2 == 0 { unreachable } else { discovery.address };
-        gateway.rewrite(&gateway.config(at, "", &long_timeout_settings()));
+        gateway.rewrite_config(&gateway.config(at, "", &long_timeout_settings()));
         gateway.signal("-HUP");
         let got = client.ask(&with_id(&rpc(METHODS[id % METHODS.len()], 3000), id as u64));
         assert_eq!(status(&got), 200, "{id}");
--- a/crates/gateway/tests/long_lists.rs
+++ b/crates/gateway/tests/long_lists.rs
@@ -35,7 +35,7 @@
                 index += 1;
                 let state = if index % 2 == 0 { "draining" } else { "ready" };
                 let changed = entry(&name(index as usize / 2 % SERVERS), address, state);
-                discovery.tell(0, &chunk(&list(index, false, &[changed])));
+                discovery.write(0, &chunk(&list(index, false, &[changed])));
                 std::thread::sleep(CHANGE_EVERY);
             }
         });
--- a/crates/gateway/tests/partial_messages.rs
+++ b/crates/gateway/tests/partial_messages.rs
@@ -10,7 +10,8 @@
 use gateway::servers::{Response, ServerConnection};
 use martenramp::host::CallOutcome;
 use standins::scripted::{
-    Peer, Program, SEC, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
+    Peer, Program, SEC, WATCH_HEAD, answer, chunk, entry, list, raw_reply, refusing_address, rpc, settings,
+    status,
 };
 use std::net::SocketAddr;
 
@@ -138,9 +139,11 @@
             .collect();
         let lines: Vec<String> = objects.iter().map(|object| with_white_space(&mut rng, object)).collect();
         let between = *rng.choice(&["", "\n", "\r\n\r\n", "\n\n  "]).unwrap();
-        let text =
-            format!("{WATCH}{}", chunked(&mut rng, &format!("{between}{}{between}", lines.join(between))));
-        let plain = format!("{WATCH}{}", objects.iter().map(|object| chunk(object)).collect::<String>());
+        let text = format!(
+            "{WATCH_HEAD}{}",
+            chunked(&mut rng, &format!("{between}{}{between}", lines.join(between)))
+        );
+        let plain = format!("{WATCH_HEAD}{}", objects.iter().map(|object| chunk(object)).collect::<String>());
         let (whole, why) = feed_watch(&plain, &[plain.len()]);
         assert_eq!((whole.len(), why), (objects.len(), None));
         let pieces = random_cuts(&mut rng, text.len());
@@ -218,7 +221,7 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let settings =
         settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
-    Program::start(BIN, nowhere(), &format!("\"known\":{known},"), &settings)
+    Program::start(BIN, refusing_address(), &format!("\"known\":{known},"), &settings)
 }
 
 #[test]
@@ -236,7 +239,7 @@
     }
     // Connections are accepted in the order in which they arrive, so the gateway has handled all earlier ones by then.
     assert!(gateway.client().ask(&whole(1 << 20)).ends_with("on"));
-    assert!(server.next().1.contains(&format!("{:016x}", 1 << 20)) && server.nothing_came());
+    assert!(server.next().1.contains(&format!("{:016x}", 1 << 20)) && server.nothing_received());
 }
 
 #[test]
@@ -251,7 +254,7 @@
                 let mut client = gateway.client();
                 client.send(&rpc("verify", 5000));
                 let connection = server.next().0;
-                server.tell(connection, &text[..cut]);
+                server.write(connection, &text[..cut]);
                 if resets {
                     server.reset(connection)
                 } else {
@@ -270,7 +273,7 @@
             }
         }
     }
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
@@ -278,14 +281,14 @@
     let (old, new) = (Peer::new(|_, _| answer(200, "", "old")), Peer::new(|_, _| answer(200, "", "new")));
     let object = list(4, true, &[entry("s1", new.address, "ready")]);
     let text = chunk(&object);
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     for cut in (0..text.len()).step_by(29).chain([text.len() - 3, text.len()]) {
         let known = list(3, true, &[entry("s0", old.address, "ready")]);
         let settings = settings("\"membershipMode\":\"push\",");
         let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &settings);
         let (connection, request) = discovery.next();
         assert!(request.contains("from=3"));
-        discovery.tell(connection, &text[..cut]);
+        discovery.write(connection, &text[..cut]);
         discovery.reset(connection);
         let (_, next_request) = discovery.next();
         // The object is whole without the chunk's last three bytes: the line feed after the object and the CRLF after
--- a/crates/gateway/tests/protocol.rs
+++ b/crates/gateway/tests/protocol.rs
@@ -11,7 +11,7 @@
 use gateway::servers::{self, Attempt, Body, ReuseHistory, ServerConnection, Servers};
 use martenramp::host::{CallOutcome, DiscoveredServer};
 use martenramp::subsetting;
-use standins::scripted::{MS, SEC, WATCH, chunk, entry, list, rpc, settings};
+use standins::scripted::{MS, SEC, WATCH_HEAD, chunk, entry, list, rpc, settings};
 use std::net::SocketAddr;
 
 fn config() -> Config {
@@ -278,7 +278,7 @@
 fn watch_finds_list_objects_whatever_pieces_they_arrive_in() {
     let snapshot = list(41, true, &[entry("a", address(1), "ready"), entry("b", address(2), "draining")]);
     let change = list(43, false, &["{\"name\":\"a\",\"status\":\"gone\"}".to_string()]);
-    let text = format!("{WATCH}{}1\r\n\n\r\n{}", chunk(&snapshot), chunk(&change));
+    let text = format!("{WATCH_HEAD}{}1\r\n\n\r\n{}", chunk(&snapshot), chunk(&change));
     for step in [1, 7, 64, text.len()] {
         let (mut watch, mut out) = (Watch::new(0, usize::MAX), Vec::new());
         let (mut updates, mut buffer) = (Vec::new(), Vec::new());
@@ -312,11 +312,11 @@
         feed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_string()).0,
         Err("watch-not-chunked")
     );
-    assert_eq!(feed(format!("{WATCH}0\r\n\r\n")).0, Err("watch-ended"));
+    assert_eq!(feed(format!("{WATCH_HEAD}0\r\n\r\n")).0, Err("watch-ended"));
     let good = chunk(&list(41, true, &[entry("a", address(1), "ready")]));
     let nameless = chunk(&list(42, true, &["{\"status\":\"ready\"}".to_string()]));
     assert_eq!(
-        feed(format!("{WATCH}{good}{nameless}{good}")),
+        feed(format!("{WATCH_HEAD}{good}{nameless}{good}")),
         (Err("garbled-object"), 1),
         "objects before the invalid one are applied"
     );
@@ -478,7 +478,7 @@
     let seeds = [
         rpc("submit", 480),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n".to_string(),
-        format!("{WATCH}{}", chunk(&list(41, true, &[entry("a", address(1), "ready")]))),
+        format!("{WATCH_HEAD}{}", chunk(&list(41, true, &[entry("a", address(1), "ready")]))),
         "$3\r\n7.5\r\n-BUSY\r\n:7\r\n$-1\r\n+PONG\r\n".to_string(),
     ];
     for round in 0..20_000 {
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -3,7 +3,8 @@
 //! by itself.
 
 use standins::scripted::{
-    Client, Late, Peer, Program, answer, entry, list, rpc, say, settings, status, told_wait_ms, with_id,
+    Client, FullBacklog, Peer, Program, answer, entry, list, raw_reply, remaining_ms_header, rpc, settings,
+    status, with_id,
 };
 use std::time::{Duration, Instant};
 
@@ -28,7 +29,7 @@
     fn send_sigterm(gateway: Program, longest: Duration) -> StoppingGateway {
         gateway.signal("-TERM");
         let signaled_at = Instant::now();
-        gateway.line("\"stopping\"");
+        gateway.wait_for_line("\"stopping\"");
         StoppingGateway {
             gateway,
             signaled_at,
@@ -49,7 +50,7 @@
     /// Whether the process exits by itself, with status 0, before it may be killed.
     fn exits_by_itself(&mut self) -> bool {
         while Instant::now() < self.killed_at {
-            if let Some(status) = self.gateway.ended() {
+            if let Some(status) = self.gateway.exit_status() {
                 return status.success();
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -77,7 +78,7 @@
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut clients: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
-    gateway.catch_up(); // the connections are accepted and have sent nothing yet
+    gateway.wait_until_processed(); // the connections are accepted and have sent nothing yet
     let mut stopping = StoppingGateway::send_sigterm(gateway, Duration::from_secs(6));
     stopping.wait_until(Duration::from_millis(900));
     for (id, (client, method)) in clients.iter_mut().zip(["read", "submit", "verify"]).enumerate() {
@@ -146,7 +147,7 @@
         client.send(&text[cut..]);
         sent.push((client, method, id));
     }
-    let seen: Vec<String> = std::iter::from_fn(|| server.seen_now()).map(|(_, message)| message).collect();
+    let seen: Vec<String> = std::iter::from_fn(|| server.try_next()).map(|(_, message)| message).collect();
     for (client, method, id) in &mut sent {
         let got = stopping.answer(client).unwrap_or_else(|| panic!("{method} {id} has no answer"));
         let may_have_run = seen.iter().any(|message| message.contains(&format!("X-Txn: {id:016x}")));
@@ -162,7 +163,7 @@
 /// Waits until the process has exited by itself, and returns the invariants that it reports as violated.
 fn wait_for_exit(stopping: &mut StoppingGateway) -> String {
     assert!(stopping.exits_by_itself(), "the process exits by itself before it is killed");
-    let ended_line = stopping.gateway.line("\"msg\":\"ended\"");
+    let ended_line = stopping.gateway.wait_for_line("\"msg\":\"ended\"");
     assert!(ended_line.contains("\"unanswered\":0"), "{ended_line}");
     ended_line
         .split("\"violations\":\"")
@@ -192,15 +193,15 @@
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_deadlines());
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = StoppingGateway::send_sigterm(gateway, Duration::from_secs(6));
     client.send(&rpc("verify", 5000));
     assert!(
-        told_wait_ms(&server.next().1) <= 3700,
+        remaining_ms_header(&server.next().1) <= 3700,
         "a server is sent no more than the time that the process has left"
     );
     stopping.wait_until(ms(3300));
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
     assert!(stopping.answer(&mut client).unwrap().ends_with("late"));
     drop(client);
     assert_eq!(wait_for_exit(&mut stopping), "");
@@ -209,13 +210,13 @@
 #[test]
 fn response_that_would_take_beyond_the_end_is_abandoned_before_it() {
     let (server, discovery) =
-        (Peer::new(|_, _| say("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), discovery_peer());
+        (Peer::new(|_, _| raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     server.next();
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(2500));
-    while stopping.signaled_at.elapsed() < ms(2800) && server.try_tell(0, "x") {
+    while stopping.signaled_at.elapsed() < ms(2800) && server.try_write(0, "x") {
         std::thread::sleep(ms(20)); // the interval between the bytes
     }
     let got = stopping.answer(&mut client).expect("an answer before the end");
@@ -246,7 +247,7 @@
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(1000)));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1000));
     let commands: String = (1..=3).map(|id| with_id(&rpc("verify", 1000), id)).collect();
     client.send(&commands);
@@ -261,7 +262,7 @@
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(2000)));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(2000));
     client.send(&(with_id(&rpc("verify", 1500), 1) + &with_id(&rpc("submit", 1500), 2)[..100]));
     let first = stopping.answer(&mut client).expect("the answer to the whole command");
@@ -276,11 +277,11 @@
 
 #[test]
 fn connection_that_is_never_established_does_not_delay_the_end_of_a_stopping_process() {
-    let (late, discovery) = (Late::default(), discovery_peer());
+    let (late, discovery) = (FullBacklog::default(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", late.address, "ready")], &deadlines_of(ms(1500)));
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1500));
     assert_eq!(stopping.answer(&mut client).map(|got| status(&got)), Some(503), "it never ran");
     drop(client);
@@ -303,7 +304,7 @@
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(1500));
     let got = stopping.answer(&mut client).map(|got| status(&got));
     // The gateway stops waiting for the silent counter during the shutdown, so the RPC may still be attempted.
-    let expected = if server.seen_now().is_some() { [502, 504] } else { [429, 503] };
+    let expected = if server.try_next().is_some() { [502, 504] } else { [429, 503] };
     assert!(got.is_some_and(|got| expected.contains(&got)), "{got:?}, expected one of {expected:?}");
     drop(client);
     assert_eq!(wait_for_exit(&mut stopping), "");
@@ -316,7 +317,7 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 5000));
     server.next();
-    gateway.rewrite(&gateway.config(discovery.address, "", &deadlines_of(ms(800))));
+    gateway.rewrite_config(&gateway.config(discovery.address, "", &deadlines_of(ms(800))));
     let mut stopping = StoppingGateway::send_sigterm(gateway, ms(800));
     stopping.gateway.signal("-HUP");
     stopping.gateway.signal("-TERM");
@@ -329,9 +330,9 @@
 fn longer_deadlines_read_before_or_while_stopping_do_not_postpone_the_end() {
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &deadlines_of(ms(800)));
-    gateway.rewrite(&gateway.config(discovery.address, "", &long_deadlines()));
+    gateway.rewrite_config(&gateway.config(discovery.address, "", &long_deadlines()));
     gateway.signal("-HUP");
-    gateway.line("\"configuration read\"");
+    gateway.wait_for_line("\"configuration read\"");
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
@@ -349,12 +350,12 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 800));
     server.next();
-    gateway.stand_still();
+    gateway.pause();
     let signal_time = Instant::now();
     gateway.signal("-TERM");
     std::thread::sleep(ms(150)); // the length of a stop that the operators report
     gateway.signal("-CONT");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let mut stopping = StoppingGateway {
         gateway,
         signaled_at: signal_time,
@@ -370,9 +371,9 @@
     let (server, discovery) = (silent_server(), discovery_peer());
     let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
-    gateway.catch_up();
+    gateway.wait_until_processed();
     std::thread::sleep(ms(1000)); // the age of the connection
     client.send(&rpc("verify", 2900));
-    let wait_ms = told_wait_ms(&server.next().1);
+    let wait_ms = remaining_ms_header(&server.next().1);
     assert!((2700..=2900).contains(&wait_ms), "{wait_ms} ms sent to the server");
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,19 +1,19 @@
 //! A short soak test: fleets of gateway processes under random, overlapping faults, checked against the invariants.
 //! `martenramp-rig soak` (`docs/rig.md`) runs longer soaks with more seeds.
 
-use rig::scenario::SystemCalls;
+use rig::scenario::SystemCallFaults;
 use rig::soak;
 use rig::soak::draw::Size;
 use std::path::Path;
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
-fn check_no_violations(seed: u64, system_calls: Option<SystemCalls>) {
+fn check_no_violations(seed: u64, system_calls: Option<SystemCallFaults>) {
     let size = Size { gateways: 8, servers: 10, seconds: 12.0, faults: 8 };
     let run = soak::run(seed, size, &[], system_calls, Path::new(BIN)).unwrap();
-    println!("{}", run.shown());
-    assert!(run.violations.is_empty(), "{}", run.shown());
-    assert!(run.sent > 200 && run.counts.checked > 0, "{}", run.shown());
+    println!("{}", run.summary());
+    assert!(run.violations.is_empty(), "{}", run.summary());
+    assert!(run.sent > 200 && run.counts.checked > 0, "{}", run.summary());
 }
 
 /// A seed whose scenario has few gateways with few descriptors, busy with clients while silent connections use up the
@@ -24,10 +24,10 @@
 fn no_violations_while_silent_connections_crowd_busy_gateways() {
     let size = Size { gateways: 4, servers: 8, seconds: 6.0, faults: 4 };
     let run = soak::run(CROWD_SEED, size, &[], None, Path::new(BIN)).unwrap();
-    println!("{}", run.shown());
-    assert!(run.violations.is_empty(), "{}", run.shown());
-    assert!(run.scenario.sockets < 200 && run.sent > 500 && run.served > run.sent / 3, "{}", run.shown());
-    assert!(run.happened.get("Crowd").is_some_and(|count| *count > 0), "{:?}", run.happened);
+    println!("{}", run.summary());
+    assert!(run.violations.is_empty(), "{}", run.summary());
+    assert!(run.scenario.sockets < 200 && run.sent > 500 && run.served > run.sent / 3, "{}", run.summary());
+    assert!(run.event_counts.get("Crowd").is_some_and(|count| *count > 0), "{:?}", run.event_counts);
 }
 
 #[test]
@@ -39,5 +39,5 @@
 fn no_violations_under_the_faults_of_seed_2_with_failing_system_calls() {
     let test_binary = std::env::current_exe().unwrap();
     let library = test_binary.parent().unwrap().join("libmartenramp_faults.so");
-    check_no_violations(2, Some(SystemCalls { library, rate: 0.01 }));
+    check_no_violations(2, Some(SystemCallFaults { library, rate: 0.01 }));
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! The gateway program over loopback connections: one short test for each failure that has occurred.
 
 use standins::scripted::{
-    self as fake, Peer, Program, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings, status,
-    told_wait_ms,
+    self as fake, Peer, Program, WATCH_HEAD, answer, chunk, entry, list, raw_reply, refusing_address,
+    remaining_ms_header, rpc, settings, status,
 };
 use std::process::Command;
 
@@ -15,8 +15,8 @@
         .enumerate()
         .map(|(at, server)| entry(&format!("s{at}"), server.address, "ready"))
         .collect();
-    let more = format!("\"counter\":\"{}\",\"known\":{},", nowhere(), list(3, true, &entries));
-    Program::start(BIN, nowhere(), &more, &settings(""))
+    let more = format!("\"counter\":\"{}\",\"known\":{},", refusing_address(), list(3, true, &entries));
+    Program::start(BIN, refusing_address(), &more, &settings(""))
 }
 
 #[test]
@@ -39,7 +39,7 @@
     // For a non-idempotent RPC, the server is sent the full time until the deadline, slightly less than the client
     // waits.
     assert_eq!(status(&client.ask(&rpc("verify", 2000))), 200);
-    assert!(told_wait_ms(&server.next().1) <= 1995);
+    assert!(remaining_ms_header(&server.next().1) <= 1995);
     // Both connections are reused.
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 0);
@@ -49,13 +49,13 @@
 fn gateway_is_ready_only_once_it_has_a_list() {
     let server = Peer::new(|_, _| answer(200, "", "late"));
     let snapshot = list(5, true, &[entry("s0", server.address, "ready")]);
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let mut client = gateway.client();
     assert_eq!(status(&client.ask("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
     assert_eq!(status(&client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     assert!(discovery.next().1.starts_with("GET /api/targets?watch=1&from=0 "));
-    discovery.tell(0, &chunk(&snapshot));
+    discovery.write(0, &chunk(&snapshot));
     while status(&client.ask("GET /-/ready HTTP/1.1\r\n\r\n")) != 200 {}
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
 }
@@ -65,20 +65,21 @@
     let server = Peer::new(|_, _| answer(200, "", "here"));
     let moved = Peer::new(|_, _| answer(200, "", "there"));
     let snapshot = list(5, true, &[entry("s0", server.address, "ready")]);
-    let first = format!("{WATCH}{}", chunk(&snapshot));
-    let discovery = Peer::new(move |number, _| if number == 0 { say(&first) } else { say(WATCH) });
+    let first = format!("{WATCH_HEAD}{}", chunk(&snapshot));
+    let discovery =
+        Peer::new(move |number, _| if number == 0 { raw_reply(&first) } else { raw_reply(WATCH_HEAD) });
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     assert!(discovery.next().1.contains("from=0"));
-    discovery.tell(0, &chunk("{\"index\":6,\"snap"));
+    discovery.write(0, &chunk("{\"index\":6,\"snap"));
     assert!(discovery.next().1.contains("from=5"), "after a malformed line");
-    assert!(gateway.line("\"garbled-object\"").contains("\"list\""));
+    assert!(gateway.wait_for_line("\"garbled-object\"").contains("\"list\""));
     discovery.close(1);
     assert!(discovery.next().1.contains("from=5"), "after the connection was closed");
     let mut client = gateway.client();
     assert!(client.ask(&rpc("read", 2000)).ends_with("here"));
     // The same server at another address: the connection to the old address is no longer used.
-    discovery.tell(2, &chunk(&list(7, false, &[entry("s0", moved.address, "ready")])));
-    gateway.line("\"server-moved\"");
+    discovery.write(2, &chunk(&list(7, false, &[entry("s0", moved.address, "ready")])));
+    gateway.wait_for_line("\"server-moved\"");
     assert!(client.ask(&rpc("read", 2000)).ends_with("there"));
 }
 
@@ -88,16 +89,16 @@
     let closing = Peer::new(|_, _| (Vec::new(), true));
     let gateway = start_with_known_servers(&[&closing]);
     assert_eq!(status(&gateway.client().ask(&rpc("verify", 2000))), 502);
-    assert_eq!((closing.next().0, closing.seen_now()), (0, None), "no layer of the gateway sends it again");
+    assert_eq!((closing.next().0, closing.try_next()), (0, None), "no layer of the gateway sends it again");
     // Rejected by a server or its connection refused: it never ran, and is retried on the other server.
     let full = Peer::new(|_, _| answer(503, "X-Turned-Away: 1\r\n", ""));
     let good = Peer::new(|_, _| answer(200, "", "good"));
-    let gone = nowhere();
+    let gone = refusing_address();
     let known =
         [entry("a", full.address, "ready"), entry("b", good.address, "ready"), entry("c", gone, "ready")];
     let more = format!("\"known\":{},", list(3, true, &known));
     let settings = settings("").replace("\"attemptsCap\":2", "\"attemptsCap\":3");
-    let gateway = Program::start(BIN, nowhere(), &more, &settings);
+    let gateway = Program::start(BIN, refusing_address(), &more, &settings);
     for _ in 0..8 {
         assert!(gateway.client().ask(&rpc("verify", 2000)).ends_with("good"));
     }
@@ -118,7 +119,7 @@
     let started_at = std::time::Instant::now();
     assert_eq!(status(&gateway.client().ask(&rpc("verify", 300))), 504);
     assert!(started_at.elapsed().as_millis() < 2500, "earlier than the three seconds of its method");
-    gateway.line("call-out-timed-out"); // its connection is closed, so that the server can stop working on it
+    gateway.wait_for_line("call-out-timed-out"); // its connection is closed, so that the server can stop working on it
 }
 
 #[test]
@@ -130,8 +131,8 @@
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0);
     drop(client);
-    assert!(gateway.line("\"left-before-answer\"").contains("\"client\""));
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+    assert!(gateway.wait_for_line("\"left-before-answer\"").contains("\"client\""));
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     for _ in 0..5 {
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with('x'), "never the answer to another RPC");
     }
@@ -172,7 +173,7 @@
         assert!(status(&got) == expected && got.contains("Connection: close"), "{message}: {got}");
         assert!(client.is_closed());
     }
-    assert_eq!(server.seen_now(), None);
+    assert_eq!(server.try_next(), None);
     // A body of the largest accepted size is forwarded.
     let body = "x".repeat(64 << 10);
     let large =
@@ -189,8 +190,8 @@
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0);
     assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 409);
-    assert_eq!(server.seen_now(), None);
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
+    assert_eq!(server.try_next(), None);
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
     assert!(client.answer().unwrap().ends_with("own"));
     client.send(&rpc("verify", 2000));
     assert_eq!(server.next().0, 0, "the ID can be used again after the answer");
@@ -278,7 +279,7 @@
     let mut idle = gateway.client();
     assert_eq!(status(&idle.ask("GET /-/ready HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let got = gateway.client().ask(&rpc("read", 2000));
     assert!(
         got.ends_with("on") && got.contains("Connection: close"),
@@ -286,7 +287,7 @@
     );
     assert_eq!(status(&gateway.client().ask("GET /-/ready HTTP/1.1\r\n\r\n")), 503);
     assert!(idle.is_closed(), "an idle connection is closed once no more new ones arrive");
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
     assert!(held.answer().unwrap().ends_with("held"));
     drop(held);
     assert!(gateway.child.wait().unwrap().success());
@@ -295,11 +296,12 @@
 #[test]
 fn counter_is_called_and_its_totals_are_applied() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let counter = Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$5\r\n990.5\r\n" }));
+    let counter =
+        Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$5\r\n990.5\r\n" }));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
     let settings = settings("\"extra\":{\"hasCounter\":true,\"countWait\":5.0,\"largest\":8},");
-    let gateway = Program::start(BIN, nowhere(), &more, &settings);
+    let gateway = Program::start(BIN, refusing_address(), &more, &settings);
     // The customer is spread over two gateways: the counter is called before the first units are spent, and its total
     // leaves none.
     let request = rpc("verify", 300).replace("spread=1", "spread=2");
@@ -310,7 +312,7 @@
         arguments[0] == "INCRTTL" && arguments[2] == "2" && arguments[3].parse::<u64>().unwrap() > 0,
         "{call}"
     );
-    assert_eq!(server.seen_now(), None);
+    assert_eq!(server.try_next(), None);
 }
 
 #[test]
@@ -320,17 +322,17 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"counter\":\"{}\",\"known\":{known},", counter.address);
     let settings = settings("\"extra\":{\"hasCounter\":true,\"countWait\":0.03,\"largest\":8},");
-    let gateway = Program::start(BIN, nowhere(), &more, &settings);
+    let gateway = Program::start(BIN, refusing_address(), &more, &settings);
     let request = rpc("verify", 2000).replace("spread=1", "spread=2");
     assert_eq!(status(&gateway.client().ask(&request)), 200);
     assert!(counter.next().1.starts_with("INCRTTL "));
-    gateway.line("\"silent\""); // a counter connection that never answers is replaced eventually
+    gateway.wait_for_line("\"silent\""); // a counter connection that never answers is replaced eventually
 }
 
 #[test]
 fn silent_watch_is_requested_again_and_idle_connections_close_before_the_server_would() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let settings = settings("").replace("\"connIdle\":15.0", "\"connIdle\":0.5");
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &settings);
@@ -338,10 +340,10 @@
     let mut client = gateway.client();
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 0);
-    assert!(gateway.line("\"idle\"").contains("\"server\""));
+    assert!(gateway.wait_for_line("\"idle\"").contains("\"server\""));
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     assert_eq!(server.next().0, 1);
-    gateway.line("\"silent\"");
+    gateway.wait_for_line("\"silent\"");
     assert!(discovery.next().1.contains("from=3"));
 }
 
@@ -351,7 +353,8 @@
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let mut command = Command::new("sh");
     command.args(["-c", &format!("ulimit -n 40; exec {BIN} \"$@\""), "sh"]);
-    let gateway = Program::run(&mut command, nowhere(), &format!("\"known\":{known},"), &settings(""));
+    let gateway =
+        Program::run(&mut command, refusing_address(), &format!("\"known\":{known},"), &settings(""));
     let mut clients = Vec::new();
     for _ in 0..60 {
         let mut client = gateway.client();
@@ -359,7 +362,7 @@
         assert!(matches!(status(&got), 200 | 503), "{got}");
         clients.push(client);
     }
-    gateway.line("\"made-room\"");
+    gateway.wait_for_line("\"made-room\"");
     // Clients that send nothing, or an incomplete message, keep their connections only for a limited time.
     clients.extend((0..40).map(|_| gateway.client()));
     clients.iter_mut().skip(80).for_each(|client| client.try_send("GET /api/"));
@@ -374,9 +377,9 @@
     let mut client = gateway.client();
     assert!(client.ask(&rpc("read", 2000)).ends_with("new"));
     assert_eq!(server.next().0, 0);
-    gateway.stand_still();
+    gateway.pause();
     client.send(&rpc("read", 2000)); // the gateway reads this first
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
     gateway.signal("-CONT");
     assert!(client.answer().unwrap().ends_with("new"));
     assert_eq!(server.next().0, 1, "on a new connection");
@@ -387,14 +390,14 @@
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
     let more = format!("\"limits\":{{\"memory_mb\":1}},\"known\":{known},");
-    let gateway = Program::start(BIN, nowhere(), &more, &settings(""));
+    let gateway = Program::start(BIN, refusing_address(), &more, &settings(""));
     let incomplete = rpc("submit", 2000).replace(
         "Content-Length: 4\r\n\r\nbody",
         &format!("Content-Length: 65536\r\n\r\n{}", "x".repeat(60_000)),
     );
     let mut clients: Vec<_> = (0..10).map(|_| gateway.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&incomplete));
-    gateway.line("\"no-memory\"");
+    gateway.wait_for_line("\"no-memory\"");
     drop(clients);
     let served = |_| gateway.client().try_ask(&rpc("read", 2000)).is_some_and(|got| status(&got) == 200);
     assert!((0..100_000).any(served), "memory is available again");
@@ -421,12 +424,12 @@
     let mut client = gateway.client();
     assert_eq!(status(&client.ask(&rpc("read", 2000))), 200);
     server.next();
-    gateway.stand_still();
+    gateway.pause();
     client.send(&rpc("verify", 2000));
     std::thread::sleep(std::time::Duration::from_millis(700)); // counts against the deadline
     gateway.signal("-CONT");
     assert_eq!(status(&client.answer().unwrap()), 200);
-    let wait_ms = told_wait_ms(&server.next().1);
+    let wait_ms = remaining_ms_header(&server.next().1);
     assert!(wait_ms < 1600, "{wait_ms} ms are left of 2000, although 700 ms have passed");
 }
 
@@ -456,8 +459,9 @@
 fn discovery_and_counter_addresses_change_on_sighup_without_losing_rpcs() {
     let server = Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { answer(200, "", "on") });
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let (old_discovery, new_discovery) = (Peer::new(|_, _| say(WATCH)), Peer::new(|_, _| say(WATCH)));
-    let counter = || Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
+    let (old_discovery, new_discovery) =
+        (Peer::new(|_, _| raw_reply(WATCH_HEAD)), Peer::new(|_, _| raw_reply(WATCH_HEAD)));
+    let counter = || Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
     let (old_counter, new_counter) = (counter(), counter());
     let more = format!("\"counter\":\"{}\",\"known\":{known},", old_counter.address);
     let settings = settings("\"extra\":{\"hasCounter\":true,\"countWait\":5.0,\"largest\":8},");
@@ -471,23 +475,23 @@
             && old_discovery.next().1.contains("from=3")
     );
     // A file that can't be parsed changes nothing.
-    gateway.rewrite("{\"discovery\":");
+    gateway.rewrite_config("{\"discovery\":");
     gateway.signal("-HUP");
-    gateway.line("\"configuration kept\"");
+    gateway.wait_for_line("\"configuration kept\"");
     let more = format!("\"counter\":\"{}\",", new_counter.address);
-    gateway.rewrite(&gateway.config(new_discovery.address, &more, &settings));
+    gateway.rewrite_config(&gateway.config(new_discovery.address, &more, &settings));
     gateway.signal("-HUP");
     assert!(new_discovery.next().1.contains("from=3"), "the current list is kept");
-    assert!(gateway.line("\"list\"").contains("\"moved\""));
-    assert!(gateway.line("\"counter\"").contains("\"moved\""));
+    assert!(gateway.wait_for_line("\"list\"").contains("\"moved\""));
+    assert!(gateway.wait_for_line("\"counter\"").contains("\"moved\""));
     assert!(gateway.client().ask(&request("verify")).ends_with("on"));
     let next = new_counter.next();
     assert!(next.1.starts_with("INCRTTL "), "expected the next call, got {next:?}");
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
     let answer = held.answer().unwrap();
     assert!(answer.ends_with("held"), "expected the answer to the RPC in flight, got {answer}");
-    new_discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "gone")])));
-    gateway.line("\"server-gone\"");
+    new_discovery.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "gone")])));
+    gateway.wait_for_line("\"server-gone\"");
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! Setup shared by the tests that run the gateway as a process.
 
-use standins::scripted::{Peer, Program, WATCH, list, say, settings};
+use standins::scripted::{Peer, Program, WATCH_HEAD, list, raw_reply, settings};
 
 pub const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
 
@@ -23,5 +23,5 @@
 
 /// A discovery service that accepts watches and sends only what the test tells it to.
 pub fn discovery_peer() -> Peer {
-    Peer::new(|_, _| say(WATCH))
+    Peer::new(|_, _| raw_reply(WATCH_HEAD))
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -1,7 +1,9 @@
 //! One system call in fifty fails in a way that Linux documents: every request is answered within its deadline, and
 //! at least 95% succeed. Also: a lost wake-up on a signal, and a standard error that can't be written.
 
-use standins::scripted::{Client, Peer, Program, WATCH, answer, entry, list, rpc, say, settings, status};
+use standins::scripted::{
+    Client, Peer, Program, WATCH_HEAD, answer, entry, list, raw_reply, rpc, settings, status,
+};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::Command;
@@ -76,7 +78,7 @@
 
 fn check_one_call_in_fifty_failing(seed: u64) {
     let servers: Vec<Peer> = (0..4).map(|_| Peer::new(|_, _| answer(200, "", "served"))).collect();
-    let discovery = Peer::new(|_, _| say(WATCH));
+    let discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
     let report = std::env::temp_dir().join(format!("martenramp-faults-{}-{seed}.txt", std::process::id()));
     let mut gateway = start_with_faults(&discovery, &servers.iter().collect::<Vec<_>>(), seed, 0.02, &report);
     let address = gateway.address;
@@ -124,7 +126,7 @@
 fn signal_whose_wake_up_is_lost_still_stops_the_process() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let (discovery, report) =
-        (Peer::new(|_, _| say(WATCH)), std::env::temp_dir().join("martenramp-no-report"));
+        (Peer::new(|_, _| raw_reply(WATCH_HEAD)), std::env::temp_dir().join("martenramp-no-report"));
     let mut command = Command::new(BIN);
     command.env("LD_PRELOAD", fault_library()).env("MARTENRAMP_FAULTS", "seed=1,rate=1,only=wakes");
     command.env("MARTENRAMP_FAULTS_REPORT", &report);
@@ -132,7 +134,7 @@
     let more = format!("\"known\":{known},");
     let mut gateway = Program::run(&mut command, discovery.address, &more, &settings(""));
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     assert!(gateway.child.wait().unwrap().success());
     let _ = std::fs::remove_file(report);
 }
@@ -177,7 +179,7 @@
 
 /// Connects to a process as soon as it listens, without its log, which can't be read.
 fn connect_when_listening(address: std::net::SocketAddr) -> Client {
-    let deadline = Instant::now() + standins::scripted::PATIENCE;
+    let deadline = Instant::now() + standins::scripted::WAIT_TIMEOUT;
     while std::net::TcpStream::connect(address).is_err() {
         assert!(Instant::now() < deadline, "no process listens at {address}");
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -2,7 +2,7 @@
 //! slow start is based on when this process saw the server appear.
 
 use standins::scripted::{
-    Client, Peer, Program, answer, chunk, entry, list, rpc, settings, status, told_wait_ms,
+    Client, Peer, Program, answer, chunk, entry, list, remaining_ms_header, rpc, settings, status,
 };
 use std::path::PathBuf;
 use std::process::Command;
@@ -99,8 +99,8 @@
     stepped.count_answered_by("old");
     let new = named_server("new");
     let started_ms = stepped.step(ahead_ms);
-    discovery.tell(0, &chunk(&list(4, false, &[listed_since("s1", &new, started_ms)])));
-    stepped.gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &[listed_since("s1", &new, started_ms)])));
+    stepped.gateway.wait_until_processed();
     let cold = stepped.count_answered_by("new");
     std::thread::sleep(Duration::from_secs(2)); // until it is warm
     (cold, stepped.count_answered_by("new"))
@@ -129,7 +129,7 @@
         stepped.step(ahead_ms);
         let sent_at = std::time::Instant::now();
         client.send(&rpc("verify", 700));
-        let wait_ms = told_wait_ms(&server.next().1);
+        let wait_ms = remaining_ms_header(&server.next().1);
         assert!((600..=700).contains(&wait_ms), "{wait_ms} ms sent to the server");
         let got = status(&client.answer().expect("an answer"));
         assert!(matches!(got, 502 | 504), "{got}");
--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -2,12 +2,12 @@
 
 use crate::ScaleError;
 use rig::Stream;
-use rig::front::{Behaviour, Call, Customer, Front, Method, Plan};
+use rig::load_generator::{ClientBehaviour, ClientRpc, Customer, LoadGenerator, LoadProfile, Method};
 use serde_json::json;
 use standins::discovery::{Discovery, Entry};
 use standins::process::Program;
 use standins::reactor::{Clock, Handle};
-use standins::servers::{Servers, Spec};
+use standins::servers::{ServerSpec, Servers};
 use standins::{MS, Nanos, SEC, nanos};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -85,7 +85,7 @@
     clock: Clock,
     servers: Handle<Servers>,
     discovery: Handle<Discovery>,
-    front: Handle<Front>,
+    front: Handle<LoadGenerator>,
     entries: Vec<Entry>,
     /// Ends its process when dropped.
     _gateway: Option<Program>,
@@ -101,10 +101,10 @@
 
 impl Run<'_> {
     /// Plays it and brings back the RPCs that were due in the measured part.
-    pub fn play(&self) -> Result<Vec<Call>, ScaleError> {
+    pub fn play(&self) -> Result<Vec<ClientRpc>, ScaleError> {
         let fleet = self.set_up().map_err(failed)?;
         fleet.wait_ready(if self.path == Path::Direct { SERVERS } else { 1 })?;
-        fleet.front.with(|front, io| front.run(io, true));
+        fleet.front.with(|front, io| front.set_running(io, true));
         let from = fleet.clock.now() + WARM;
         let to = from + nanos(self.seconds);
         fleet.sleep_until(from);
@@ -117,18 +117,18 @@
             }
         }
         fleet.sleep_until(to);
-        fleet.front.with(|front, io| front.run(io, false));
+        fleet.front.with(|front, io| front.set_running(io, false));
         fleet.sleep_until(to + nanos(DEADLINE_SECONDS).min(SEC));
-        let calls = fleet.front.with(|front, _| std::mem::take(&mut front.calls));
-        Ok(calls.into_iter().filter(|call| (from..to).contains(&call.due)).collect())
+        let calls = fleet.front.with(|front, _| std::mem::take(&mut front.rpcs));
+        Ok(calls.into_iter().filter(|call| (from..to).contains(&call.scheduled_at)).collect())
     }
 
     fn set_up(&self) -> std::io::Result<Fleet> {
         let clock = Clock::start();
-        let servers = Handle::start(Servers::new(rig::chance(self.seed, Stream::Servers)), clock)?;
+        let servers = Handle::start(Servers::new(rig::stream_rng(self.seed, Stream::Servers)), clock)?;
         let discovery = Handle::start(Discovery::default(), clock)?;
         let width = if self.path == Path::Direct { SERVERS } else { 1 };
-        let front = Front::new(plan(self.rate, width), rig::chance(self.seed, Stream::Arrivals));
+        let front = LoadGenerator::new(plan(self.rate, width), rig::stream_rng(self.seed, Stream::Arrivals));
         let front = Handle::start(front, clock)?;
         let mut entries = Vec::new();
         for number in 0..SERVERS {
@@ -137,22 +137,24 @@
             let (_, address) = servers.with(move |servers, io| servers.add(io, spec, true))?;
             let entry = Entry { name, address, zone, status: "ready", weight: 1.0, since_ms: 0 };
             entries.push(entry.clone());
-            discovery.with(move |discovery, io| discovery.change(io, entry));
+            discovery.with(move |discovery, io| discovery.publish(io, entry));
         }
         let gateway = match self.path {
             Path::Direct => {
                 let addresses: Vec<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
-                front.with(move |front, io| addresses.iter().for_each(|address| front.add(io, *address)));
+                front.with(move |front, io| {
+                    addresses.iter().for_each(|address| front.add_gateway(io, *address))
+                });
                 None
             }
             Path::Gateway => {
                 let agent =
-                    discovery.with(|discovery, io| discovery.agent(io, any_port(5), BTreeMap::new()))?;
+                    discovery.with(|discovery, io| discovery.add_agent(io, any_port(5), BTreeMap::new()))?;
                 let mut program =
                     Program::spawn(&mut Command::new(self.program), &configuration(agent, self.seed))?;
                 program.wait_started();
                 let address = program.address;
-                front.with(move |front, io| front.add(io, address));
+                front.with(move |front, io| front.add_gateway(io, address));
                 Some(program)
             }
         };
@@ -167,7 +169,7 @@
 
     fn wait_ready(&self, count: usize) -> Result<(), ScaleError> {
         let until = self.clock.now() + READY_WITHIN;
-        while self.front.with(|front, _| front.admitted()) < count {
+        while self.front.with(|front, _| front.admitted_gateways()) < count {
             if self.clock.now() > until {
                 return Err(ScaleError::Measurement {
                     what: "starting the gateway".to_string(),
@@ -181,7 +183,7 @@
 
     fn tell(&self, entry: &Entry, status: &'static str) {
         let entry = Entry { status, ..entry.clone() };
-        self.discovery.with(move |discovery, io| discovery.change(io, entry));
+        self.discovery.with(move |discovery, io| discovery.publish(io, entry));
     }
 
     fn change_until(&self, to: Nanos) {
@@ -206,25 +208,25 @@
     }
 }
 
-fn spec(number: usize) -> Spec {
-    Spec {
+fn spec(number: usize) -> ServerSpec {
+    ServerSpec {
         name: format!("server-{number}"),
         zone: ZONES[number % ZONES.len()].to_string(),
         weight: 1.0,
         cores: CORES,
-        queue: CORES,
-        connections: 4 * CORES,
-        service: SERVICE,
-        spread: SERVICE_SIGMA,
+        queue_limit: CORES,
+        max_connections: 4 * CORES,
+        median_service: SERVICE,
+        service_sigma: SERVICE_SIGMA,
         cold_share: 1.0,
-        cold_for: 0,
-        reports: true,
+        warmup: 0,
+        reports_load: true,
         body_bytes: 2,
         address: any_port(4),
     }
 }
 
-fn plan(rate: f64, width: usize) -> Plan {
+fn plan(rate: f64, width: usize) -> LoadProfile {
     let method = Method {
         name: "read".to_string(),
         idempotency: "free".to_string(),
@@ -232,14 +234,14 @@
         share: 1.0,
         units: 1.0,
     };
-    let customer = Customer { share: 1.0, first: 0, width };
-    Plan {
+    let customer = Customer { share: 1.0, first_gateway: 0, gateway_count: width };
+    LoadProfile {
         rate,
         plan: "team".to_string(),
         methods: vec![method],
         customers: vec![customer; CUSTOMERS],
-        notice: 500 * MS,
-        behaviour: Behaviour::default(),
+        detection_delay: 500 * MS,
+        behaviour: ClientBehaviour::default(),
     }
 }
 
