--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -28,11 +28,11 @@
 use std::time::Duration;
 
 /// How long the whole fleet may take to become ready.
-const READY_WITHIN: Nanos = 60 * SEC;
+const READY_TIMEOUT: Nanos = 60 * SEC;
 /// How long RPCs may still be answered after the last arrival, and a gateway may take to end.
-const LINGER: Nanos = 8 * SEC;
+const DRAIN_TIMEOUT: Nanos = 8 * SEC;
 /// The limit of memory that every gateway is told.
-const MEMORY_MB: u32 = 64;
+const MEMORY_LIMIT_MB: u32 = 64;
 
 /// What a run brought.
 pub struct RunResult {
@@ -88,19 +88,19 @@
 struct Gateway {
     number: usize,
     /// Of the fleet as this gateway is told.
-    fleet: usize,
+    fleet_size: usize,
     discovery: SocketAddr,
     counter: SocketAddr,
     listen: SocketAddr,
     /// Where it sends what all others are to hear; the version it is told, and when that starts (Unix ms).
-    all: SocketAddr,
+    broadcast_address: SocketAddr,
     version: u64,
-    starts_ms: u64,
+    version_starts_ms: u64,
     program: Option<Program>,
     /// When this process was told to end first.
-    told_to_end: Option<Nanos>,
+    term_sent_at: Option<Nanos>,
     starts: usize,
-    lines: Vec<String>,
+    log_lines: Vec<String>,
 }
 
 struct Fleet<'a> {
@@ -111,41 +111,41 @@
     discovery: Handle<Discovery>,
     counter: Handle<Counter>,
     relays: Handle<Relays>,
-    front: Handle<LoadGenerator>,
+    load_generator: Handle<LoadGenerator>,
     gateways: Vec<Gateway>,
     /// As discovery lists them, and since when each has been ready.
-    listed: Vec<Entry>,
-    weights: Vec<ServerHistory>,
+    entries: Vec<Entry>,
+    server_histories: Vec<ServerHistory>,
     /// Links by the faults that they stand for and whom they lead to, and the links of each fault.
     links: BTreeMap<(Vec<usize>, String), (usize, SocketAddr)>,
-    links_of: BTreeMap<usize, Vec<usize>>,
-    seeds: ChaCha8Rng,
-    at_counter: SocketAddr,
-    servers_at: SocketAddr,
+    links_by_fault: BTreeMap<usize, Vec<usize>>,
+    seed_rng: ChaCha8Rng,
+    counter_address: SocketAddr,
+    servers_address: SocketAddr,
     crashed: Vec<String>,
     killed: Vec<(usize, Nanos)>,
     list_changes: Vec<ListChange>,
-    steps_done: BTreeMap<String, usize>,
+    step_counts: BTreeMap<String, usize>,
 }
 
 /// Plays a scenario with this program.
 pub fn run_scenario(scenario: &Scenario, program: &Path) -> Result<RunResult, String> {
     let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
-    let mut fleet = Fleet::set_up(scenario, program).map_err(fail)?;
+    let mut fleet = Fleet::new(scenario, program).map_err(fail)?;
     let all: Vec<usize> = (0..scenario.gateways).collect();
     for number in &all {
         fleet.add_gateway(*number, scenario.gateways).map_err(fail)?;
     }
-    fleet.start(&all)?;
-    fleet.wait_ready(all.len())?;
+    fleet.start_gateways(&all)?;
+    fleet.wait_until_ready(all.len())?;
     let start = fleet.clock.now();
-    fleet.front.with(|front, io| front.set_running(io, true));
+    fleet.load_generator.with(|front, io| front.set_running(io, true));
     let from = start + nanos(scenario.warm_seconds);
     let to = from + nanos(scenario.seconds);
     let mut draws = stream_rng(scenario.seed, Stream::Script);
     let mut steps: Vec<TimedStep> = Vec::new();
     for (number, fault) in scenario.faults.iter().enumerate() {
-        let planned = fleet.steps(fault, number, &mut draws).into_iter();
+        let planned = fleet.plan_steps(fault, number, &mut draws).into_iter();
         steps.extend(planned.map(|step| TimedStep { at: from + step.at, ..step }));
     }
     // What a step puts off (a drained server that goes) joins the queue; equal times keep their order.
@@ -157,19 +157,19 @@
         }
         fleet.sleep_until(next.at);
         fleet.count_step(&next.step);
-        steps.extend(fleet.carry_out(next.step)?);
+        steps.extend(fleet.execute(next.step)?);
     }
     fleet.sleep_until(to);
-    fleet.front.with(|front, io| front.set_running(io, false));
-    let until = fleet.clock.now() + LINGER;
-    while fleet.front.with(|front, _| front.open_rpcs()) > 0 && fleet.clock.now() < until {
+    fleet.load_generator.with(|front, io| front.set_running(io, false));
+    let until = fleet.clock.now() + DRAIN_TIMEOUT;
+    while fleet.load_generator.with(|front, _| front.open_rpcs()) > 0 && fleet.clock.now() < until {
         fleet.sleep_until(fleet.clock.now() + 50 * MS);
     }
     Ok(fleet.finish(from, to))
 }
 
 impl<'a> Fleet<'a> {
-    fn set_up(scenario: &'a Scenario, program: &'a Path) -> std::io::Result<Fleet<'a>> {
+    fn new(scenario: &'a Scenario, program: &'a Path) -> std::io::Result<Fleet<'a>> {
         let clock = Clock::start();
         let seed = scenario.seed;
         let methods = scenario.load.methods.iter().map(|method| Method {
@@ -183,7 +183,7 @@
             rate: scenario.load.rate * scenario.gateways as f64,
             plan: scenario.load.plan.clone(),
             methods: methods.collect(),
-            customers: customers(scenario, scenario.gateways),
+            customers: draw_customers(scenario, scenario.gateways),
             detection_delay: nanos(scenario.load.notice),
             behaviour: scenario.load.behaviour(),
         };
@@ -195,35 +195,38 @@
             discovery: Handle::start(Discovery::default(), clock)?,
             counter: Handle::start(Counter::new(nanos(scenario.counter.cost_us / 1e6)), clock)?,
             relays: Handle::start(Relays::new(stream_rng(seed, Stream::Links)), clock)?,
-            front: Handle::start(LoadGenerator::new(plan, stream_rng(seed, Stream::Arrivals)), clock)?,
+            load_generator: Handle::start(
+                LoadGenerator::new(plan, stream_rng(seed, Stream::Arrivals)),
+                clock,
+            )?,
             gateways: Vec::new(),
-            listed: Vec::new(),
-            weights: Vec::new(),
+            entries: Vec::new(),
+            server_histories: Vec::new(),
             links: BTreeMap::new(),
-            links_of: BTreeMap::new(),
-            seeds: stream_rng(seed, Stream::Seeds),
+            links_by_fault: BTreeMap::new(),
+            seed_rng: stream_rng(seed, Stream::Seeds),
             crashed: Vec::new(),
             killed: Vec::new(),
             list_changes: Vec::new(),
-            steps_done: BTreeMap::new(),
-            at_counter: loopback::COUNTER,
-            servers_at: loopback::next_server_address(),
+            step_counts: BTreeMap::new(),
+            counter_address: loopback::COUNTER,
+            servers_address: loopback::next_server_address(),
         };
-        fleet.at_counter = fleet.counter.with(|counter, io| counter.open(io, loopback::COUNTER))?;
+        fleet.counter_address = fleet.counter.with(|counter, io| counter.open(io, loopback::COUNTER))?;
         for group in &scenario.servers {
             for _ in 0..group.count {
                 let number = fleet.add_server(group, true)?;
-                fleet.list(number, "ready");
+                fleet.set_status(number, "ready");
             }
         }
         Ok(fleet)
     }
 
-    fn wait_ready(&mut self, count: usize) -> Result<(), String> {
-        let until = self.clock.now() + READY_WITHIN;
-        while self.front.with(|front, _| front.admitted_gateways()) < count {
+    fn wait_until_ready(&mut self, count: usize) -> Result<(), String> {
+        let until = self.clock.now() + READY_TIMEOUT;
+        while self.load_generator.with(|front, _| front.admitted_gateways()) < count {
             if self.clock.now() > until {
-                let ready = self.front.with(|front, _| front.admitted_gateways());
+                let ready = self.load_generator.with(|front, _| front.admitted_gateways());
                 return Err(format!("only {ready} of {count} gateways were ready within a minute"));
             }
             self.sleep_until(self.clock.now() + 20 * MS);
@@ -239,7 +242,7 @@
         for gateway in 0..self.gateways.len() {
             let at = &mut self.gateways[gateway];
             if let Some(program) = &mut at.program {
-                let asked = at.told_to_end.is_some();
+                let asked = at.term_sent_at.is_some();
                 if let Some(how) = program.ended().filter(|how| !(asked && how.success())) {
                     self.crashed.push(format!("n{} ended by itself with {how:?}", at.number));
                 } else if program.ended().is_none() {
@@ -247,12 +250,12 @@
                 }
             }
         }
-        (0..self.gateways.len()).for_each(|gateway| self.end(gateway, true));
+        (0..self.gateways.len()).for_each(|gateway| self.wait_for_exit(gateway, true));
         let (ledger, connections) = self.servers.with(|servers, _| {
             (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connections))
         });
         let (calls, extra_answers, sent_again) = self
-            .front
+            .load_generator
             .with(|front, _| (std::mem::take(&mut front.rpcs), front.unexpected_answers, front.resent_rpcs));
         let classes = self.scenario.load.methods.iter();
         let first = self.scenario.faults.iter().map(|fault| nanos(fault.at())).min();
@@ -264,16 +267,16 @@
             open_connections: connections,
             client_rpcs: calls,
             unexpected_answers: extra_answers,
-            servers: self.weights,
+            servers: self.server_histories,
             methods: classes
                 .map(|method| (method.name.clone(), self.scenario.idempotency(&method.name) == "free"))
                 .collect(),
             starts: self.gateways.iter().map(|gateway| gateway.starts).collect(),
-            log_lines: self.gateways.into_iter().map(|gateway| gateway.lines).collect(),
+            log_lines: self.gateways.into_iter().map(|gateway| gateway.log_lines).collect(),
             crashed: self.crashed,
             killed: self.killed,
             list_changes: self.list_changes,
-            step_counts: self.steps_done,
+            step_counts: self.step_counts,
             resent_rpcs: sent_again,
             counter_calls: self.counter.with(|counter, _| counter.calls),
             list_bytes: self.discovery.with(|discovery, _| discovery.told_bytes),
@@ -282,7 +285,7 @@
 }
 
 /// Customers with shares drawn by the seed, their sets spread round the fleet.
-fn customers(scenario: &Scenario, gateways: usize) -> Vec<Customer> {
+fn draw_customers(scenario: &Scenario, gateways: usize) -> Vec<Customer> {
     let mut draws = stream_rng(scenario.seed, Stream::Arrivals);
     let shares = LogNormal::new(0.0, scenario.load.skew.max(0.0)).ok();
     let one = |_| Customer {
--- a/crates/rig/src/fleet/gateways.rs
+++ b/crates/rig/src/fleet/gateways.rs
@@ -1,6 +1,6 @@
 //! The processes under test: their configuration, their start and their end.
 
-use super::{Fleet, Gateway, LINGER, MEMORY_MB};
+use super::{DRAIN_TIMEOUT, Fleet, Gateway, MEMORY_LIMIT_MB};
 use crate::loopback;
 use crate::scenario::{Fault, Place};
 use rand::Rng;
@@ -14,13 +14,13 @@
     /// A gateway more, told that the fleet has so many; not yet started.
     pub(super) fn add_gateway(&mut self, number: usize, fleet: usize) -> std::io::Result<()> {
         let mut seen_at = BTreeMap::new();
-        for (server, entry) in self.listed.clone().into_iter().enumerate() {
+        for (server, entry) in self.entries.clone().into_iter().enumerate() {
             let faults = self.faults_between(number, |place| match place {
                 Place::Servers(range) => range.contains(&server),
                 Place::Zone(zone) => entry.zone == *zone,
                 _ => false,
             });
-            let at = self.through(faults, &entry.name, entry.address)?;
+            let at = self.link_address(faults, &entry.name, entry.address)?;
             if at != entry.address {
                 seen_at.insert(entry.name, at);
             }
@@ -28,24 +28,24 @@
         let agent =
             self.discovery.with(move |discovery, io| discovery.agent(io, loopback::DISCOVERY, seen_at))?;
         let faults = self.faults_between(number, |place| *place == Place::Discovery);
-        let discovery = self.through(faults, &format!("discovery of {number}"), agent)?;
+        let discovery = self.link_address(faults, &format!("discovery of {number}"), agent)?;
         let faults = self.faults_between(number, |place| *place == Place::Counter);
-        let counter = self.through(faults, "counter", self.at_counter)?;
+        let counter = self.link_address(faults, "counter", self.counter_address)?;
         let listen = loopback::GATEWAYS;
         let (_, all) = self.relays.with(|relays, io| relays.member(io, loopback::BROADCAST_RELAY))?;
         self.gateways.push(Gateway {
             number,
-            fleet,
+            fleet_size: fleet,
             discovery,
             counter,
             listen,
-            all,
+            broadcast_address: all,
             version: 1,
-            starts_ms: 0,
+            version_starts_ms: 0,
             program: None,
-            told_to_end: None,
+            term_sent_at: None,
             starts: 0,
-            lines: Vec::new(),
+            log_lines: Vec::new(),
         });
         Ok(())
     }
@@ -54,7 +54,7 @@
         let at = &self.gateways[gateway];
         let mut settings = serde_json::to_value(&self.scenario.settings).unwrap_or_default();
         let twin = self.scenario.same_number.iter().find(|pair| pair.1 == at.number);
-        settings["balancers"] = json!(self.scenario.told_gateways.unwrap_or(at.fleet));
+        settings["balancers"] = json!(self.scenario.told_gateways.unwrap_or(at.fleet_size));
         settings["me"] = json!(twin.map_or(at.number, |pair| pair.0));
         settings["zone"] = json!(at.number % self.scenario.zones.len());
         settings["localities"] = json!(self.scenario.zones);
@@ -62,15 +62,15 @@
         let known = self.discovery.with(move |discovery, _| discovery.known(number));
         let mut told = json!({"name": format!("n{}", at.number), "listen": at.listen.to_string(),
             "discovery": at.discovery.to_string(), "counter": at.counter.to_string(),
-            "seed": format!("{:016x}", self.seeds.random::<u64>()),
-            "limits": {"sockets": self.scenario.sockets, "memory_mb": MEMORY_MB},
+            "seed": format!("{:016x}", self.seed_rng.random::<u64>()),
+            "limits": {"sockets": self.scenario.sockets, "memory_mb": MEMORY_LIMIT_MB},
             "known": serde_json::from_str::<Value>(&known).unwrap_or_default(), "settings": settings});
         if let Some(terms) = &self.scenario.agreement {
             let grows = |fault: &Fault| if let Fault::Grow { count, .. } = fault { *count } else { 0 };
             let largest = self.scenario.gateways + self.scenario.faults.iter().map(grows).sum::<usize>();
             told["peer_listen"] = json!(loopback::PEERS.to_string());
-            told["peers_all"] = json!(at.all.to_string());
-            told["agreement"] = json!({"version": at.version, "starts_ms": at.starts_ms, "lease": terms.lease,
+            told["peers_all"] = json!(at.broadcast_address.to_string());
+            told["agreement"] = json!({"version": at.version, "starts_ms": at.version_starts_ms, "lease": terms.lease,
                 "clock": terms.clock, "ground": {"gateways": largest}});
         }
         told.to_string()
@@ -89,13 +89,13 @@
     }
 
     /// Starts processes and waits until each says that it has; new ones are shown to the front.
-    pub(super) fn start(&mut self, which: &[usize]) -> Result<(), String> {
+    pub(super) fn start_gateways(&mut self, which: &[usize]) -> Result<(), String> {
         for gateway in which {
             let text = self.configuration(*gateway);
             let program = Program::spawn(&mut self.command(*gateway), &text);
             let program = program.map_err(|e| format!("can't start {}: {e}", self.program.display()))?;
             let at = &mut self.gateways[*gateway];
-            (at.program, at.starts, at.told_to_end) = (Some(program), at.starts + 1, None);
+            (at.program, at.starts, at.term_sent_at) = (Some(program), at.starts + 1, None);
         }
         for gateway in which {
             let fresh = self.gateways[*gateway].listen.port() == 0;
@@ -108,19 +108,19 @@
             self.gateways[*gateway].listen = listen;
             if fresh {
                 let faults = self.faults_between(*gateway, |place| *place == Place::LoadGenerator);
-                let at = self.through(faults, &format!("gateway {gateway}"), listen);
+                let at = self.link_address(faults, &format!("gateway {gateway}"), listen);
                 let at = at.map_err(|e| format!("can't set a link up: {e}"))?;
-                self.front.with(move |front, io| front.add_gateway(io, at));
+                self.load_generator.with(move |front, io| front.add_gateway(io, at));
             }
         }
         Ok(())
     }
 
     /// Waits for a process that was told to end (`asked`: by SIGTERM, so with 0) and keeps its log lines.
-    pub(super) fn end(&mut self, gateway: usize, asked: bool) {
+    pub(super) fn wait_for_exit(&mut self, gateway: usize, asked: bool) {
         let at = &mut self.gateways[gateway];
         let Some(mut program) = at.program.take() else { return };
-        let until = self.clock.now() + LINGER;
+        let until = self.clock.now() + DRAIN_TIMEOUT;
         while program.ended().is_none() && self.clock.now() < until {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -128,6 +128,6 @@
         if asked && how.is_none_or(|how| !how.success()) {
             self.crashed.push(format!("n{} ended with {how:?} after SIGTERM", at.number));
         }
-        at.lines.extend(program.lines_now());
+        at.log_lines.extend(program.lines_now());
     }
 }
--- a/crates/rig/src/fleet/links.rs
+++ b/crates/rig/src/fleet/links.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 impl Fleet<'_> {
-    fn zone(&self, gateway: usize) -> &str {
+    fn zone_of(&self, gateway: usize) -> &str {
         &self.scenario.zones[gateway % self.scenario.zones.len()]
     }
 
@@ -14,7 +14,7 @@
     pub(super) fn faults_between(&self, gateway: usize, covers: impl Fn(&Place) -> bool) -> Vec<usize> {
         let is_mine = |place: &Place| match place {
             Place::Gateways(range) => range.contains(&gateway),
-            Place::Zone(zone) => self.zone(gateway) == zone,
+            Place::Zone(zone) => self.zone_of(gateway) == zone,
             _ => false,
         };
         let between = |fault: &Fault| match fault {
@@ -29,7 +29,7 @@
     }
 
     /// Where to come to instead of `target`: a link that those faults are put on, shared by all who have the same.
-    pub(super) fn through(
+    pub(super) fn link_address(
         &mut self,
         faults: Vec<usize>,
         whom: &str,
@@ -43,7 +43,7 @@
             return Ok(link.1);
         }
         let link = self.relays.with(move |relays, io| relays.link(io, loopback::LINKS, target))?;
-        key.0.iter().for_each(|fault| self.links_of.entry(*fault).or_default().push(link.0));
+        key.0.iter().for_each(|fault| self.links_by_fault.entry(*fault).or_default().push(link.0));
         self.links.insert(key, link);
         Ok(link.1)
     }
--- a/crates/rig/src/fleet/servers.rs
+++ b/crates/rig/src/fleet/servers.rs
@@ -10,7 +10,7 @@
 impl Fleet<'_> {
     /// A server more, not yet told to anybody.
     pub(super) fn add_server(&mut self, group: &Group, warm: bool) -> std::io::Result<usize> {
-        let number = self.listed.len();
+        let number = self.entries.len();
         let zones = &self.scenario.zones;
         let spec = Spec {
             name: format!("s{number:04}"),
@@ -25,28 +25,28 @@
             cold_for: nanos(group.cold_seconds),
             reports: group.reports,
             body_bytes: group.body_bytes,
-            address: self.servers_at,
+            address: self.servers_address,
         };
         let (name, zone, weight) = (spec.name.clone(), spec.zone.clone(), spec.weight);
         let (_, at) = self.servers.with(move |servers, io| servers.add(io, spec, warm))?;
         let since_ms = if warm { 0 } else { self.clock.unix_ms(self.clock.now()) };
-        self.listed.push(Entry { name, address: at, zone, status: "gone", weight, since_ms });
-        self.weights.push(ServerHistory { weight, ready_spans: Vec::new() });
+        self.entries.push(Entry { name, address: at, zone, status: "gone", weight, since_ms });
+        self.server_histories.push(ServerHistory { weight, ready_spans: Vec::new() });
         Ok(number)
     }
 
     /// Lists a server anew, and notes since when it is ready, or no longer.
-    pub(super) fn list(&mut self, number: usize, status: &'static str) {
-        let entry = &mut self.listed[number];
+    pub(super) fn set_status(&mut self, number: usize, status: &'static str) {
+        let entry = &mut self.entries[number];
         entry.status = status;
         let entry = entry.clone();
         self.list_changes.push(ListChange { server: number, at: self.clock.now(), ready: status == "ready" });
         self.discovery.with(move |discovery, io| discovery.change(io, entry));
-        self.mark(number, status == "ready");
+        self.record_readiness(number, status == "ready");
     }
 
-    pub(super) fn mark(&mut self, number: usize, ready: bool) {
-        let (now, spans) = (self.clock.now(), &mut self.weights[number].ready_spans);
+    pub(super) fn record_readiness(&mut self, number: usize, ready: bool) {
+        let (now, spans) = (self.clock.now(), &mut self.server_histories[number].ready_spans);
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
         match (open, ready) {
             (None, true) => spans.push((now, Nanos::MAX)),
--- a/crates/rig/src/fleet/steps.rs
+++ b/crates/rig/src/fleet/steps.rs
@@ -1,7 +1,7 @@
 //! The steps of the script, carried out.
 
 use super::script::{Step, TimedStep};
-use super::{Fleet, customers};
+use super::{Fleet, draw_customers};
 use crate::{Nanos, SEC, nanos};
 use rustix::process::{PidfdFlags, Signal, kill_process, pidfd_open, pidfd_send_signal};
 use standins::discovery::Mode;
@@ -16,64 +16,66 @@
 const LEAVE_DRAIN: Nanos = SEC;
 /// A grown fleet's settings are the second version, and start so many leases after they are told.
 const GROWN_VERSION: u64 = 2;
-const GROWN_LEAD_LEASES: f64 = 3.0;
+const GROWN_START_DELAY_LEASES: f64 = 3.0;
 
-fn failed(e: std::io::Error) -> String {
+fn step_error(e: std::io::Error) -> String {
     format!("a step of the script failed: {e}")
 }
 
 impl Fleet<'_> {
     /// Carries a step out; what it puts off comes back with its time.
-    pub(super) fn carry_out(&mut self, step: Step) -> Result<Option<TimedStep>, String> {
+    pub(super) fn execute(&mut self, step: Step) -> Result<Option<TimedStep>, String> {
         match step {
             Step::Signal { gateways, signal } => self.signal(gateways, signal)?,
-            Step::Pause { gateways, time } => self.pause(&gateways, time)?,
-            Step::Throttle { gateways, time, core } => self.throttle(&gateways, time, core),
-            Step::KillLate { gateways, after } => self.kill_late(&gateways, after)?,
+            Step::Pause { gateways, duration: time } => self.pause(&gateways, time)?,
+            Step::Throttle { gateways, duration: time, core_share: core } => {
+                self.throttle(&gateways, time, core)
+            }
+            Step::KillLate { gateways, min_age: after } => self.kill_overdue(&gateways, after)?,
             Step::Reload { gateways } => self.reload(&gateways)?,
-            Step::Start { gateways, awaits_end } => {
+            Step::Start { gateways, wait_for_exit: awaits_end } => {
                 // Where faults overlap another one may have started it already: the script waits for nobody then.
                 let mut stands = |gateway: &usize| {
                     let at = &mut self.gateways[*gateway];
                     let ended = at.program.as_mut().is_none_or(|program| program.ended().is_some());
-                    ended || awaits_end && at.told_to_end.is_some()
+                    ended || awaits_end && at.term_sent_at.is_some()
                 };
                 let gateways: Vec<usize> = gateways.into_iter().filter(|gateway| stands(gateway)).collect();
-                gateways.iter().for_each(|gateway| self.end(*gateway, true));
-                self.start(&gateways)?;
+                gateways.iter().for_each(|gateway| self.wait_for_exit(*gateway, true));
+                self.start_gateways(&gateways)?;
             }
-            Step::Grow { count, share } => return self.grow(count, share).map(Some),
+            Step::Grow { count, share } => return self.add_gateways(count, share).map(Some),
             Step::PlaceCustomers => {
-                let customers = customers(self.scenario, self.gateways.len());
-                self.front.with(move |front, _| front.set_customers(customers));
+                let customers = draw_customers(self.scenario, self.gateways.len());
+                self.load_generator.with(move |front, _| front.set_customers(customers));
             }
-            Step::ReplaceServer { server, drain } => {
+            Step::ReplaceServer { server, drain_time: drain } => {
                 let gone = self.drain_server(server, drain);
-                self.join()?;
+                self.add_ready_server()?;
                 return Ok(Some(TimedStep { at: self.clock.now() + drain, ..gone }));
             }
-            Step::JoinServer => self.join()?,
+            Step::JoinServer => self.add_ready_server()?,
             Step::LeaveServer => {
-                let last = (0..self.listed.len()).rfind(|at| self.listed[*at].status == "ready");
+                let last = (0..self.entries.len()).rfind(|at| self.entries[*at].status == "ready");
                 return Ok(last.map(|last| self.drain_server(last, LEAVE_DRAIN)));
             }
             Step::ServerGone { server } => {
-                self.list(server, "gone");
+                self.set_status(server, "gone");
                 self.set_health(server, Health::Down)?;
             }
             Step::ServerHealth { servers, health } => self.change_health(servers, health)?,
             Step::ListServers { servers, status } => {
-                servers.into_iter().for_each(|server| self.list(server, status));
+                servers.into_iter().for_each(|server| self.set_status(server, status));
             }
             Step::Agents { agents, mode, versions_back } => self.set_agents(agents, mode, versions_back)?,
             Step::CounterState(state) => {
-                self.counter.with(move |counter, io| counter.become_(io, state)).map_err(failed)?;
+                self.counter.with(move |counter, io| counter.become_(io, state)).map_err(step_error)?;
             }
             Step::EmptyCounter => self.counter.with(|counter, _| counter.empty()),
             Step::Crowd { rate } => {
-                self.front.with(move |front, io| front.set_silent_connection_rate(io, rate))
+                self.load_generator.with(move |front, io| front.set_silent_connection_rate(io, rate))
             }
-            Step::Burst { factor } => self.front.with(move |front, _| front.set_rate_factor(factor)),
+            Step::Burst { factor } => self.load_generator.with(move |front, _| front.set_rate_factor(factor)),
             Step::Links { links, faults } => {
                 self.relays.with(move |relays, io| {
                     links.into_iter().for_each(|link| relays.set(io, link, faults));
@@ -98,7 +100,7 @@
             Step::CounterState(state) => format!(" {}", name(state)),
             _ => String::new(),
         };
-        *self.steps_done.entry(format!("{kind}{detail}")).or_default() += 1;
+        *self.step_counts.entry(format!("{kind}{detail}")).or_default() += 1;
     }
 
     fn signal(&mut self, gateways: Vec<usize>, signal: Signal) -> Result<(), String> {
@@ -108,13 +110,13 @@
                 continue; // another fault was first
             }
             let now = self.clock.now();
-            program.send(signal).map_err(failed)?;
+            program.send(signal).map_err(step_error)?;
             if signal == Signal::TERM {
-                self.gateways[gateway].told_to_end.get_or_insert(now);
+                self.gateways[gateway].term_sent_at.get_or_insert(now);
             }
             if signal == Signal::KILL {
                 self.killed.push((gateway, now));
-                self.end(gateway, false);
+                self.wait_for_exit(gateway, false);
             }
         }
         Ok(())
@@ -126,7 +128,7 @@
         for gateway in gateways {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             if program.ended().is_none() {
-                program.send(Signal::STOP).map_err(failed)?;
+                program.send(Signal::STOP).map_err(step_error)?;
                 paused.push(program.pid());
             }
         }
@@ -164,18 +166,18 @@
     }
 
     /// Kills those that were told to end and have not, and keeps the log of those that have.
-    fn kill_late(&mut self, gateways: &[usize], after: Nanos) -> Result<(), String> {
+    fn kill_overdue(&mut self, gateways: &[usize], after: Nanos) -> Result<(), String> {
         let now = self.clock.now();
         for gateway in gateways {
-            if self.gateways[*gateway].told_to_end.is_none_or(|told| now < told + after) {
+            if self.gateways[*gateway].term_sent_at.is_none_or(|told| now < told + after) {
                 continue; // it is another process than was told to end so long ago
             }
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             if program.ended().is_none() {
-                program.send(Signal::KILL).map_err(failed)?;
+                program.send(Signal::KILL).map_err(step_error)?;
                 let number = self.gateways[*gateway].number;
                 self.crashed.push(format!("n{number} was still running when it was killed"));
-                self.end(*gateway, false);
+                self.wait_for_exit(*gateway, false);
             }
         }
         Ok(())
@@ -187,65 +189,67 @@
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             if program.ended().is_none() {
                 program.rewrite(&text);
-                program.send(Signal::HUP).map_err(failed)?;
+                program.send(Signal::HUP).map_err(step_error)?;
             }
         }
         Ok(())
     }
 
     /// Starts so many more gateways, and tells a share of the old ones of the larger fleet; the customers follow later.
-    fn grow(&mut self, count: usize, share: f64) -> Result<TimedStep, String> {
+    fn add_gateways(&mut self, count: usize, share: f64) -> Result<TimedStep, String> {
         let was = self.gateways.len();
         let fleet = was + count;
         for number in was..fleet {
-            self.add_gateway(number, fleet).map_err(failed)?;
+            self.add_gateway(number, fleet).map_err(step_error)?;
         }
         // With versions the new one holds for all at once, and the front follows then.
-        let lead = self.scenario.agreement.as_ref().map(|terms| nanos(GROWN_LEAD_LEASES * terms.lease));
+        let lead =
+            self.scenario.agreement.as_ref().map(|terms| nanos(GROWN_START_DELAY_LEASES * terms.lease));
         let starts_ms = lead.map_or(0, |lead| self.clock.unix_ms(self.clock.now() + lead));
         let told_old = (was as f64 * share).round() as usize;
         for gateway in (0..told_old).chain(was..fleet) {
-            (self.gateways[gateway].version, self.gateways[gateway].starts_ms) = (GROWN_VERSION, starts_ms);
+            (self.gateways[gateway].version, self.gateways[gateway].version_starts_ms) =
+                (GROWN_VERSION, starts_ms);
         }
         for gateway in (0..told_old).filter(|gateway| *gateway < was) {
-            self.gateways[gateway].fleet = fleet;
+            self.gateways[gateway].fleet_size = fleet;
             let text = self.configuration(gateway);
             if let Some(program) = &self.gateways[gateway].program {
                 program.rewrite(&text);
-                program.send(Signal::HUP).map_err(failed)?;
+                program.send(Signal::HUP).map_err(step_error)?;
             }
         }
-        self.start(&(was..fleet).collect::<Vec<_>>())?;
+        self.start_gateways(&(was..fleet).collect::<Vec<_>>())?;
         let at = self.clock.now() + lead.map_or(0, |lead| 2 * lead);
         Ok(TimedStep { at, step: Step::PlaceCustomers })
     }
 
     /// Lists a server as draining; it is gone after that long.
     fn drain_server(&mut self, server: usize, drain: Nanos) -> TimedStep {
-        self.list(server, "draining");
+        self.set_status(server, "draining");
         TimedStep { at: self.clock.now() + drain, step: Step::ServerGone { server } }
     }
 
-    fn join(&mut self) -> Result<(), String> {
+    fn add_ready_server(&mut self) -> Result<(), String> {
         let group = self.scenario.servers[0].clone();
         let added = self.add_server(&group, false);
         let number = added.map_err(|e| format!("can't add a server: {e}"))?;
-        self.list(number, "ready");
+        self.set_status(number, "ready");
         Ok(())
     }
 
     fn set_health(&mut self, server: usize, health: Health) -> Result<(), String> {
-        self.servers.with(move |servers, io| servers.become_(io, server, health)).map_err(failed)
+        self.servers.with(move |servers, io| servers.become_(io, server, health)).map_err(step_error)
     }
 
     fn change_health(&mut self, servers: Vec<usize>, health: Health) -> Result<(), String> {
         for server in servers {
             self.set_health(server, health)?;
-            self.mark(server, health != Health::Down && health != Health::Silent);
+            self.record_readiness(server, health != Health::Down && health != Health::Silent);
             if health == Health::Well {
                 let since = self.servers.with(move |servers, _| servers.since(server));
                 let since_ms = if since == 0 { 0 } else { self.clock.unix_ms(since) };
-                self.listed[server].since_ms = since_ms;
+                self.entries[server].since_ms = since_ms;
             }
         }
         Ok(())
@@ -258,7 +262,7 @@
                 let to = (versions_back > 0).then(|| discovery.index().saturating_sub(versions_back));
                 discovery.set(io, agent, mode, to)
             });
-            set.map_err(failed)?;
+            set.map_err(step_error)?;
         }
         Ok(())
     }
--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -11,29 +11,29 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-const ARRIVAL: u64 = u64::MAX;
-const PROBES: u64 = u64::MAX - 1;
-const CROWD: u64 = u64::MAX - 2;
+const ARRIVAL_TIMER: u64 = u64::MAX;
+const PROBE_TIMER: u64 = u64::MAX - 1;
+const SILENT_CONNECTIONS_TIMER: u64 = u64::MAX - 2;
 /// Timers of one call carry its number and what is due: the end of its time unless one of these.
-const BEGIN: u64 = 1 << 60;
-const REST: u64 = 1 << 61;
-const LEAVE: u64 = 1 << 62;
-const READ_AGAIN: u64 = 1 << 59;
-const CALL_NUMBER: u64 = READ_AGAIN - 1;
+const FIRST_WRITE: u64 = 1 << 60;
+const SECOND_WRITE: u64 = 1 << 61;
+const ABANDON: u64 = 1 << 62;
+const RESUME_READING: u64 = 1 << 59;
+const RPC_INDEX_MASK: u64 = RESUME_READING - 1;
 /// A client that reads slowly reads nothing for so long at most.
-const READS_NOTHING_MOST: Nanos = 400 * MS;
+const MAX_READ_PAUSE: Nanos = 400 * MS;
 /// Silent connections are opened in steps of this, and what crosses in a crowd may be shut unread for so long after it.
-const CROWD_STEP: Nanos = 10 * MS;
-const CROWD_AFTER: Nanos = SEC;
+const SILENT_CONNECTIONS_INTERVAL: Nanos = 10 * MS;
+const FLOOD_AFTERMATH: Nanos = SEC;
 /// The front opens a connection at most so long before its first RPC.
-const EARLY_MOST: Nanos = 1_200 * MS;
+const MAX_EARLY_CONNECTION: Nanos = 1_200 * MS;
 /// The second piece of an RPC comes at most so long after the first.
-const PIECE_MOST: Nanos = 300 * MS;
-const PROBE_EVERY: Nanos = 100 * MS;
+const MAX_SECOND_WRITE_DELAY: Nanos = 300 * MS;
+const PROBE_INTERVAL: Nanos = 100 * MS;
 /// An RPC without an answer so long after its deadline is lost.
-const SLACK: Nanos = 500 * MS;
+const DEADLINE_SLACK: Nanos = 500 * MS;
 
-const REMAINING: &str = "X-Remaining-Ms: ";
+const REMAINING_HEADER: &str = "X-Remaining-Ms: ";
 
 /// A class of RPCs as the front sends it.
 #[derive(Clone, Debug)]
@@ -150,54 +150,54 @@
 struct Gateway {
     address: SocketAddr,
     state: GatewayState,
-    idle: Vec<Conn>,
+    idle_connections: Vec<Conn>,
     probe: Option<Conn>,
 }
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
+enum ConnectionUse {
     Probe,
     Idle,
-    Call(usize),
+    Rpc(usize),
     /// Opened to say nothing.
     Silent,
 }
 
 /// How far an RPC's message has been written.
 #[derive(Clone, Debug)]
-struct Message {
-    text: Vec<u8>,
+struct PendingRequest {
+    bytes: Vec<u8>,
     conn: Option<Conn>,
     /// Its connection was there before: a gateway may close it just as the message crosses.
-    rested: bool,
+    preexisting_conn: bool,
     /// The client closes it behind the answer.
-    fresh: bool,
-    written: bool,
-    again: bool,
+    close_after_answer: bool,
+    fully_written: bool,
+    resent: bool,
 }
 
 /// The open-loop load generator before the gateways.
 pub struct LoadGenerator {
-    plan: LoadProfile,
+    profile: LoadProfile,
     gateways: Vec<Gateway>,
-    conns: BTreeMap<Conn, (usize, Use)>,
+    connections: BTreeMap<Conn, (usize, ConnectionUse)>,
     /// Messages of the calls that are open.
-    messages: BTreeMap<usize, Message>,
+    pending: BTreeMap<usize, PendingRequest>,
     /// RPCs sent once more, since their connection was closed as they crossed.
     pub resent_rpcs: u64,
     /// All RPCs so far.
     pub rpcs: Vec<ClientRpc>,
-    chance: ChaCha8Rng,
-    customers: Option<WeightedIndex<f64>>,
-    methods: Option<WeightedIndex<f64>>,
-    next: Nanos,
+    rng: ChaCha8Rng,
+    customer_weights: Option<WeightedIndex<f64>>,
+    method_weights: Option<WeightedIndex<f64>>,
+    next_arrival: Nanos,
     running: bool,
-    factor: f64,
+    rate_factor: f64,
     /// Silent connections a second to each gateway, those that are owed by now, and until when they tell in its answers.
-    crowd: f64,
-    crowd_owed: f64,
-    crowded_until: Nanos,
+    silent_rate: f64,
+    silent_due: f64,
+    flooded_until: Nanos,
     /// Answers that came when none was owed.
     pub unexpected_answers: u64,
 }
@@ -208,21 +208,21 @@
         let customers = WeightedIndex::new(plan.customers.iter().map(|customer| customer.share)).ok();
         let methods = WeightedIndex::new(plan.methods.iter().map(|method| method.share)).ok();
         LoadGenerator {
-            plan,
+            profile: plan,
             gateways: Vec::new(),
-            conns: BTreeMap::new(),
-            messages: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            pending: BTreeMap::new(),
             resent_rpcs: 0,
             rpcs: Vec::new(),
-            chance,
-            customers,
-            methods,
-            next: 0,
+            rng: chance,
+            customer_weights: customers,
+            method_weights: methods,
+            next_arrival: 0,
             running: false,
-            factor: 1.0,
-            crowd: 0.0,
-            crowd_owed: 0.0,
-            crowded_until: 0,
+            rate_factor: 1.0,
+            silent_rate: 0.0,
+            silent_due: 0.0,
+            flooded_until: 0,
             unexpected_answers: 0,
         }
     }
@@ -230,9 +230,14 @@
     /// One more gateway, probed from now on.
     pub fn add_gateway(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
-            io.at(io.now(), PROBES);
+            io.at(io.now(), PROBE_TIMER);
         }
-        self.gateways.push(Gateway { address, state: GatewayState::Down, idle: Vec::new(), probe: None });
+        self.gateways.push(Gateway {
+            address,
+            state: GatewayState::Down,
+            idle_connections: Vec::new(),
+            probe: None,
+        });
     }
 
     /// Gateways that it sends to.
@@ -244,59 +249,59 @@
     pub fn set_running(&mut self, io: &mut Io, running: bool) {
         self.running = running;
         if running {
-            self.next = io.now();
-            io.at(self.next, ARRIVAL);
+            self.next_arrival = io.now();
+            io.at(self.next_arrival, ARRIVAL_TIMER);
         }
     }
 
     /// All arrivals come so many times as often.
     pub fn set_rate_factor(&mut self, factor: f64) {
-        self.factor = factor;
+        self.rate_factor = factor;
     }
 
     /// So many connections a second are opened to each gateway from now on, and nothing is said on them.
     pub fn set_silent_connection_rate(&mut self, io: &mut Io, rate: f64) {
-        let begins = self.crowd == 0.0 && rate > 0.0;
-        self.crowd = rate;
-        self.crowded_until = io.now() + CROWD_AFTER;
+        let begins = self.silent_rate == 0.0 && rate > 0.0;
+        self.silent_rate = rate;
+        self.flooded_until = io.now() + FLOOD_AFTERMATH;
         if begins {
-            io.at(io.now(), CROWD);
+            io.at(io.now(), SILENT_CONNECTIONS_TIMER);
         }
     }
 
-    fn open_silent(&mut self, io: &mut Io) {
-        if self.crowd == 0.0 {
-            let silent = self.conns.iter().filter(|(_, (_, what))| *what == Use::Silent);
+    fn open_silent_connections(&mut self, io: &mut Io) {
+        if self.silent_rate == 0.0 {
+            let silent = self.connections.iter().filter(|(_, (_, what))| *what == ConnectionUse::Silent);
             let silent: Vec<Conn> = silent.map(|(conn, _)| *conn).collect();
             for conn in silent {
-                self.conns.remove(&conn);
+                self.connections.remove(&conn);
                 io.close(conn);
             }
             return;
         }
-        self.crowded_until = io.now() + CROWD_AFTER;
-        self.crowd_owed += self.crowd * CROWD_STEP as f64 / SEC as f64;
-        while self.crowd_owed >= 1.0 {
-            self.crowd_owed -= 1.0;
+        self.flooded_until = io.now() + FLOOD_AFTERMATH;
+        self.silent_due += self.silent_rate * SILENT_CONNECTIONS_INTERVAL as f64 / SEC as f64;
+        while self.silent_due >= 1.0 {
+            self.silent_due -= 1.0;
             for gateway in 0..self.gateways.len() {
                 if let Ok(conn) = io.connect(self.gateways[gateway].address) {
-                    self.conns.insert(conn, (gateway, Use::Silent));
+                    self.connections.insert(conn, (gateway, ConnectionUse::Silent));
                 }
             }
         }
-        io.at(io.now() + CROWD_STEP, CROWD);
+        io.at(io.now() + SILENT_CONNECTIONS_INTERVAL, SILENT_CONNECTIONS_TIMER);
     }
 
     /// The customers' gateways go over to a fleet of another size.
     pub fn set_customers(&mut self, customers: Vec<Customer>) {
-        self.customers = WeightedIndex::new(customers.iter().map(|customer| customer.share)).ok();
-        self.plan.customers = customers;
+        self.customer_weights = WeightedIndex::new(customers.iter().map(|customer| customer.share)).ok();
+        self.profile.customers = customers;
     }
 
     /// RPCs that wait for their answers.
     pub fn open_rpcs(&self) -> usize {
         // One whose connection went before it was sent is among them: it is sent on another.
-        self.messages.len()
+        self.pending.len()
     }
 
     fn set_state(&mut self, gateway: usize, to: GatewayState) {
@@ -307,29 +312,29 @@
         }
     }
 
-    fn arrive(&mut self, io: &mut Io) {
-        while self.running && self.next <= io.now() {
-            let due = self.next;
-            let wait: f64 = Exp1.sample(&mut self.chance);
-            self.next += ((wait / (self.plan.rate * self.factor).max(1e-6)) * 1e9) as Nanos;
-            self.send(io, due);
+    fn send_due_arrivals(&mut self, io: &mut Io) {
+        while self.running && self.next_arrival <= io.now() {
+            let due = self.next_arrival;
+            let wait: f64 = Exp1.sample(&mut self.rng);
+            self.next_arrival += ((wait / (self.profile.rate * self.rate_factor).max(1e-6)) * 1e9) as Nanos;
+            self.send_rpc(io, due);
         }
         if self.running {
-            io.at(self.next, ARRIVAL);
+            io.at(self.next_arrival, ARRIVAL_TIMER);
         }
     }
 
-    fn send(&mut self, io: &mut Io, due: Nanos) {
-        let (Some(customers), Some(methods)) = (&self.customers, &self.methods) else { return };
-        let key = customers.sample(&mut self.chance);
-        let method = methods.sample(&mut self.chance);
-        let customer = self.plan.customers[key];
+    fn send_rpc(&mut self, io: &mut Io, due: Nanos) {
+        let (Some(customers), Some(methods)) = (&self.customer_weights, &self.method_weights) else { return };
+        let key = customers.sample(&mut self.rng);
+        let method = methods.sample(&mut self.rng);
+        let customer = self.profile.customers[key];
         let set = (0..customer.gateway_count).map(|at| (customer.first_gateway + at) % self.gateways.len());
         // Open connections are used until the gateway ends them, also of one that takes no new ones.
         let can = |at: &usize| {
             let gateway = &self.gateways[*at];
             gateway.state != GatewayState::Down
-                || gateway.idle.iter().any(|conn| self.conns.contains_key(conn))
+                || gateway.idle_connections.iter().any(|conn| self.connections.contains_key(conn))
         };
         let up: Vec<usize> = set.filter(can).collect();
         let now = io.clock().now();
@@ -347,7 +352,7 @@
                 during_connection_flood: false,
             });
         }
-        let gateway = up[self.chance.random_range(0..up.len())];
+        let gateway = up[self.rng.random_range(0..up.len())];
         let txn = (gateway as u64) << 48 | number as u64;
         let outcome = RpcOutcome::Open;
         let mut call = ClientRpc {
@@ -359,44 +364,53 @@
             ended_at: now,
             outcome,
             resent_at: None,
-            during_connection_flood: now < self.crowded_until,
+            during_connection_flood: now < self.flooded_until,
         };
-        let how = &self.plan.methods[method];
+        let how = &self.profile.methods[method];
         let (text, deadline) =
-            (request(&self.plan.plan, how, txn, key, &customer).into_bytes(), how.deadline);
-        let behaviour = self.plan.behaviour;
-        let early = behaviour.early_connection_share > 0.0
-            && self.chance.random_bool(behaviour.early_connection_share);
+            (format_request(&self.profile.plan, how, txn, key, &customer).into_bytes(), how.deadline);
+        let behaviour = self.profile.behaviour;
+        let early =
+            behaviour.early_connection_share > 0.0 && self.rng.random_bool(behaviour.early_connection_share);
         let fresh =
-            behaviour.own_connection_share > 0.0 && self.chance.random_bool(behaviour.own_connection_share);
-        let idle = if early || fresh { None } else { self.idle(io, gateway) };
+            behaviour.own_connection_share > 0.0 && self.rng.random_bool(behaviour.own_connection_share);
+        let idle = if early || fresh { None } else { self.take_idle_connection(io, gateway) };
         let rested = early || idle.is_some();
         let Some(conn) = idle.or_else(|| io.connect(self.gateways[gateway].address).ok()) else {
             call.outcome = RpcOutcome::Unreached;
             return self.rpcs.push(call);
         };
-        self.conns.insert(conn, (gateway, Use::Call(number)));
-        let hold = if early { self.chance.random_range(0..EARLY_MOST) } else { 0 };
+        self.connections.insert(conn, (gateway, ConnectionUse::Rpc(number)));
+        let hold = if early { self.rng.random_range(0..MAX_EARLY_CONNECTION) } else { 0 };
         call.scheduled_at += hold;
         call.sent_at += hold;
-        if behaviour.abandon_share > 0.0 && self.chance.random_bool(behaviour.abandon_share) {
-            io.at(call.scheduled_at + self.chance.random_range(0..deadline), LEAVE | number as u64);
+        if behaviour.abandon_share > 0.0 && self.rng.random_bool(behaviour.abandon_share) {
+            io.at(call.scheduled_at + self.rng.random_range(0..deadline), ABANDON | number as u64);
         }
-        io.at(call.scheduled_at + deadline + SLACK, number as u64);
-        self.messages
-            .insert(number, Message { text, conn: Some(conn), rested, fresh, written: false, again: false });
+        io.at(call.scheduled_at + deadline + DEADLINE_SLACK, number as u64);
+        self.pending.insert(
+            number,
+            PendingRequest {
+                bytes: text,
+                conn: Some(conn),
+                preexisting_conn: rested,
+                close_after_answer: fresh,
+                fully_written: false,
+                resent: false,
+            },
+        );
         self.rpcs.push(call);
         if early {
-            io.at(due + hold, BEGIN | number as u64);
+            io.at(due + hold, FIRST_WRITE | number as u64);
         } else {
-            self.write(io, number);
+            self.write_request(io, number);
         }
     }
 
     /// An idle connection to a gateway that is still open.
-    fn idle(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
+    fn take_idle_connection(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
         loop {
-            let conn = self.gateways[gateway].idle.pop()?;
+            let conn = self.gateways[gateway].idle_connections.pop()?;
             if io.is_open(conn) {
                 return Some(conn);
             }
@@ -404,90 +418,90 @@
     }
 
     /// Writes an RPC's message, or its first piece; on a new connection where the one that was opened for it is gone.
-    fn write(&mut self, io: &mut Io, number: usize) {
+    fn write_request(&mut self, io: &mut Io, number: usize) {
         let gateway = self.rpcs[number].gateway;
-        let Some(message) = self.messages.get_mut(&number) else { return };
+        let Some(message) = self.pending.get_mut(&number) else { return };
         if message.conn.is_none() {
             let Ok(conn) = io.connect(self.gateways[gateway].address) else {
-                return self.end(io, number, RpcOutcome::Unreached);
+                return self.finish_rpc(io, number, RpcOutcome::Unreached);
             };
-            (message.conn, message.rested) = (Some(conn), false);
-            self.conns.insert(conn, (gateway, Use::Call(number)));
+            (message.conn, message.preexisting_conn) = (Some(conn), false);
+            self.connections.insert(conn, (gateway, ConnectionUse::Rpc(number)));
         }
-        let pieces = self.plan.behaviour.split_write_share;
-        let in_pieces = pieces > 0.0 && !message.again && self.chance.random_bool(pieces);
-        let first = if in_pieces { message.text.len() / 2 } else { message.text.len() };
-        message.written = !in_pieces;
+        let pieces = self.profile.behaviour.split_write_share;
+        let in_pieces = pieces > 0.0 && !message.resent && self.rng.random_bool(pieces);
+        let first = if in_pieces { message.bytes.len() / 2 } else { message.bytes.len() };
+        message.fully_written = !in_pieces;
         if let Some(conn) = message.conn {
-            io.send(conn, &message.text[..first]);
+            io.send(conn, &message.bytes[..first]);
         }
-        if !message.again {
+        if !message.resent {
             // Not when it was to be: a front that is late gives its RPCs their time from when it sends them.
             self.rpcs[number].sent_at = io.clock().now();
         }
         if in_pieces {
-            io.at(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
+            io.at(io.now() + self.rng.random_range(0..MAX_SECOND_WRITE_DELAY), SECOND_WRITE | number as u64);
         }
-        let slow = self.plan.behaviour.slow_read_share;
-        if slow > 0.0 && self.chance.random_bool(slow) {
-            let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) else { return };
+        let slow = self.profile.behaviour.slow_read_share;
+        if slow > 0.0 && self.rng.random_bool(slow) {
+            let Some(conn) = self.pending.get(&number).and_then(|message| message.conn) else { return };
             io.hold(conn, true);
-            io.at(io.now() + self.chance.random_range(0..READS_NOTHING_MOST), READ_AGAIN | number as u64);
+            io.at(io.now() + self.rng.random_range(0..MAX_READ_PAUSE), RESUME_READING | number as u64);
         }
     }
 
     /// Writes the second piece.
-    fn write_rest(&mut self, io: &mut Io, number: usize) {
-        let Some(message) = self.messages.get_mut(&number) else { return };
-        message.written = true;
-        let rest = message.text.len() / 2;
+    fn write_second_half(&mut self, io: &mut Io, number: usize) {
+        let Some(message) = self.pending.get_mut(&number) else { return };
+        message.fully_written = true;
+        let rest = message.bytes.len() / 2;
         if let Some(conn) = message.conn {
-            io.send(conn, &message.text[rest..]);
+            io.send(conn, &message.bytes[rest..]);
         }
     }
 
     /// Closes the connection of an RPC, since its client leaves or waits no longer.
-    fn leave(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
+    fn abandon(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
         // After the run the calls are handed over while their timers still stand.
         if self.rpcs.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
             return;
         }
-        let conn = self.messages.get(&number).and_then(|message| message.conn);
-        self.end(io, number, outcome);
+        let conn = self.pending.get(&number).and_then(|message| message.conn);
+        self.finish_rpc(io, number, outcome);
         if let Some(conn) = conn {
-            self.conns.remove(&conn);
+            self.connections.remove(&conn);
             io.close(conn);
         }
     }
 
     /// An RPC's connection ended without an answer. One that rested may have been closed as the message crossed, and is
     /// sent once more on a new connection; one that never stood took nothing with it.
-    fn broke(&mut self, io: &mut Io, conn: Conn, number: usize) {
-        let Some(message) = self.messages.get_mut(&number) else { return };
+    fn connection_lost(&mut self, io: &mut Io, conn: Conn, number: usize) {
+        let Some(message) = self.pending.get_mut(&number) else { return };
         message.conn = None;
-        if !message.written {
-            if message.rested && self.rpcs[number].sent_at > io.now() {
+        if !message.fully_written {
+            if message.preexisting_conn && self.rpcs[number].sent_at > io.now() {
                 return; // it was opened early, and nothing is said on it yet
             }
-            return self.end(io, number, RpcOutcome::Unreached);
+            return self.finish_rpc(io, number, RpcOutcome::Unreached);
         }
-        if (message.rested || self.rpcs[number].during_connection_flood) && !message.again {
-            message.again = true;
+        if (message.preexisting_conn || self.rpcs[number].during_connection_flood) && !message.resent {
+            message.resent = true;
             self.resent_rpcs += 1;
             self.rpcs[number].resent_at = Some(io.now());
             // It tells the time that is left by then.
             let call = self.rpcs[number];
-            let deadline = self.plan.methods[call.method].deadline;
+            let deadline = self.profile.methods[call.method].deadline;
             let left = (call.sent_at + deadline).saturating_sub(io.now());
-            message.text = with_remaining(&message.text, left);
-            return self.write(io, number);
+            message.bytes = with_remaining_time(&message.bytes, left);
+            return self.write_request(io, number);
         }
         let wrote = io.waiting(conn) == 0;
-        self.end(io, number, if wrote { RpcOutcome::Cut } else { RpcOutcome::Unreached });
+        self.finish_rpc(io, number, if wrote { RpcOutcome::Cut } else { RpcOutcome::Unreached });
     }
 
-    fn end(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
-        self.messages.remove(&call);
+    fn finish_rpc(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
+        self.pending.remove(&call);
         let call = &mut self.rpcs[call];
         if call.outcome == RpcOutcome::Open {
             (call.outcome, call.ended_at) = (outcome, io.now());
@@ -495,16 +509,16 @@
     }
 
     /// A gateway failed just now: the front notices somewhat later.
-    fn failed(&mut self, io: &mut Io, gateway: usize) {
+    fn mark_failing(&mut self, io: &mut Io, gateway: usize) {
         if self.gateways[gateway].state == GatewayState::Admitted {
             self.set_state(gateway, GatewayState::Failing(io.now()));
         }
     }
 
-    fn probe(&mut self, io: &mut Io) {
+    fn probe_gateways(&mut self, io: &mut Io) {
         for gateway in 0..self.gateways.len() {
             if let GatewayState::Failing(since) = self.gateways[gateway].state
-                && io.now() >= since + self.plan.detection_delay
+                && io.now() >= since + self.profile.detection_delay
             {
                 self.set_state(gateway, GatewayState::Down);
             }
@@ -515,25 +529,25 @@
                 && let Ok(conn) = io.connect(at.address)
             {
                 at.probe = Some(conn);
-                self.conns.insert(conn, (gateway, Use::Probe));
+                self.connections.insert(conn, (gateway, ConnectionUse::Probe));
                 io.send(conn, b"GET /-/ready HTTP/1.1\r\nHost: gateway\r\n\r\n");
             }
         }
-        io.at(io.now() + PROBE_EVERY, PROBES);
+        io.at(io.now() + PROBE_INTERVAL, PROBE_TIMER);
     }
 }
 
 /// The same message with another time that its client waits.
-fn with_remaining(message: &[u8], left: Nanos) -> Vec<u8> {
+fn with_remaining_time(message: &[u8], left: Nanos) -> Vec<u8> {
     let text = String::from_utf8_lossy(message);
-    let lines = text.split("\r\n").map(|line| match line.strip_prefix(REMAINING) {
-        Some(_) => format!("{REMAINING}{}", left / MS),
+    let lines = text.split("\r\n").map(|line| match line.strip_prefix(REMAINING_HEADER) {
+        Some(_) => format!("{REMAINING_HEADER}{}", left / MS),
         None => line.to_string(),
     });
     lines.collect::<Vec<String>>().join("\r\n").into_bytes()
 }
 
-fn request(plan: &str, method: &Method, txn: u64, key: usize, customer: &Customer) -> String {
+fn format_request(plan: &str, method: &Method, txn: u64, key: usize, customer: &Customer) -> String {
     let lines = format!(
         "Host: service.internal\r\nX-Txn: {txn:016x}\r\nX-Lane: {}\r\nX-Contract: {plan}\r\n\
          X-Remaining-Ms: {}\r\nX-Metering: units={},spread={},first={}\r\n",
@@ -556,14 +570,14 @@
 impl Service for LoadGenerator {
     /// What waited for its connection is sent now.
     fn up(&mut self, io: &mut Io, conn: Conn) {
-        let Some((_, Use::Call(number))) = self.conns.get(&conn).copied() else { return };
-        if self.messages.get(&number).is_some_and(|message| message.written && !message.again) {
+        let Some((_, ConnectionUse::Rpc(number))) = self.connections.get(&conn).copied() else { return };
+        if self.pending.get(&number).is_some_and(|message| message.fully_written && !message.resent) {
             self.rpcs[number].sent_at = io.clock().now();
         }
     }
 
     fn came(&mut self, io: &mut Io, conn: Conn) {
-        let Some((gateway, what)) = self.conns.get(&conn).copied() else { return };
+        let Some((gateway, what)) = self.connections.get(&conn).copied() else { return };
         let answer = match http::answer(io.input(conn)) {
             Ok(Some(answer)) => answer,
             Ok(None) => return,
@@ -574,19 +588,19 @@
         };
         io.used(conn, answer.length);
         match what {
-            Use::Probe => {
-                self.conns.remove(&conn);
+            ConnectionUse::Probe => {
+                self.connections.remove(&conn);
                 io.close(conn);
                 self.gateways[gateway].probe = None;
                 if answer.status == 200 {
                     self.set_state(gateway, GatewayState::Admitted);
                 }
             }
-            Use::Idle => self.unexpected_answers += 1,
-            Use::Silent => {} // the error that whoever says nothing gets
-            Use::Call(call) => {
-                let fresh = self.messages.get(&call).is_some_and(|message| message.fresh);
-                self.end(
+            ConnectionUse::Idle => self.unexpected_answers += 1,
+            ConnectionUse::Silent => {} // the error that whoever says nothing gets
+            ConnectionUse::Rpc(call) => {
+                let fresh = self.pending.get(&call).is_some_and(|message| message.close_after_answer);
+                self.finish_rpc(
                     io,
                     call,
                     match answer.status {
@@ -597,44 +611,44 @@
                 );
                 let closes = |value: &str| value.eq_ignore_ascii_case("close");
                 if fresh || answer.header("connection").is_some_and(closes) {
-                    self.conns.remove(&conn);
+                    self.connections.remove(&conn);
                     io.close(conn);
                 } else {
-                    self.conns.insert(conn, (gateway, Use::Idle));
-                    self.gateways[gateway].idle.push(conn);
+                    self.connections.insert(conn, (gateway, ConnectionUse::Idle));
+                    self.gateways[gateway].idle_connections.push(conn);
                 }
             }
         }
     }
 
     fn over(&mut self, io: &mut Io, conn: Conn) {
-        match self.conns.remove(&conn) {
-            Some((gateway, Use::Probe)) => self.gateways[gateway].probe = None,
-            Some((gateway, Use::Call(call))) => {
-                self.broke(io, conn, call);
-                self.failed(io, gateway);
+        match self.connections.remove(&conn) {
+            Some((gateway, ConnectionUse::Probe)) => self.gateways[gateway].probe = None,
+            Some((gateway, ConnectionUse::Rpc(call))) => {
+                self.connection_lost(io, conn, call);
+                self.mark_failing(io, gateway);
             }
-            Some((_, Use::Idle | Use::Silent)) | None => {}
+            Some((_, ConnectionUse::Idle | ConnectionUse::Silent)) | None => {}
         }
     }
 
     fn due(&mut self, io: &mut Io, token: u64) {
         match token {
-            ARRIVAL => self.arrive(io),
-            PROBES => self.probe(io),
-            CROWD => self.open_silent(io),
+            ARRIVAL_TIMER => self.send_due_arrivals(io),
+            PROBE_TIMER => self.probe_gateways(io),
+            SILENT_CONNECTIONS_TIMER => self.open_silent_connections(io),
             call => {
-                let number = (call & CALL_NUMBER) as usize;
-                match call & !CALL_NUMBER {
-                    BEGIN => self.write(io, number),
-                    REST => self.write_rest(io, number),
-                    READ_AGAIN => {
-                        if let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) {
+                let number = (call & RPC_INDEX_MASK) as usize;
+                match call & !RPC_INDEX_MASK {
+                    FIRST_WRITE => self.write_request(io, number),
+                    SECOND_WRITE => self.write_second_half(io, number),
+                    RESUME_READING => {
+                        if let Some(conn) = self.pending.get(&number).and_then(|message| message.conn) {
                             io.hold(conn, false);
                         }
                     }
-                    LEAVE => self.leave(io, number, RpcOutcome::Left),
-                    _ => self.leave(io, number, RpcOutcome::Lost),
+                    ABANDON => self.abandon(io, number, RpcOutcome::Left),
+                    _ => self.abandon(io, number, RpcOutcome::Lost),
                 }
             }
         }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -143,7 +143,7 @@
     let mut size = Size { gateways: 24, servers: 24, seconds: 25.0, faults: 12 };
     let (mut first, mut seeds) = (1_u64, 10_u64);
     for assignment in &options.set {
-        let (name, number) = assigned(assignment)?;
+        let (name, number) = parse_assignment(assignment)?;
         match name {
             "first" => first = number as u64,
             "seeds" => seeds = number as u64,
@@ -186,7 +186,7 @@
 }
 
 /// A field and its number.
-fn assigned(assignment: &str) -> Result<(&str, f64), String> {
+fn parse_assignment(assignment: &str) -> Result<(&str, f64), String> {
     let bad = || format!("--set {assignment}: no such field, or no number");
     let (name, value) = assignment.split_once('=').ok_or_else(bad)?;
     Ok((name, value.parse().map_err(|_| bad())?))
@@ -198,7 +198,7 @@
     let mut plan = Plan { gateways: 20, lease: 1.0, clock: 0.25, seed: 1, skew_ms: 0 };
     let mut count = 40;
     for assignment in &options.set {
-        let (name, number) = assigned(assignment)?;
+        let (name, number) = parse_assignment(assignment)?;
         match name {
             "gateways" => plan.gateways = number as usize,
             "count" => count = number as usize,
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -135,7 +135,7 @@
                 sum[visit.server] += inside as f64 / self.width as f64;
             }
         }
-        self.weigh(servers, sums)
+        self.divide_by_weight(servers, sums)
     }
 
     /// Likewise from samples of open connections, the highest of each window.
@@ -149,10 +149,10 @@
                     .for_each(|(most, open)| *most = f64::max(*most, f64::from(*open)));
             }
         }
-        self.weigh(servers, most)
+        self.divide_by_weight(servers, most)
     }
 
-    fn weigh(&self, servers: &[ServerHistory], values: Vec<Vec<f64>>) -> Vec<Window> {
+    fn divide_by_weight(&self, servers: &[ServerHistory], values: Vec<Vec<f64>>) -> Vec<Window> {
         let window = |(at, values): (usize, Vec<f64>)| {
             let from = self.from + at as Nanos * self.width;
             let ready = |server: &usize| servers[*server].is_ready(from, from + self.width);
@@ -166,7 +166,7 @@
 /// The same arrivals, each at a server drawn by weight from those ready.
 pub fn assign_at_random(servers: &[ServerHistory], visits: &[ServerRpc], seed: u64) -> Vec<ServerRpc> {
     let mut draws = stream_rng(seed, Stream::References);
-    remap(servers, visits, |ready, _| {
+    reassign(servers, visits, |ready, _| {
         let weights = WeightedIndex::new(ready.iter().map(|at| servers[*at].weight)).ok()?;
         Some(ready[weights.sample(&mut draws)])
     })
@@ -176,7 +176,7 @@
 /// it is by weight.
 pub fn assign_to_least_loaded(servers: &[ServerHistory], visits: &[ServerRpc]) -> Vec<ServerRpc> {
     let (mut next, mut turn) = (vec![0.0; servers.len()], 0.0);
-    remap(servers, visits, |ready, held| {
+    reassign(servers, visits, |ready, held| {
         let cost = |at: usize| (held[at] / servers[at].weight, f64::max(next[at], turn));
         let least = ready.iter().copied().min_by(|one, two| {
             let (one, two) = (cost(*one), cost(*two));
@@ -188,7 +188,7 @@
     })
 }
 
-fn remap(
+fn reassign(
     servers: &[ServerHistory],
     visits: &[ServerRpc],
     mut pick: impl FnMut(&[usize], &[f64]) -> Option<usize>,
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -16,9 +16,9 @@
 use std::path::Path;
 
 /// How often chance is drawn for its middle figures.
-const CHANCES: u64 = 11;
+const RANDOM_DRAWS: u64 = 11;
 /// Servers count as idle in windows of 5 s with more than so many RPCs a second each.
-const IDLE_ABOVE: f64 = 2.0;
+const IDLE_MIN_RATE: f64 = 2.0;
 
 /// Highest, p99 and lowest server over the mean, in one part of the run, for one width of window and one quantity.
 #[derive(Clone, Debug, Serialize)]
@@ -147,8 +147,10 @@
     mean: f64,
     peak: f64,
     least: f64,
-    chance_peak: f64,
-    centre_peak: f64,
+    #[serde(rename = "chance_peak")]
+    random_peak: f64,
+    #[serde(rename = "centre_peak")]
+    central_peak: f64,
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -156,7 +158,8 @@
     server: usize,
     weight: f64,
     rpcs: usize,
-    turned_away: usize,
+    #[serde(rename = "turned_away")]
+    refused_attempts: usize,
     gateways: usize,
 }
 
@@ -164,7 +167,8 @@
 struct GatewayRow {
     gateway: usize,
     rpcs: usize,
-    call_outs: usize,
+    #[serde(rename = "call_outs")]
+    attempts: usize,
     servers: usize,
 }
 
@@ -178,9 +182,9 @@
 
 /// The RPCs at the servers as they were, and where two references would have sent them.
 struct Arrivals {
-    seen: Vec<ServerRpc>,
-    by_chance: Vec<Vec<ServerRpc>>,
-    by_centre: Vec<ServerRpc>,
+    measured: Vec<ServerRpc>,
+    random: Vec<Vec<ServerRpc>>,
+    central: Vec<ServerRpc>,
 }
 
 impl Arrivals {
@@ -188,8 +192,8 @@
         let seen = accepted_rpcs(&outcome.server_rpcs, outcome.measured_until + 10 * SEC);
         let by_centre = assign_to_least_loaded(&outcome.servers, &seen);
         let drawn = |nth| assign_at_random(&outcome.servers, &seen, scenario.seed ^ nth << 32);
-        let by_chance = (0..CHANCES).map(drawn).collect();
-        Arrivals { seen, by_chance, by_centre }
+        let by_chance = (0..RANDOM_DRAWS).map(drawn).collect();
+        Arrivals { measured: seen, random: by_chance, central: by_centre }
     }
 }
 
@@ -205,7 +209,7 @@
     let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
     let has_references = quantity != Quantity::Connections;
     let seen = match has_references {
-        true => windows(&arrivals.seen),
+        true => windows(&arrivals.measured),
         false => frame.connections(&outcome.servers, &outcome.open_connections),
     };
     if seen.is_empty() {
@@ -218,8 +222,8 @@
         let spreads: Vec<Spread> = several.iter().map(|one| Spread::of(&windows(one))).collect();
         Spread::median(&spreads)
     };
-    let chance = reference(&arrivals.by_chance);
-    let centre = reference(std::slice::from_ref(&arrivals.by_centre));
+    let chance = reference(&arrivals.random);
+    let centre = reference(std::slice::from_ref(&arrivals.central));
     let spread = Spread::of(&seen);
     let mean = seen.iter().map(Window::mean).sum::<f64>() / seen.len() as f64;
     Some(SpreadRow {
@@ -251,8 +255,8 @@
     quantity: Quantity,
 ) -> Vec<WindowRow> {
     let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
-    let references = windows(&arrivals.by_chance[0]).into_iter().zip(windows(&arrivals.by_centre));
-    let rows = windows(&arrivals.seen).into_iter().zip(references);
+    let references = windows(&arrivals.random[0]).into_iter().zip(windows(&arrivals.central));
+    let rows = windows(&arrivals.measured).into_iter().zip(references);
     let row = |(seen, (chance, centre)): (Window, (Window, Window))| {
         let spread = seen.spread()?;
         Some(WindowRow {
@@ -261,8 +265,8 @@
             mean: round(seen.mean()),
             peak: round(spread[0]),
             least: round(spread[2]),
-            chance_peak: round(chance.spread()?[0]),
-            centre_peak: round(centre.spread()?[0]),
+            random_peak: round(chance.spread()?[0]),
+            central_peak: round(centre.spread()?[0]),
         })
     };
     rows.filter_map(row).collect()
@@ -304,8 +308,8 @@
         }
         let whole = WindowSeries { from: outcome.measured_from, to: outcome.measured_until, width: 5 * SEC };
         let idle = count_idle_servers(
-            &whole.windows(&outcome.servers, &arrivals.seen, Quantity::Rpcs),
-            IDLE_ABOVE * 5.0,
+            &whole.windows(&outcome.servers, &arrivals.measured, Quantity::Rpcs),
+            IDLE_MIN_RATE * 5.0,
         );
         let seconds = WindowSeries { width: SEC, ..whole };
         let windows = [Quantity::Rpcs, Quantity::Held].into_iter();
@@ -336,8 +340,8 @@
             let lines = [
                 line("measured, busiest", |row| row.peak),
                 line("measured, least busy", |row| row.least),
-                line("pure chance, busiest", |row| row.chance_peak),
-                line("one dispatcher, busiest", |row| row.centre_peak),
+                line("pure chance, busiest", |row| row.random_peak),
+                line("one dispatcher, busiest", |row| row.central_peak),
             ];
             let title =
                 format!("{}: {quantity} of a server over the mean, windows of 1 s", self.run.scenario);
@@ -487,7 +491,7 @@
             server: at,
             weight: server.weight,
             rpcs: rows(at).count(),
-            turned_away: rows(at).filter(|row| row.how == How::TurnedAway).count(),
+            refused_attempts: rows(at).filter(|row| row.how == How::TurnedAway).count(),
             gateways: gateways.len(),
         }
     };
@@ -506,7 +510,7 @@
     let mut calls = vec![0; outcome.log_lines.len()];
     outcome.client_rpcs.iter().for_each(|call| calls[call.gateway.min(outcome.log_lines.len() - 1)] += 1);
     let row = |(gateway, (call_outs, servers)): (usize, (usize, std::collections::BTreeSet<u32>))| {
-        GatewayRow { gateway, rpcs: calls[gateway], call_outs, servers: servers.len() }
+        GatewayRow { gateway, rpcs: calls[gateway], attempts: call_outs, servers: servers.len() }
     };
     met.into_iter().enumerate().map(row).collect()
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -12,10 +12,10 @@
     /// Names the tables.
     pub name: String,
     /// The seed of all chance.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Seconds of arrivals before anything is measured, and measured ones.
-    #[serde(default = "four")]
+    #[serde(default = "default_warm_seconds")]
     pub warm_seconds: f64,
     /// Seconds of arrivals that are measured.
     pub seconds: f64,
@@ -36,7 +36,7 @@
     #[serde(default)]
     pub told_gateways: Option<usize>,
     /// Descriptors that each gateway may hold.
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     pub sockets: u32,
     /// The shared counter.
     #[serde(default)]
@@ -80,7 +80,7 @@
     /// A tariff of the settings.
     pub plan: String,
     /// How long until the front notices a dead gateway, seconds.
-    #[serde(default = "one_f")]
+    #[serde(default = "default_one")]
     pub notice: f64,
     /// The share of RPCs whose clients leave before the answer.
     #[serde(default)]
@@ -121,7 +121,7 @@
     /// The share of all arrivals.
     pub share: f64,
     /// Units of the plan's quota for each RPC.
-    #[serde(default = "one_f")]
+    #[serde(default = "default_one")]
     pub units: f64,
 }
 
@@ -135,22 +135,22 @@
     #[serde(default)]
     pub zone: Option<String>,
     /// Their weight as listed.
-    #[serde(default = "one_f")]
+    #[serde(default = "default_one")]
     pub weight: f64,
     /// RPCs served at once.
     pub cores: usize,
     /// RPCs that wait beyond those.
     pub queue: usize,
     /// Connections beyond these are reset.
-    #[serde(default = "table")]
+    #[serde(default = "default_connections")]
     pub connections: usize,
     /// Median service time, milliseconds (log-normal).
     pub service_ms: f64,
     /// The log-normal's sigma.
-    #[serde(default = "spread")]
+    #[serde(default = "default_spread")]
     pub spread: f64,
     /// The share of its speed at which a server works after its start.
-    #[serde(default = "one_f")]
+    #[serde(default = "default_one")]
     pub cold_share: f64,
     /// How long until it works at full speed.
     #[serde(default)]
@@ -159,7 +159,7 @@
     #[serde(default)]
     pub reports: bool,
     /// How long the bodies of answers are, bytes.
-    #[serde(default = "short_body")]
+    #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
 }
 
@@ -513,25 +513,25 @@
     }
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn one_f() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
-fn four() -> f64 {
+fn default_warm_seconds() -> f64 {
     4.0
 }
-fn table() -> usize {
+fn default_connections() -> usize {
     512
 }
-fn spread() -> f64 {
+fn default_spread() -> f64 {
     0.3
 }
-fn sockets() -> u32 {
+fn default_sockets() -> u32 {
     1024
 }
-fn short_body() -> usize {
+fn default_body_bytes() -> usize {
     2
 }
 
