--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Plays a scenario: starts the stand-ins and the processes, runs the script of faults against the clock, and brings
-//! back what the servers, the front and the log lines hold. Every process started here is ended here.
+//! Runs a scenario: starts the stand-ins and the gateway processes, injects the faults at their times, and collects the
+//! records of the servers and the load generator together with the gateways' log lines. Every process that is started
+//! here is also terminated here.
 
 mod gateways;
 mod links;
@@ -27,77 +28,78 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long the whole fleet may take to become ready.
+/// Time limit for the whole fleet to become ready.
 const READY_TIMEOUT: Nanos = 60 * SEC;
-/// How long RPCs may still be answered after the last arrival, and a gateway may take to end.
+/// How long RPCs may still be answered after the last arrival, and how long a gateway may take to exit.
 const DRAIN_TIMEOUT: Nanos = 8 * SEC;
-/// The limit of memory that every gateway is told.
+/// The memory limit in every gateway's configuration.
 const MEMORY_LIMIT_MB: u32 = 64;
 
-/// What a run brought.
+/// The records of one run.
 pub struct RunResult {
-    /// From the first measured arrival to the last.
+    /// Start of the measured part of the run.
     pub measured_from: Nanos,
-    /// The last measured arrival.
+    /// End of the measured part of the run.
     pub measured_until: Nanos,
-    /// When the first fault began, if there was one.
+    /// When the first fault began, if the scenario has any.
     pub first_fault_at: Option<Nanos>,
-    /// RPCs as the servers had them.
+    /// RPCs as the servers recorded them, one row per attempt.
     pub server_rpcs: Vec<Row>,
-    /// When, and the open connections of each server.
+    /// Samples of the number of open connections of each server, with their times.
     pub open_connections: Vec<(Nanos, Vec<u32>)>,
-    /// RPCs as the clients saw them.
+    /// RPCs as the clients recorded them.
     pub client_rpcs: Vec<ClientRpc>,
-    /// Answers that no RPC waited for.
+    /// Answers that arrived when no RPC was waiting for one.
     pub unexpected_answers: u64,
-    /// Each server's weight, and when it was ready.
+    /// Each server's weight and the times when it was ready.
     pub servers: Vec<ServerHistory>,
-    /// Names of the classes, as `Call::method` counts them, and whether each may run twice.
+    /// Names of the RPC classes, indexed by [`ClientRpc::method`], and whether an RPC of the class may run more than once.
     pub methods: Vec<(String, bool)>,
-    /// How often each gateway was started, and its log lines behind the one that says so, all its lives together.
+    /// How many times each gateway was started.
     pub starts: Vec<usize>,
-    /// Each gateway's log lines.
+    /// Each gateway's log lines after the one that reports the start, over all its processes.
     pub log_lines: Vec<Vec<String>>,
-    /// Gateways that ended unasked, not with 0 after SIGTERM, or not in their time.
+    /// Gateways that exited without SIGTERM, exited with a non-zero status after it, or did not exit in time.
     pub crashed: Vec<String>,
-    /// Gateways that a fault killed, and when.
+    /// Gateways that a fault killed with SIGKILL, and when.
     pub killed: Vec<(usize, Nanos)>,
-    /// Every change of the list: the server, when, and whether it is ready from then on.
+    /// Every change of discovery's list.
     pub list_changes: Vec<ListChange>,
-    /// How often each kind of step was carried out.
+    /// How many times each kind of step was executed.
     pub step_counts: BTreeMap<String, usize>,
-    /// RPCs that clients sent once more, since their connection was closed as they crossed.
+    /// RPCs that clients resent because the gateway closed the connection while the request was in flight.
     pub resent_rpcs: u64,
-    /// Calls that the counter got.
+    /// Calls that the counter received.
     pub counter_calls: u64,
-    /// Bytes of the lines that told gateways lists or changes.
+    /// Bytes of the lines in which discovery sent lists or changes to gateways.
     pub list_bytes: u64,
 }
 
 /// A change of discovery's list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// When discovery had it.
+    /// When discovery received the change.
     pub at: Nanos,
-    /// Whether new work may go there from then on.
+    /// Whether new work may be sent to the server from then on.
     pub ready: bool,
 }
 
 struct Gateway {
     number: usize,
-    /// Of the fleet as this gateway is told.
+    /// The fleet size in this gateway's configuration.
     fleet_size: usize,
     discovery: SocketAddr,
     counter: SocketAddr,
     listen: SocketAddr,
-    /// Where it sends what all others are to hear; the version it is told, and when that starts (Unix ms).
+    /// Where it sends datagrams that are meant for all other gateways.
     broadcast_address: SocketAddr,
+    /// The version of the settings in its configuration, and when that version takes effect (Unix time, ms).
     version: u64,
     version_starts_ms: u64,
     program: Option<Program>,
-    /// When this process was told to end first.
+    /// When the running process first received SIGTERM.
     term_sent_at: Option<Nanos>,
     starts: usize,
     log_lines: Vec<String>,
@@ -113,11 +115,12 @@
     relays: Handle<Relays>,
     load_generator: Handle<LoadGenerator>,
     gateways: Vec<Gateway>,
-    /// As discovery lists them, and since when each has been ready.
+    /// The servers as discovery lists them.
     entries: Vec<Entry>,
     server_histories: Vec<ServerHistory>,
-    /// Links by the faults that they stand for and whom they lead to, and the links of each fault.
+    /// Relay links by the faults that they apply and the peer that they lead to.
     links: BTreeMap<(Vec<usize>, String), (usize, SocketAddr)>,
+    /// The links of each fault.
     links_by_fault: BTreeMap<usize, Vec<usize>>,
     seed_rng: ChaCha8Rng,
     counter_address: SocketAddr,
@@ -128,27 +131,28 @@
     step_counts: BTreeMap<String, usize>,
 }
 
-/// Plays a scenario with this program.
+/// Runs a scenario with gateways of this program.
 pub fn run_scenario(scenario: &Scenario, program: &Path) -> Result<RunResult, String> {
-    let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
-    let mut fleet = Fleet::new(scenario, program).map_err(fail)?;
+    let setup_error = |e: std::io::Error| format!("can't set up the stand-ins: {e}");
+    let mut fleet = Fleet::new(scenario, program).map_err(setup_error)?;
     let all: Vec<usize> = (0..scenario.gateways).collect();
     for number in &all {
-        fleet.add_gateway(*number, scenario.gateways).map_err(fail)?;
+        fleet.add_gateway(*number, scenario.gateways).map_err(setup_error)?;
     }
     fleet.start_gateways(&all)?;
     fleet.wait_until_ready(all.len())?;
     let start = fleet.clock.now();
-    fleet.load_generator.with(|front, io| front.set_running(io, true));
+    fleet.load_generator.with(|generator, io| generator.set_running(io, true));
     let from = start + nanos(scenario.warm_seconds);
     let to = from + nanos(scenario.seconds);
-    let mut draws = stream_rng(scenario.seed, Stream::Script);
+    let mut fault_rng = stream_rng(scenario.seed, Stream::Script);
     let mut steps: Vec<TimedStep> = Vec::new();
     for (number, fault) in scenario.faults.iter().enumerate() {
-        let planned = fleet.plan_steps(fault, number, &mut draws).into_iter();
+        let planned = fleet.plan_steps(fault, number, &mut fault_rng).into_iter();
         steps.extend(planned.map(|step| TimedStep { at: from + step.at, ..step }));
     }
-    // What a step puts off (a drained server that goes) joins the queue; equal times keep their order.
+    // A step may schedule a follow-up step, such as the removal of a drained server. The sort is stable: steps at the
+    // same time keep their order.
     while !steps.is_empty() {
         steps.sort_by_key(|step| step.at);
         let next = steps.remove(0);
@@ -160,9 +164,9 @@
         steps.extend(fleet.execute(next.step)?);
     }
     fleet.sleep_until(to);
-    fleet.load_generator.with(|front, io| front.set_running(io, false));
+    fleet.load_generator.with(|generator, io| generator.set_running(io, false));
     let until = fleet.clock.now() + DRAIN_TIMEOUT;
-    while fleet.load_generator.with(|front, _| front.open_rpcs()) > 0 && fleet.clock.now() < until {
+    while fleet.load_generator.with(|generator, _| generator.open_rpcs()) > 0 && fleet.clock.now() < until {
         fleet.sleep_until(fleet.clock.now() + 50 * MS);
     }
     Ok(fleet.finish(from, to))
@@ -179,7 +183,7 @@
             share: method.share,
             units: method.units,
         });
-        let plan = LoadProfile {
+        let profile = LoadProfile {
             rate: scenario.load.rate * scenario.gateways as f64,
             plan: scenario.load.plan.clone(),
             methods: methods.collect(),
@@ -196,7 +200,7 @@
             counter: Handle::start(Counter::new(nanos(scenario.counter.cost_us / 1e6)), clock)?,
             relays: Handle::start(Relays::new(stream_rng(seed, Stream::Links)), clock)?,
             load_generator: Handle::start(
-                LoadGenerator::new(plan, stream_rng(seed, Stream::Arrivals)),
+                LoadGenerator::new(profile, stream_rng(seed, Stream::Arrivals)),
                 clock,
             )?,
             gateways: Vec::new(),
@@ -223,11 +227,11 @@
     }
 
     fn wait_until_ready(&mut self, count: usize) -> Result<(), String> {
-        let until = self.clock.now() + READY_TIMEOUT;
-        while self.load_generator.with(|front, _| front.admitted_gateways()) < count {
-            if self.clock.now() > until {
-                let ready = self.load_generator.with(|front, _| front.admitted_gateways());
-                return Err(format!("only {ready} of {count} gateways were ready within a minute"));
+        let deadline = self.clock.now() + READY_TIMEOUT;
+        while self.load_generator.with(|generator, _| generator.admitted_gateways()) < count {
+            if self.clock.now() > deadline {
+                let ready = self.load_generator.with(|generator, _| generator.admitted_gateways());
+                return Err(format!("only {ready} of {count} gateways became ready within a minute"));
             }
             self.sleep_until(self.clock.now() + 20 * MS);
         }
@@ -240,33 +244,33 @@
 
     fn finish(mut self, from: Nanos, to: Nanos) -> RunResult {
         for gateway in 0..self.gateways.len() {
-            let at = &mut self.gateways[gateway];
-            if let Some(program) = &mut at.program {
-                let asked = at.term_sent_at.is_some();
-                if let Some(how) = program.ended().filter(|how| !(asked && how.success())) {
-                    self.crashed.push(format!("n{} ended by itself with {how:?}", at.number));
+            let gateway_state = &mut self.gateways[gateway];
+            if let Some(program) = &mut gateway_state.program {
+                let term_sent = gateway_state.term_sent_at.is_some();
+                if let Some(status) = program.ended().filter(|status| !(term_sent && status.success())) {
+                    self.crashed.push(format!("n{} exited by itself with {status:?}", gateway_state.number));
                 } else if program.ended().is_none() {
                     let _ = program.send(Signal::TERM);
                 }
             }
         }
         (0..self.gateways.len()).for_each(|gateway| self.wait_for_exit(gateway, true));
-        let (ledger, connections) = self.servers.with(|servers, _| {
+        let (server_rpcs, open_connections) = self.servers.with(|servers, _| {
             (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connections))
         });
-        let (calls, extra_answers, sent_again) = self
-            .load_generator
-            .with(|front, _| (std::mem::take(&mut front.rpcs), front.unexpected_answers, front.resent_rpcs));
+        let (client_rpcs, unexpected_answers, resent_rpcs) = self.load_generator.with(|generator, _| {
+            (std::mem::take(&mut generator.rpcs), generator.unexpected_answers, generator.resent_rpcs)
+        });
         let classes = self.scenario.load.methods.iter();
-        let first = self.scenario.faults.iter().map(|fault| nanos(fault.at())).min();
+        let first_fault = self.scenario.faults.iter().map(|fault| nanos(fault.at())).min();
         RunResult {
             measured_from: from,
             measured_until: to,
-            first_fault_at: first.map(|at| from + at),
-            server_rpcs: ledger,
-            open_connections: connections,
-            client_rpcs: calls,
-            unexpected_answers: extra_answers,
+            first_fault_at: first_fault.map(|at| from + at),
+            server_rpcs,
+            open_connections,
+            client_rpcs,
+            unexpected_answers,
             servers: self.server_histories,
             methods: classes
                 .map(|method| (method.name.clone(), self.scenario.idempotency(&method.name) == "free"))
@@ -277,21 +281,21 @@
             killed: self.killed,
             list_changes: self.list_changes,
             step_counts: self.step_counts,
-            resent_rpcs: sent_again,
+            resent_rpcs,
             counter_calls: self.counter.with(|counter, _| counter.calls),
             list_bytes: self.discovery.with(|discovery, _| discovery.told_bytes),
         }
     }
 }
 
-/// Customers with shares drawn by the seed, their sets spread round the fleet.
+/// Draws the customers' shares of the load and the gateways that each of them uses.
 fn draw_customers(scenario: &Scenario, gateways: usize) -> Vec<Customer> {
-    let mut draws = stream_rng(scenario.seed, Stream::Arrivals);
+    let mut rng = stream_rng(scenario.seed, Stream::Arrivals);
     let shares = LogNormal::new(0.0, scenario.load.skew.max(0.0)).ok();
-    let one = |_| Customer {
-        share: shares.map_or(1.0, |shares| shares.sample(&mut draws)),
-        first_gateway: draws.random_range(0..gateways),
+    let draw_customer = |_| Customer {
+        share: shares.map_or(1.0, |shares| shares.sample(&mut rng)),
+        first_gateway: rng.random_range(0..gateways),
         gateway_count: scenario.load.width,
     };
-    (0..scenario.load.customers).map(one).collect()
+    (0..scenario.load.customers).map(draw_customer).collect()
 }
--- a/crates/rig/src/fleet/links.rs
+++ b/crates/rig/src/fleet/links.rs
@@ -1,4 +1,4 @@
-//! Links that faults can be put on, between the gateways and whom they speak with.
+//! Relay links between the gateways and their peers, to which faults can be applied.
 
 use super::Fleet;
 use crate::loopback;
@@ -10,35 +10,36 @@
         &self.scenario.zones[gateway % self.scenario.zones.len()]
     }
 
-    /// The faults whose links stand between a gateway and someone.
+    /// Returns the faults whose links lie between a gateway and the peers that `covers` accepts.
     pub(super) fn faults_between(&self, gateway: usize, covers: impl Fn(&Place) -> bool) -> Vec<usize> {
-        let is_mine = |place: &Place| match place {
+        let covers_gateway = |place: &Place| match place {
             Place::Gateways(range) => range.contains(&gateway),
             Place::Zone(zone) => self.zone_of(gateway) == zone,
             _ => false,
         };
-        let between = |fault: &Fault| match fault {
+        let applies = |fault: &Fault| match fault {
             Fault::Link { from, to, .. } => match (Place::parse(from), Place::parse(to)) {
-                (Ok(Place::LoadGenerator), Ok(to)) => is_mine(&to) && covers(&Place::LoadGenerator),
-                (Ok(from), Ok(to)) => is_mine(&from) && covers(&to),
+                (Ok(Place::LoadGenerator), Ok(to)) => covers_gateway(&to) && covers(&Place::LoadGenerator),
+                (Ok(from), Ok(to)) => covers_gateway(&from) && covers(&to),
                 _ => false,
             },
             _ => false,
         };
-        (0..self.scenario.faults.len()).filter(|at| between(&self.scenario.faults[*at])).collect()
+        (0..self.scenario.faults.len()).filter(|index| applies(&self.scenario.faults[*index])).collect()
     }
 
-    /// Where to come to instead of `target`: a link that those faults are put on, shared by all who have the same.
+    /// Returns the address to connect to instead of `target`: that of a relay link to which these faults are applied, or
+    /// `target` itself if there are none. Users with the same faults and peer share one link.
     pub(super) fn link_address(
         &mut self,
         faults: Vec<usize>,
-        whom: &str,
+        peer: &str,
         target: SocketAddr,
     ) -> std::io::Result<SocketAddr> {
         if faults.is_empty() {
             return Ok(target);
         }
-        let key = (faults, whom.to_string());
+        let key = (faults, peer.to_string());
         if let Some(link) = self.links.get(&key) {
             return Ok(link.1);
         }
--- a/crates/rig/src/fleet/servers.rs
+++ b/crates/rig/src/fleet/servers.rs
@@ -1,15 +1,15 @@
-//! The stand-in servers, and what discovery lists of them.
+//! The stand-in servers and their entries in discovery's list.
 
 use super::{Fleet, ListChange};
 use crate::measure::ServerHistory;
-use crate::scenario::ServerGroup as Group;
+use crate::scenario::ServerGroup;
 use crate::{Nanos, nanos};
 use standins::discovery::Entry;
 use standins::servers::Spec;
 
 impl Fleet<'_> {
-    /// A server more, not yet told to anybody.
-    pub(super) fn add_server(&mut self, group: &Group, warm: bool) -> std::io::Result<usize> {
+    /// Adds a server that is listed as gone. With `warm` it counts as started long ago.
+    pub(super) fn add_server(&mut self, group: &ServerGroup, warm: bool) -> std::io::Result<usize> {
         let number = self.entries.len();
         let zones = &self.scenario.zones;
         let spec = Spec {
@@ -28,14 +28,14 @@
             address: self.servers_address,
         };
         let (name, zone, weight) = (spec.name.clone(), spec.zone.clone(), spec.weight);
-        let (_, at) = self.servers.with(move |servers, io| servers.add(io, spec, warm))?;
+        let (_, address) = self.servers.with(move |servers, io| servers.add(io, spec, warm))?;
         let since_ms = if warm { 0 } else { self.clock.unix_ms(self.clock.now()) };
-        self.entries.push(Entry { name, address: at, zone, status: "gone", weight, since_ms });
+        self.entries.push(Entry { name, address, zone, status: "gone", weight, since_ms });
         self.server_histories.push(ServerHistory { weight, ready_spans: Vec::new() });
         Ok(number)
     }
 
-    /// Lists a server anew, and notes since when it is ready, or no longer.
+    /// Changes a server's status in discovery's list and records the change.
     pub(super) fn set_status(&mut self, number: usize, status: &'static str) {
         let entry = &mut self.entries[number];
         entry.status = status;
@@ -45,6 +45,7 @@
         self.record_readiness(number, status == "ready");
     }
 
+    /// Opens or closes the span in which a server is ready.
     pub(super) fn record_readiness(&mut self, number: usize, ready: bool) {
         let (now, spans) = (self.clock.now(), &mut self.server_histories[number].ready_spans);
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
--- a/crates/rig/src/fleet/steps.rs
+++ b/crates/rig/src/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of the script, carried out.
+//! Executes the steps of the fault script.
 
 use super::script::{Step, TimedStep};
 use super::{Fleet, draw_customers};
@@ -10,11 +10,11 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-/// A process that has a part of a core stands still for the rest of each of these.
+/// Period of throttling: a throttled process runs for its share of each period and is stopped for the rest.
 const THROTTLE_PERIOD: Duration = Duration::from_millis(10);
-/// How long a server that leaves drains.
+/// How long a server drains before it leaves.
 const LEAVE_DRAIN: Nanos = SEC;
-/// A grown fleet's settings are the second version, and start so many leases after they are told.
+/// Version of the settings with the larger fleet size, and the number of leases between its distribution and its start.
 const GROWN_VERSION: u64 = 2;
 const GROWN_START_DELAY_LEASES: f64 = 3.0;
 
@@ -23,40 +23,41 @@
 }
 
 impl Fleet<'_> {
-    /// Carries a step out; what it puts off comes back with its time.
+    /// Executes a step. Returns the follow-up step, if there is one, with its time.
     pub(super) fn execute(&mut self, step: Step) -> Result<Option<TimedStep>, String> {
         match step {
             Step::Signal { gateways, signal } => self.signal(gateways, signal)?,
-            Step::Pause { gateways, duration: time } => self.pause(&gateways, time)?,
-            Step::Throttle { gateways, duration: time, core_share: core } => {
-                self.throttle(&gateways, time, core)
+            Step::Pause { gateways, duration } => self.pause(&gateways, duration)?,
+            Step::Throttle { gateways, duration, core_share } => {
+                self.throttle(&gateways, duration, core_share)
             }
-            Step::KillLate { gateways, min_age: after } => self.kill_overdue(&gateways, after)?,
+            Step::KillLate { gateways, min_age } => self.kill_overdue(&gateways, min_age)?,
             Step::Reload { gateways } => self.reload(&gateways)?,
-            Step::Start { gateways, wait_for_exit: awaits_end } => {
-                // Where faults overlap another one may have started it already: the script waits for nobody then.
-                let mut stands = |gateway: &usize| {
-                    let at = &mut self.gateways[*gateway];
-                    let ended = at.program.as_mut().is_none_or(|program| program.ended().is_some());
-                    ended || awaits_end && at.term_sent_at.is_some()
+            Step::Start { gateways, wait_for_exit } => {
+                // If faults overlap, another one may have started the process again already; it is left alone then.
+                let mut can_start = |gateway: &usize| {
+                    let state = &mut self.gateways[*gateway];
+                    let ended = state.program.as_mut().is_none_or(|program| program.ended().is_some());
+                    ended || wait_for_exit && state.term_sent_at.is_some()
                 };
-                let gateways: Vec<usize> = gateways.into_iter().filter(|gateway| stands(gateway)).collect();
+                let gateways: Vec<usize> =
+                    gateways.into_iter().filter(|gateway| can_start(gateway)).collect();
                 gateways.iter().for_each(|gateway| self.wait_for_exit(*gateway, true));
                 self.start_gateways(&gateways)?;
             }
             Step::Grow { count, share } => return self.add_gateways(count, share).map(Some),
             Step::PlaceCustomers => {
                 let customers = draw_customers(self.scenario, self.gateways.len());
-                self.load_generator.with(move |front, _| front.set_customers(customers));
+                self.load_generator.with(move |generator, _| generator.set_customers(customers));
             }
-            Step::ReplaceServer { server, drain_time: drain } => {
-                let gone = self.drain_server(server, drain);
+            Step::ReplaceServer { server, drain_time } => {
+                let removal = self.drain_server(server, drain_time);
                 self.add_ready_server()?;
-                return Ok(Some(TimedStep { at: self.clock.now() + drain, ..gone }));
+                return Ok(Some(TimedStep { at: self.clock.now() + drain_time, ..removal }));
             }
             Step::JoinServer => self.add_ready_server()?,
             Step::LeaveServer => {
-                let last = (0..self.entries.len()).rfind(|at| self.entries[*at].status == "ready");
+                let last = (0..self.entries.len()).rfind(|index| self.entries[*index].status == "ready");
                 return Ok(last.map(|last| self.drain_server(last, LEAVE_DRAIN)));
             }
             Step::ServerGone { server } => {
@@ -73,9 +74,11 @@
             }
             Step::EmptyCounter => self.counter.with(|counter, _| counter.empty()),
             Step::Crowd { rate } => {
-                self.load_generator.with(move |front, io| front.set_silent_connection_rate(io, rate))
+                self.load_generator.with(move |generator, io| generator.set_silent_connection_rate(io, rate))
+            }
+            Step::Burst { factor } => {
+                self.load_generator.with(move |generator, _| generator.set_rate_factor(factor))
             }
-            Step::Burst { factor } => self.load_generator.with(move |front, _| front.set_rate_factor(factor)),
             Step::Links { links, faults } => {
                 self.relays.with(move |relays, io| {
                     links.into_iter().for_each(|link| relays.set(io, link, faults));
@@ -85,11 +88,11 @@
         Ok(None)
     }
 
-    /// Notes that a step is carried out, by its kind and, of a signal, a health or a mode, which.
+    /// Counts a step by its kind, and for a signal, server health, agent mode or counter state also by its value.
     pub(super) fn count_step(&mut self, step: &Step) {
         let name = |value: &dyn std::fmt::Debug| -> String {
-            let shown = format!("{value:?}");
-            shown.chars().take_while(|letter| letter.is_alphanumeric()).collect()
+            let text = format!("{value:?}");
+            text.chars().take_while(|character| character.is_alphanumeric()).collect()
         };
         let kind = name(step);
         let detail = match step {
@@ -107,7 +110,7 @@
         for gateway in gateways {
             let Some(program) = &mut self.gateways[gateway].program else { continue };
             if program.ended().is_some() {
-                continue; // another fault was first
+                continue; // another fault has ended this process already
             }
             let now = self.clock.now();
             program.send(signal).map_err(step_error)?;
@@ -122,8 +125,9 @@
         Ok(())
     }
 
-    /// Stops processes and lets them go on from a thread of their own, so that they stand still for just so long.
-    fn pause(&mut self, gateways: &[usize], time: Nanos) -> Result<(), String> {
+    /// Stops processes, and resumes them from a separate thread so that the length of the pause does not depend on the steps
+    /// that follow.
+    fn pause(&mut self, gateways: &[usize], duration: Nanos) -> Result<(), String> {
         let mut paused = Vec::new();
         for gateway in gateways {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
@@ -133,8 +137,8 @@
             }
         }
         std::thread::spawn(move || {
-            std::thread::sleep(Duration::from_nanos(time));
-            // One that was killed meanwhile is gone, which is no error here.
+            std::thread::sleep(Duration::from_nanos(duration));
+            // A process may have been killed in the meantime, which is not an error.
             for pid in paused.into_iter().flatten() {
                 let _ = kill_process(pid, Signal::CONT);
             }
@@ -142,35 +146,35 @@
         Ok(())
     }
 
-    /// Lets processes run for a part of each [`THROTTLE_PERIOD`] only, from a thread of their own.
-    fn throttle(&mut self, gateways: &[usize], time: Nanos, core: f64) {
+    /// Lets processes run only for a share of each [`THROTTLE_PERIOD`], controlled from a separate thread.
+    fn throttle(&mut self, gateways: &[usize], duration: Nanos, core_share: f64) {
         let programs = gateways.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
-        // By descriptor: the number of one that ended meanwhile may be another process's.
-        let open = |program: &Program| pidfd_open(program.pid()?, PidfdFlags::empty()).ok();
-        let processes: Vec<OwnedFd> = programs.filter_map(open).collect();
-        let runs = THROTTLE_PERIOD.mul_f64(core.clamp(0.0, 1.0));
-        let over = Instant::now() + Duration::from_nanos(time);
-        let all = move |signal| {
+        // Processes are addressed by pidfd, because the pid of a process that has exited may have been reused.
+        let open_pidfd = |program: &Program| pidfd_open(program.pid()?, PidfdFlags::empty()).ok();
+        let processes: Vec<OwnedFd> = programs.filter_map(open_pidfd).collect();
+        let run_time = THROTTLE_PERIOD.mul_f64(core_share.clamp(0.0, 1.0));
+        let end = Instant::now() + Duration::from_nanos(duration);
+        let signal_all = move |signal| {
             for process in &processes {
                 let _ = pidfd_send_signal(process, signal);
             }
         };
         std::thread::spawn(move || {
-            while Instant::now() < over {
-                all(Signal::STOP);
-                std::thread::sleep(THROTTLE_PERIOD - runs);
-                all(Signal::CONT);
-                std::thread::sleep(runs);
+            while Instant::now() < end {
+                signal_all(Signal::STOP);
+                std::thread::sleep(THROTTLE_PERIOD - run_time);
+                signal_all(Signal::CONT);
+                std::thread::sleep(run_time);
             }
         });
     }
 
-    /// Kills those that were told to end and have not, and keeps the log of those that have.
-    fn kill_overdue(&mut self, gateways: &[usize], after: Nanos) -> Result<(), String> {
+    /// Kills the processes that received SIGTERM at least `min_age` ago and are still running, and records each as a crash.
+    fn kill_overdue(&mut self, gateways: &[usize], min_age: Nanos) -> Result<(), String> {
         let now = self.clock.now();
         for gateway in gateways {
-            if self.gateways[*gateway].term_sent_at.is_none_or(|told| now < told + after) {
-                continue; // it is another process than was told to end so long ago
+            if self.gateways[*gateway].term_sent_at.is_none_or(|term_sent_at| now < term_sent_at + min_age) {
+                continue; // this process started after the SIGTERM that the step refers to
             }
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             if program.ended().is_none() {
@@ -183,9 +187,10 @@
         Ok(())
     }
 
+    /// Writes new configuration files and sends SIGHUP.
     fn reload(&mut self, gateways: &[usize]) -> Result<(), String> {
         for gateway in gateways {
-            let text = self.configuration(*gateway);
+            let text = self.configuration_text(*gateway);
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             if program.ended().is_none() {
                 program.rewrite(&text);
@@ -195,41 +200,47 @@
         Ok(())
     }
 
-    /// Starts so many more gateways, and tells a share of the old ones of the larger fleet; the customers follow later.
+    /// Starts `count` more gateways and reloads a share of the existing ones with the larger fleet size. Returns the step that
+    /// moves the customers to the new fleet.
     fn add_gateways(&mut self, count: usize, share: f64) -> Result<TimedStep, String> {
-        let was = self.gateways.len();
-        let fleet = was + count;
-        for number in was..fleet {
-            self.add_gateway(number, fleet).map_err(step_error)?;
+        let old_size = self.gateways.len();
+        let new_size = old_size + count;
+        for number in old_size..new_size {
+            self.add_gateway(number, new_size).map_err(step_error)?;
         }
-        // With versions the new one holds for all at once, and the front follows then.
-        let lead =
-            self.scenario.agreement.as_ref().map(|terms| nanos(GROWN_START_DELAY_LEASES * terms.lease));
-        let starts_ms = lead.map_or(0, |lead| self.clock.unix_ms(self.clock.now() + lead));
-        let told_old = (was as f64 * share).round() as usize;
-        for gateway in (0..told_old).chain(was..fleet) {
+        // With versioned settings the new version takes effect on all gateways at once; customers move after that.
+        let start_delay = self
+            .scenario
+            .agreement
+            .as_ref()
+            .map(|agreement| nanos(GROWN_START_DELAY_LEASES * agreement.lease));
+        let starts_ms =
+            start_delay.map_or(0, |start_delay| self.clock.unix_ms(self.clock.now() + start_delay));
+        let reloaded = (old_size as f64 * share).round() as usize;
+        for gateway in (0..reloaded).chain(old_size..new_size) {
             (self.gateways[gateway].version, self.gateways[gateway].version_starts_ms) =
                 (GROWN_VERSION, starts_ms);
         }
-        for gateway in (0..told_old).filter(|gateway| *gateway < was) {
-            self.gateways[gateway].fleet_size = fleet;
-            let text = self.configuration(gateway);
+        for gateway in (0..reloaded).filter(|gateway| *gateway < old_size) {
+            self.gateways[gateway].fleet_size = new_size;
+            let text = self.configuration_text(gateway);
             if let Some(program) = &self.gateways[gateway].program {
                 program.rewrite(&text);
                 program.send(Signal::HUP).map_err(step_error)?;
             }
         }
-        self.start_gateways(&(was..fleet).collect::<Vec<_>>())?;
-        let at = self.clock.now() + lead.map_or(0, |lead| 2 * lead);
+        self.start_gateways(&(old_size..new_size).collect::<Vec<_>>())?;
+        let at = self.clock.now() + start_delay.map_or(0, |start_delay| 2 * start_delay);
         Ok(TimedStep { at, step: Step::PlaceCustomers })
     }
 
-    /// Lists a server as draining; it is gone after that long.
-    fn drain_server(&mut self, server: usize, drain: Nanos) -> TimedStep {
+    /// Lists a server as draining. Returns the step that removes it after `drain_time`.
+    fn drain_server(&mut self, server: usize, drain_time: Nanos) -> TimedStep {
         self.set_status(server, "draining");
-        TimedStep { at: self.clock.now() + drain, step: Step::ServerGone { server } }
+        TimedStep { at: self.clock.now() + drain_time, step: Step::ServerGone { server } }
     }
 
+    /// Adds a cold server like those of the first group and lists it as ready.
     fn add_ready_server(&mut self) -> Result<(), String> {
         let group = self.scenario.servers[0].clone();
         let added = self.add_server(&group, false);
@@ -242,6 +253,7 @@
         self.servers.with(move |servers, io| servers.become_(io, server, health)).map_err(step_error)
     }
 
+    /// Sets the health of servers and records since when they are ready.
     fn change_health(&mut self, servers: Vec<usize>, health: Health) -> Result<(), String> {
         for server in servers {
             self.set_health(server, health)?;
@@ -255,12 +267,12 @@
         Ok(())
     }
 
-    /// Sets what agents of discovery do, and throws their lists back by so many versions.
+    /// Sets the mode of discovery agents, and reverts their lists by `versions_back` versions if that is above 0.
     fn set_agents(&mut self, agents: Vec<usize>, mode: Mode, versions_back: u64) -> Result<(), String> {
         for agent in agents {
             let set = self.discovery.with(move |discovery, io| {
-                let to = (versions_back > 0).then(|| discovery.index().saturating_sub(versions_back));
-                discovery.set(io, agent, mode, to)
+                let version = (versions_back > 0).then(|| discovery.index().saturating_sub(versions_back));
+                discovery.set(io, agent, mode, version)
             });
             set.map_err(step_error)?;
         }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,10 +1,11 @@
-//! The rig: many real processes of the program on loopback, between an open-loop front and stand-in servers, discovery
-//! and counter, with faults put between them by a script. A [`scenario::Scenario`] says what is played,
-//! [`fleet::play`] plays it, [`measure`] works out how evenly the load came to the servers beside two references for
-//! the same arrivals, and [`report`] writes tables and charts. `docs/rig.md` documents the format and the figures.
+//! Test rig that runs many real gateway processes on loopback, between an open-loop load generator and stand-ins for
+//! the servers, discovery and the counter, and injects faults at scripted times. A [`scenario::Scenario`] describes a
+//! run, [`fleet::run_scenario`] executes it, [`measure`] computes how evenly the load was spread over the servers
+//! compared with two reference assignments of the same arrivals, and [`report`] writes tables and charts.
+//! `docs/rig.md` documents the scenario format and the figures.
 //!
-//! Figures of the rig are measured, in real time; a run says how late its own load generator was and is void when
-//! that was too late.
+//! All figures are measured in real time. Each run reports how late its own load generator was; the run is void if
+//! that lateness exceeds [`load_generator::MAX_LATENESS`].
 #![deny(missing_docs)]
 
 pub mod fleet;
@@ -21,26 +22,27 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// What draws chance, each from its own stream of the scenario's seed.
+/// Consumers of random numbers. Each draws from its own stream of the scenario's seed; the discriminant is the stream's
+/// number.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
     /// Arrivals and customers.
     Arrivals = 1,
     /// Service times.
     Servers = 2,
-    /// Losses and reordering on links.
+    /// Packet loss and reordering on links.
     Links = 3,
-    /// Whom a fault hits.
+    /// The gateways and servers that a fault affects.
     Script = 4,
-    /// The references that a run is compared with.
+    /// The reference assignment that a run is compared with.
     References = 5,
-    /// The gateways' seeds and clocks.
+    /// The gateways' seeds and clock offsets.
     Seeds = 6,
 }
 
-/// The stream of one part of the rig.
+/// Returns the random number generator of one stream.
 pub fn stream_rng(seed: u64, stream: Stream) -> ChaCha8Rng {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    chance.set_stream(stream as u64);
-    chance
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(stream as u64);
+    rng
 }
