--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -11,8 +11,8 @@
 use standins::relay::{Faults, Gate, Path as RelayPath};
 use standins::servers::Health;
 
-/// The platform sends SIGKILL once the longest deadline, capped at `MAX_DEADLINE_SECONDS`, plus `KILL_GRACE_SECONDS` have
-/// passed since SIGTERM.
+/// The platform sends SIGKILL no earlier than the longest deadline, capped at `MAX_DEADLINE_SECONDS`, plus
+/// `KILL_GRACE_SECONDS` after SIGTERM.
 const MAX_DEADLINE_SECONDS: f64 = 3.0;
 const KILL_GRACE_SECONDS: f64 = 0.7;
 
--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -1,5 +1,5 @@
-//! The front: an open-loop load over all gateways. Arrivals come when they are due, whatever became of earlier ones;
-//! each is written down with how late the front itself was.
+//! Open-loop load generator in front of the gateways (`front` in scenarios). Arrivals are sent at their scheduled times,
+//! whatever the outcome of earlier ones, and each is recorded with the lateness of the generator itself.
 
 use crate::{MS, Nanos, SEC};
 use rand::Rng;
@@ -14,116 +14,119 @@
 const ARRIVAL_TIMER: u64 = u64::MAX;
 const PROBE_TIMER: u64 = u64::MAX - 1;
 const SILENT_CONNECTIONS_TIMER: u64 = u64::MAX - 2;
-/// Timers of one call carry its number and what is due: the end of its time unless one of these.
+/// The token of an RPC's timer holds the RPC's index and one of these flags; without a flag it is the timer of the
+/// deadline.
 const FIRST_WRITE: u64 = 1 << 60;
 const SECOND_WRITE: u64 = 1 << 61;
 const ABANDON: u64 = 1 << 62;
 const RESUME_READING: u64 = 1 << 59;
 const RPC_INDEX_MASK: u64 = RESUME_READING - 1;
-/// A client that reads slowly reads nothing for so long at most.
+/// Longest time for which a slow client stops reading.
 const MAX_READ_PAUSE: Nanos = 400 * MS;
-/// Silent connections are opened in steps of this, and what crosses in a crowd may be shut unread for so long after it.
+/// Interval at which silent connections are opened.
 const SILENT_CONNECTIONS_INTERVAL: Nanos = 10 * MS;
+/// How long after a flood of silent connections a gateway may still close a new connection without reading from it.
 const FLOOD_AFTERMATH: Nanos = SEC;
-/// The front opens a connection at most so long before its first RPC.
+/// Longest time between opening a connection early and sending its first RPC.
 const MAX_EARLY_CONNECTION: Nanos = 1_200 * MS;
-/// The second piece of an RPC comes at most so long after the first.
+/// Longest delay between the first and the second part of a split request.
 const MAX_SECOND_WRITE_DELAY: Nanos = 300 * MS;
+/// Interval of readiness probes.
 const PROBE_INTERVAL: Nanos = 100 * MS;
-/// An RPC without an answer so long after its deadline is lost.
+/// An RPC that has no answer this long after its deadline counts as lost.
 const DEADLINE_SLACK: Nanos = 500 * MS;
 
 const REMAINING_HEADER: &str = "X-Remaining-Ms: ";
 
-/// A class of RPCs as the front sends it.
+/// A class of RPCs that the load generator sends.
 #[derive(Clone, Debug)]
 pub struct Method {
-    /// Its name in the settings.
+    /// Name of the class in the settings.
     pub name: String,
-    /// Its idempotency as the settings have it.
+    /// Idempotency of the class in the settings.
     pub idempotency: String,
-    /// The time that its RPCs have.
+    /// Deadline of its RPCs.
     pub deadline: Nanos,
     /// The share of all arrivals.
     pub share: f64,
-    /// Units of the plan's quota for each RPC.
+    /// Units of the plan's quota that each RPC uses.
     pub units: f64,
 }
 
-/// A customer: its share of all arrivals, and its gateways, `width` of them from `first` on.
+/// A customer: its share of all arrivals, and the consecutive gateways that it uses.
 #[derive(Clone, Copy, Debug)]
 pub struct Customer {
     /// The share of all arrivals.
     pub share: f64,
-    /// Its first gateway.
+    /// Index of its first gateway.
     pub first_gateway: usize,
-    /// How many gateways in a row it uses.
+    /// Number of consecutive gateways that it uses.
     pub gateway_count: usize,
 }
 
-/// Shares of the RPCs whose clients do something out of the ordinary.
+/// Shares of the RPCs whose clients deviate from the ordinary exchange.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehaviour {
-    /// The client closes its connection at some moment of its deadline.
+    /// The client closes its connection at a random time before the deadline.
     pub abandon_share: f64,
-    /// Its connection was opened some time before, and has said nothing.
+    /// The client opens the connection some time before it sends the request, which is the first on it.
     pub early_connection_share: f64,
-    /// Its message comes in two pieces.
+    /// The client sends the request in two parts with a delay between them.
     pub split_write_share: f64,
-    /// Its connection is its own, and closed behind the answer.
+    /// The RPC has a connection of its own, which the client closes after the answer.
     pub own_connection_share: f64,
-    /// The client reads nothing for a while once it has sent.
+    /// The client stops reading for a while after it has sent the request.
     pub slow_read_share: f64,
 }
 
-/// What the front sends.
+/// The load to generate.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// What clients do.
+    /// How clients deviate from the ordinary exchange.
     pub behaviour: ClientBehaviour,
-    /// RPCs a second in all.
+    /// RPCs per second over all gateways.
     pub rate: f64,
-    /// The plan that all customers have.
+    /// The plan of all customers.
     pub plan: String,
     /// The classes of RPCs.
     pub methods: Vec<Method>,
-    /// Who sends.
+    /// The customers that send.
     pub customers: Vec<Customer>,
-    /// How long until the front notices a dead gateway.
+    /// How long after a failure the load generator stops sending to a gateway.
     pub detection_delay: Nanos,
 }
 
-/// How an RPC ended at its client.
+/// How an RPC ended for its client. Reports print the variants' debug names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcOutcome {
-    /// Not yet ended.
+    /// Still in progress.
     Open,
-    /// Answered ok.
+    /// Answered with 200.
     Ok,
-    /// 429 or 503.
+    /// Rejected with 429 or 503.
     PushedBack,
-    /// Any other answer.
+    /// Answered with any other status.
     Failed,
-    /// The connection broke after the RPC was written.
+    /// The connection was closed after the request had been written.
     Cut,
-    /// No gateway took the connection.
+    /// No gateway accepted the connection.
     Unreached,
-    /// No answer by its deadline and some.
+    /// No answer by the deadline plus [`DEADLINE_SLACK`].
     Lost,
-    /// Its client left before.
+    /// The client closed its connection before the answer.
     Left,
 }
 
-/// One RPC as the client saw it.
+/// One RPC as its client recorded it.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRpc {
-    /// The RPC's id.
+    /// Id of the RPC: the gateway in the top 16 bits, the index of the RPC below.
     pub txn: u64,
-    /// The gateway that it was sent to.
+    /// The gateway to which it was sent.
     pub gateway: usize,
-    /// By its place in [`LoadProfile::methods`].
+    /// Index into [`LoadProfile::methods`].
     pub method: usize,
-    /// When it was to be sent.
+    /// When it was due to be sent.
     pub scheduled_at: Nanos,
     /// When it was sent.
     pub sent_at: Nanos,
@@ -131,19 +134,20 @@
     pub ended_at: Nanos,
     /// How it ended.
     pub outcome: RpcOutcome,
-    /// When it was sent once more, since its connection was closed as it crossed: nothing may have read it by then.
+    /// When it was resent because the gateway closed the connection while the request was in flight. Nothing may have
+    /// read the first request by then.
     pub resent_at: Option<Nanos>,
-    /// Silent connections crowded its gateway, which may shut a new connection unread then.
+    /// Sent while silent connections flooded the gateways, which may then close a new connection without reading from it.
     pub during_connection_flood: bool,
 }
 
-/// The state of a gateway as the front sees it. `Front::set_state` is the one place that changes it.
+/// The load generator's view of a gateway. Only `LoadGenerator::set_state` changes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GatewayState {
-    /// Not yet ready, or found dead: probed until it answers 200.
+    /// Not ready yet, or detected as failed: probed until it answers 200.
     Down,
     Admitted,
-    /// It failed then, and the front has not noticed yet.
+    /// Failed at this time, which the load generator has not detected yet.
     Failing(Nanos),
 }
 
@@ -154,37 +158,37 @@
     probe: Option<Conn>,
 }
 
-/// What a connection is doing.
+/// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionUse {
     Probe,
     Idle,
     Rpc(usize),
-    /// Opened to say nothing.
+    /// Opened as part of a flood; nothing is sent on it.
     Silent,
 }
 
-/// How far an RPC's message has been written.
+/// The request of an open RPC, and how far it has been written.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     bytes: Vec<u8>,
     conn: Option<Conn>,
-    /// Its connection was there before: a gateway may close it just as the message crosses.
+    /// The connection was open before this request, so the gateway may close it while the request is in flight.
     preexisting_conn: bool,
-    /// The client closes it behind the answer.
+    /// The client closes the connection after the answer.
     close_after_answer: bool,
     fully_written: bool,
     resent: bool,
 }
 
-/// The open-loop load generator before the gateways.
+/// Open-loop load generator in front of the gateways.
 pub struct LoadGenerator {
     profile: LoadProfile,
     gateways: Vec<Gateway>,
     connections: BTreeMap<Conn, (usize, ConnectionUse)>,
-    /// Messages of the calls that are open.
+    /// Requests of the open RPCs, by index.
     pending: BTreeMap<usize, PendingRequest>,
-    /// RPCs sent once more, since their connection was closed as they crossed.
+    /// RPCs that were resent because the gateway closed the connection while the request was in flight.
     pub resent_rpcs: u64,
     /// All RPCs so far.
     pub rpcs: Vec<ClientRpc>,
@@ -193,30 +197,34 @@
     method_weights: Option<WeightedIndex<f64>>,
     next_arrival: Nanos,
     running: bool,
+    /// Factor on the rate of arrivals.
     rate_factor: f64,
-    /// Silent connections a second to each gateway, those that are owed by now, and until when they tell in its answers.
+    /// Silent connections per second to each gateway.
     silent_rate: f64,
+    /// Silent connections per gateway that are due but not opened yet.
     silent_due: f64,
+    /// Until when the flood may affect the gateways' answers.
     flooded_until: Nanos,
-    /// Answers that came when none was owed.
+    /// Answers that arrived when none was expected.
     pub unexpected_answers: u64,
 }
 
 impl LoadGenerator {
-    /// A front that sends nothing yet.
-    pub fn new(plan: LoadProfile, chance: ChaCha8Rng) -> LoadGenerator {
-        let customers = WeightedIndex::new(plan.customers.iter().map(|customer| customer.share)).ok();
-        let methods = WeightedIndex::new(plan.methods.iter().map(|method| method.share)).ok();
+    /// Creates a load generator that does not send yet.
+    pub fn new(profile: LoadProfile, rng: ChaCha8Rng) -> LoadGenerator {
+        let customer_weights =
+            WeightedIndex::new(profile.customers.iter().map(|customer| customer.share)).ok();
+        let method_weights = WeightedIndex::new(profile.methods.iter().map(|method| method.share)).ok();
         LoadGenerator {
-            profile: plan,
+            profile,
             gateways: Vec::new(),
             connections: BTreeMap::new(),
             pending: BTreeMap::new(),
             resent_rpcs: 0,
             rpcs: Vec::new(),
-            rng: chance,
-            customer_weights: customers,
-            method_weights: methods,
+            rng,
+            customer_weights,
+            method_weights,
             next_arrival: 0,
             running: false,
             rate_factor: 1.0,
@@ -227,7 +235,7 @@
         }
     }
 
-    /// One more gateway, probed from now on.
+    /// Adds a gateway, which is probed from now on.
     pub fn add_gateway(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
             io.at(io.now(), PROBE_TIMER);
@@ -240,12 +248,12 @@
         });
     }
 
-    /// Gateways that it sends to.
+    /// Returns the number of gateways that receive new RPCs.
     pub fn admitted_gateways(&self) -> usize {
         self.gateways.iter().filter(|gateway| gateway.state == GatewayState::Admitted).count()
     }
 
-    /// Arrivals come from now on, or stop.
+    /// Starts or stops the arrivals.
     pub fn set_running(&mut self, io: &mut Io, running: bool) {
         self.running = running;
         if running {
@@ -254,24 +262,25 @@
         }
     }
 
-    /// All arrivals come so many times as often.
+    /// Multiplies the rate of arrivals by this factor.
     pub fn set_rate_factor(&mut self, factor: f64) {
         self.rate_factor = factor;
     }
 
-    /// So many connections a second are opened to each gateway from now on, and nothing is said on them.
+    /// Opens this many connections per second to each gateway from now on and sends nothing on them. A rate of 0 closes
+    /// them.
     pub fn set_silent_connection_rate(&mut self, io: &mut Io, rate: f64) {
-        let begins = self.silent_rate == 0.0 && rate > 0.0;
+        let starts = self.silent_rate == 0.0 && rate > 0.0;
         self.silent_rate = rate;
         self.flooded_until = io.now() + FLOOD_AFTERMATH;
-        if begins {
+        if starts {
             io.at(io.now(), SILENT_CONNECTIONS_TIMER);
         }
     }
 
     fn open_silent_connections(&mut self, io: &mut Io) {
         if self.silent_rate == 0.0 {
-            let silent = self.connections.iter().filter(|(_, (_, what))| *what == ConnectionUse::Silent);
+            let silent = self.connections.iter().filter(|(_, (_, usage))| *usage == ConnectionUse::Silent);
             let silent: Vec<Conn> = silent.map(|(conn, _)| *conn).collect();
             for conn in silent {
                 self.connections.remove(&conn);
@@ -292,59 +301,61 @@
         io.at(io.now() + SILENT_CONNECTIONS_INTERVAL, SILENT_CONNECTIONS_TIMER);
     }
 
-    /// The customers' gateways go over to a fleet of another size.
+    /// Replaces the customers, for a fleet of another size.
     pub fn set_customers(&mut self, customers: Vec<Customer>) {
         self.customer_weights = WeightedIndex::new(customers.iter().map(|customer| customer.share)).ok();
         self.profile.customers = customers;
     }
 
-    /// RPCs that wait for their answers.
+    /// Returns the number of RPCs that wait for their answers.
     pub fn open_rpcs(&self) -> usize {
-        // One whose connection went before it was sent is among them: it is sent on another.
+        // Includes RPCs whose connection was closed before they were sent: they are sent on another one.
         self.pending.len()
     }
 
-    fn set_state(&mut self, gateway: usize, to: GatewayState) {
-        let at = &mut self.gateways[gateway];
-        let was = std::mem::replace(&mut at.state, to);
-        if was != to && to == GatewayState::Down {
-            at.probe = None;
+    fn set_state(&mut self, gateway: usize, state: GatewayState) {
+        let gateway = &mut self.gateways[gateway];
+        let previous = std::mem::replace(&mut gateway.state, state);
+        if previous != state && state == GatewayState::Down {
+            gateway.probe = None;
         }
     }
 
     fn send_due_arrivals(&mut self, io: &mut Io) {
         while self.running && self.next_arrival <= io.now() {
-            let due = self.next_arrival;
-            let wait: f64 = Exp1.sample(&mut self.rng);
-            self.next_arrival += ((wait / (self.profile.rate * self.rate_factor).max(1e-6)) * 1e9) as Nanos;
-            self.send_rpc(io, due);
+            let scheduled_at = self.next_arrival;
+            let interval: f64 = Exp1.sample(&mut self.rng);
+            self.next_arrival +=
+                ((interval / (self.profile.rate * self.rate_factor).max(1e-6)) * 1e9) as Nanos;
+            self.send_rpc(io, scheduled_at);
         }
         if self.running {
             io.at(self.next_arrival, ARRIVAL_TIMER);
         }
     }
 
-    fn send_rpc(&mut self, io: &mut Io, due: Nanos) {
+    fn send_rpc(&mut self, io: &mut Io, scheduled_at: Nanos) {
         let (Some(customers), Some(methods)) = (&self.customer_weights, &self.method_weights) else { return };
-        let key = customers.sample(&mut self.rng);
-        let method = methods.sample(&mut self.rng);
-        let customer = self.profile.customers[key];
-        let set = (0..customer.gateway_count).map(|at| (customer.first_gateway + at) % self.gateways.len());
-        // Open connections are used until the gateway ends them, also of one that takes no new ones.
-        let can = |at: &usize| {
-            let gateway = &self.gateways[*at];
+        let customer_index = customers.sample(&mut self.rng);
+        let method_index = methods.sample(&mut self.rng);
+        let customer = self.profile.customers[customer_index];
+        let candidates =
+            (0..customer.gateway_count).map(|index| (customer.first_gateway + index) % self.gateways.len());
+        // Open connections are used until the gateway closes them, even if it accepts no new ones.
+        let usable = |index: &usize| {
+            let gateway = &self.gateways[*index];
             gateway.state != GatewayState::Down
                 || gateway.idle_connections.iter().any(|conn| self.connections.contains_key(conn))
         };
-        let up: Vec<usize> = set.filter(can).collect();
+        let usable_gateways: Vec<usize> = candidates.filter(usable).collect();
         let now = io.clock().now();
-        let number = self.rpcs.len();
-        if up.is_empty() {
+        let rpc_index = self.rpcs.len();
+        if usable_gateways.is_empty() {
             return self.rpcs.push(ClientRpc {
                 txn: u64::MAX,
                 gateway: customer.first_gateway,
-                method,
-                scheduled_at: due,
+                method: method_index,
+                scheduled_at,
                 sent_at: now,
                 ended_at: now,
                 outcome: RpcOutcome::Unreached,
@@ -352,62 +363,65 @@
                 during_connection_flood: false,
             });
         }
-        let gateway = up[self.rng.random_range(0..up.len())];
-        let txn = (gateway as u64) << 48 | number as u64;
+        let gateway = usable_gateways[self.rng.random_range(0..usable_gateways.len())];
+        let txn = (gateway as u64) << 48 | rpc_index as u64;
         let outcome = RpcOutcome::Open;
-        let mut call = ClientRpc {
+        let mut rpc = ClientRpc {
             txn,
             gateway,
-            method,
-            scheduled_at: due,
+            method: method_index,
+            scheduled_at,
             sent_at: now,
             ended_at: now,
             outcome,
             resent_at: None,
             during_connection_flood: now < self.flooded_until,
         };
-        let how = &self.profile.methods[method];
-        let (text, deadline) =
-            (format_request(&self.profile.plan, how, txn, key, &customer).into_bytes(), how.deadline);
+        let method = &self.profile.methods[method_index];
+        let (bytes, deadline) = (
+            format_request(&self.profile.plan, method, txn, customer_index, &customer).into_bytes(),
+            method.deadline,
+        );
         let behaviour = self.profile.behaviour;
-        let early =
+        let connect_early =
             behaviour.early_connection_share > 0.0 && self.rng.random_bool(behaviour.early_connection_share);
-        let fresh =
+        let own_connection =
             behaviour.own_connection_share > 0.0 && self.rng.random_bool(behaviour.own_connection_share);
-        let idle = if early || fresh { None } else { self.take_idle_connection(io, gateway) };
-        let rested = early || idle.is_some();
+        let idle =
+            if connect_early || own_connection { None } else { self.take_idle_connection(io, gateway) };
+        let preexisting_conn = connect_early || idle.is_some();
         let Some(conn) = idle.or_else(|| io.connect(self.gateways[gateway].address).ok()) else {
-            call.outcome = RpcOutcome::Unreached;
-            return self.rpcs.push(call);
+            rpc.outcome = RpcOutcome::Unreached;
+            return self.rpcs.push(rpc);
         };
-        self.connections.insert(conn, (gateway, ConnectionUse::Rpc(number)));
-        let hold = if early { self.rng.random_range(0..MAX_EARLY_CONNECTION) } else { 0 };
-        call.scheduled_at += hold;
-        call.sent_at += hold;
+        self.connections.insert(conn, (gateway, ConnectionUse::Rpc(rpc_index)));
+        let delay = if connect_early { self.rng.random_range(0..MAX_EARLY_CONNECTION) } else { 0 };
+        rpc.scheduled_at += delay;
+        rpc.sent_at += delay;
         if behaviour.abandon_share > 0.0 && self.rng.random_bool(behaviour.abandon_share) {
-            io.at(call.scheduled_at + self.rng.random_range(0..deadline), ABANDON | number as u64);
+            io.at(rpc.scheduled_at + self.rng.random_range(0..deadline), ABANDON | rpc_index as u64);
         }
-        io.at(call.scheduled_at + deadline + DEADLINE_SLACK, number as u64);
+        io.at(rpc.scheduled_at + deadline + DEADLINE_SLACK, rpc_index as u64);
         self.pending.insert(
-            number,
+            rpc_index,
             PendingRequest {
-                bytes: text,
+                bytes,
                 conn: Some(conn),
-                preexisting_conn: rested,
-                close_after_answer: fresh,
+                preexisting_conn,
+                close_after_answer: own_connection,
                 fully_written: false,
                 resent: false,
             },
         );
-        self.rpcs.push(call);
-        if early {
-            io.at(due + hold, FIRST_WRITE | number as u64);
+        self.rpcs.push(rpc);
+        if connect_early {
+            io.at(scheduled_at + delay, FIRST_WRITE | rpc_index as u64);
         } else {
-            self.write_request(io, number);
+            self.write_request(io, rpc_index);
         }
     }
 
-    /// An idle connection to a gateway that is still open.
+    /// Takes an idle connection to a gateway that is still open.
     fn take_idle_connection(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
         loop {
             let conn = self.gateways[gateway].idle_connections.pop()?;
@@ -417,104 +431,110 @@
         }
     }
 
-    /// Writes an RPC's message, or its first piece; on a new connection where the one that was opened for it is gone.
-    fn write_request(&mut self, io: &mut Io, number: usize) {
-        let gateway = self.rpcs[number].gateway;
-        let Some(message) = self.pending.get_mut(&number) else { return };
-        if message.conn.is_none() {
+    /// Writes a request or its first part. Opens a new connection if the one that was opened for it is gone.
+    fn write_request(&mut self, io: &mut Io, rpc_index: usize) {
+        let gateway = self.rpcs[rpc_index].gateway;
+        let Some(request) = self.pending.get_mut(&rpc_index) else { return };
+        if request.conn.is_none() {
             let Ok(conn) = io.connect(self.gateways[gateway].address) else {
-                return self.finish_rpc(io, number, RpcOutcome::Unreached);
+                return self.finish_rpc(io, rpc_index, RpcOutcome::Unreached);
             };
-            (message.conn, message.preexisting_conn) = (Some(conn), false);
-            self.connections.insert(conn, (gateway, ConnectionUse::Rpc(number)));
+            (request.conn, request.preexisting_conn) = (Some(conn), false);
+            self.connections.insert(conn, (gateway, ConnectionUse::Rpc(rpc_index)));
         }
-        let pieces = self.profile.behaviour.split_write_share;
-        let in_pieces = pieces > 0.0 && !message.resent && self.rng.random_bool(pieces);
-        let first = if in_pieces { message.bytes.len() / 2 } else { message.bytes.len() };
-        message.fully_written = !in_pieces;
-        if let Some(conn) = message.conn {
-            io.send(conn, &message.bytes[..first]);
+        let split_share = self.profile.behaviour.split_write_share;
+        let split = split_share > 0.0 && !request.resent && self.rng.random_bool(split_share);
+        let first_length = if split { request.bytes.len() / 2 } else { request.bytes.len() };
+        request.fully_written = !split;
+        if let Some(conn) = request.conn {
+            io.send(conn, &request.bytes[..first_length]);
         }
-        if !message.resent {
-            // Not when it was to be: a front that is late gives its RPCs their time from when it sends them.
-            self.rpcs[number].sent_at = io.clock().now();
+        if !request.resent {
+            // The deadline counts from the time of sending, not from the scheduled time: a late load generator must not
+            // shorten it.
+            self.rpcs[rpc_index].sent_at = io.clock().now();
         }
-        if in_pieces {
-            io.at(io.now() + self.rng.random_range(0..MAX_SECOND_WRITE_DELAY), SECOND_WRITE | number as u64);
+        if split {
+            io.at(
+                io.now() + self.rng.random_range(0..MAX_SECOND_WRITE_DELAY),
+                SECOND_WRITE | rpc_index as u64,
+            );
         }
-        let slow = self.profile.behaviour.slow_read_share;
-        if slow > 0.0 && self.rng.random_bool(slow) {
-            let Some(conn) = self.pending.get(&number).and_then(|message| message.conn) else { return };
+        let slow_share = self.profile.behaviour.slow_read_share;
+        if slow_share > 0.0 && self.rng.random_bool(slow_share) {
+            let Some(conn) = self.pending.get(&rpc_index).and_then(|request| request.conn) else { return };
             io.hold(conn, true);
-            io.at(io.now() + self.rng.random_range(0..MAX_READ_PAUSE), RESUME_READING | number as u64);
+            io.at(io.now() + self.rng.random_range(0..MAX_READ_PAUSE), RESUME_READING | rpc_index as u64);
         }
     }
 
-    /// Writes the second piece.
-    fn write_second_half(&mut self, io: &mut Io, number: usize) {
-        let Some(message) = self.pending.get_mut(&number) else { return };
-        message.fully_written = true;
-        let rest = message.bytes.len() / 2;
-        if let Some(conn) = message.conn {
-            io.send(conn, &message.bytes[rest..]);
+    /// Writes the second part of a split request.
+    fn write_second_half(&mut self, io: &mut Io, rpc_index: usize) {
+        let Some(request) = self.pending.get_mut(&rpc_index) else { return };
+        request.fully_written = true;
+        let half = request.bytes.len() / 2;
+        if let Some(conn) = request.conn {
+            io.send(conn, &request.bytes[half..]);
         }
     }
 
-    /// Closes the connection of an RPC, since its client leaves or waits no longer.
-    fn abandon(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
-        // After the run the calls are handed over while their timers still stand.
-        if self.rpcs.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
+    /// Ends an RPC whose client gives up, and closes its connection.
+    fn abandon(&mut self, io: &mut Io, rpc_index: usize, outcome: RpcOutcome) {
+        // After the run the records have been taken away, but timers of their RPCs may still fire.
+        if self.rpcs.get(rpc_index).is_none_or(|rpc| rpc.outcome != RpcOutcome::Open) {
             return;
         }
-        let conn = self.pending.get(&number).and_then(|message| message.conn);
-        self.finish_rpc(io, number, outcome);
+        let conn = self.pending.get(&rpc_index).and_then(|request| request.conn);
+        self.finish_rpc(io, rpc_index, outcome);
         if let Some(conn) = conn {
             self.connections.remove(&conn);
             io.close(conn);
         }
     }
 
-    /// An RPC's connection ended without an answer. One that rested may have been closed as the message crossed, and is
-    /// sent once more on a new connection; one that never stood took nothing with it.
-    fn connection_lost(&mut self, io: &mut Io, conn: Conn, number: usize) {
-        let Some(message) = self.pending.get_mut(&number) else { return };
-        message.conn = None;
-        if !message.fully_written {
-            if message.preexisting_conn && self.rpcs[number].sent_at > io.now() {
-                return; // it was opened early, and nothing is said on it yet
+    /// Handles the end of an RPC's connection without an answer. If the connection was open before the request, the
+    /// gateway may have closed it while the request was in flight, and the request is resent on a new connection; likewise
+    /// during a flood of silent connections. If the connection was never established, the RPC counts as unreached.
+    fn connection_lost(&mut self, io: &mut Io, conn: Conn, rpc_index: usize) {
+        let Some(request) = self.pending.get_mut(&rpc_index) else { return };
+        request.conn = None;
+        if !request.fully_written {
+            if request.preexisting_conn && self.rpcs[rpc_index].sent_at > io.now() {
+                return; // opened early, and nothing has been sent on it yet
             }
-            return self.finish_rpc(io, number, RpcOutcome::Unreached);
+            return self.finish_rpc(io, rpc_index, RpcOutcome::Unreached);
         }
-        if (message.preexisting_conn || self.rpcs[number].during_connection_flood) && !message.resent {
-            message.resent = true;
+        if (request.preexisting_conn || self.rpcs[rpc_index].during_connection_flood) && !request.resent {
+            request.resent = true;
             self.resent_rpcs += 1;
-            self.rpcs[number].resent_at = Some(io.now());
-            // It tells the time that is left by then.
-            let call = self.rpcs[number];
-            let deadline = self.profile.methods[call.method].deadline;
-            let left = (call.sent_at + deadline).saturating_sub(io.now());
-            message.bytes = with_remaining_time(&message.bytes, left);
-            return self.write_request(io, number);
+            self.rpcs[rpc_index].resent_at = Some(io.now());
+            // The resent request states the time that is left now.
+            let rpc = self.rpcs[rpc_index];
+            let deadline = self.profile.methods[rpc.method].deadline;
+            let time_left = (rpc.sent_at + deadline).saturating_sub(io.now());
+            request.bytes = with_remaining_time(&request.bytes, time_left);
+            return self.write_request(io, rpc_index);
         }
-        let wrote = io.waiting(conn) == 0;
-        self.finish_rpc(io, number, if wrote { RpcOutcome::Cut } else { RpcOutcome::Unreached });
+        let fully_sent = io.waiting(conn) == 0;
+        self.finish_rpc(io, rpc_index, if fully_sent { RpcOutcome::Cut } else { RpcOutcome::Unreached });
     }
 
-    fn finish_rpc(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
-        self.pending.remove(&call);
-        let call = &mut self.rpcs[call];
-        if call.outcome == RpcOutcome::Open {
-            (call.outcome, call.ended_at) = (outcome, io.now());
+    fn finish_rpc(&mut self, io: &mut Io, rpc_index: usize, outcome: RpcOutcome) {
+        self.pending.remove(&rpc_index);
+        let rpc = &mut self.rpcs[rpc_index];
+        if rpc.outcome == RpcOutcome::Open {
+            (rpc.outcome, rpc.ended_at) = (outcome, io.now());
         }
     }
 
-    /// A gateway failed just now: the front notices somewhat later.
+    /// Marks a gateway as failing. The load generator stops sending to it after the detection delay.
     fn mark_failing(&mut self, io: &mut Io, gateway: usize) {
         if self.gateways[gateway].state == GatewayState::Admitted {
             self.set_state(gateway, GatewayState::Failing(io.now()));
         }
     }
 
+    /// Marks failing gateways as down after the detection delay, and probes those that are down.
     fn probe_gateways(&mut self, io: &mut Io) {
         for gateway in 0..self.gateways.len() {
             if let GatewayState::Failing(since) = self.gateways[gateway].state
@@ -522,13 +542,13 @@
             {
                 self.set_state(gateway, GatewayState::Down);
             }
-            let at = &mut self.gateways[gateway];
-            let asked = at.probe.is_some_and(|conn| io.is_open(conn));
-            if at.state == GatewayState::Down
-                && !asked
-                && let Ok(conn) = io.connect(at.address)
+            let target = &mut self.gateways[gateway];
+            let probing = target.probe.is_some_and(|conn| io.is_open(conn));
+            if target.state == GatewayState::Down
+                && !probing
+                && let Ok(conn) = io.connect(target.address)
             {
-                at.probe = Some(conn);
+                target.probe = Some(conn);
                 self.connections.insert(conn, (gateway, ConnectionUse::Probe));
                 io.send(conn, b"GET /-/ready HTTP/1.1\r\nHost: gateway\r\n\r\n");
             }
@@ -537,18 +557,24 @@
     }
 }
 
-/// The same message with another time that its client waits.
-fn with_remaining_time(message: &[u8], left: Nanos) -> Vec<u8> {
-    let text = String::from_utf8_lossy(message);
+/// Returns the request with the remaining time replaced.
+fn with_remaining_time(request: &[u8], time_left: Nanos) -> Vec<u8> {
+    let text = String::from_utf8_lossy(request);
     let lines = text.split("\r\n").map(|line| match line.strip_prefix(REMAINING_HEADER) {
-        Some(_) => format!("{REMAINING_HEADER}{}", left / MS),
+        Some(_) => format!("{REMAINING_HEADER}{}", time_left / MS),
         None => line.to_string(),
     });
     lines.collect::<Vec<String>>().join("\r\n").into_bytes()
 }
 
-fn format_request(plan: &str, method: &Method, txn: u64, key: usize, customer: &Customer) -> String {
-    let lines = format!(
+fn format_request(
+    plan: &str,
+    method: &Method,
+    txn: u64,
+    customer_index: usize,
+    customer: &Customer,
+) -> String {
+    let headers = format!(
         "Host: service.internal\r\nX-Txn: {txn:016x}\r\nX-Lane: {}\r\nX-Contract: {plan}\r\n\
          X-Remaining-Ms: {}\r\nX-Metering: units={},spread={},first={}\r\n",
         method.name,
@@ -557,27 +583,27 @@
         customer.gateway_count,
         customer.first_gateway
     );
-    let path = format!("/api/{key:016x}");
+    let path = format!("/api/{customer_index:016x}");
     match method.idempotency.as_str() {
-        "free" => format!("GET {path} HTTP/1.1\r\n{lines}\r\n"),
+        "free" => format!("GET {path} HTTP/1.1\r\n{headers}\r\n"),
         "guarded" => format!(
-            "POST {path} HTTP/1.1\r\n{lines}Idempotency-Key: {txn:032x}\r\nContent-Length: 4\r\n\r\nbody"
+            "POST {path} HTTP/1.1\r\n{headers}Idempotency-Key: {txn:032x}\r\nContent-Length: 4\r\n\r\nbody"
         ),
-        _ => format!("POST {path} HTTP/1.1\r\n{lines}Content-Length: 4\r\n\r\nbody"),
+        _ => format!("POST {path} HTTP/1.1\r\n{headers}Content-Length: 4\r\n\r\nbody"),
     }
 }
 
 impl Service for LoadGenerator {
-    /// What waited for its connection is sent now.
+    /// Sets the time of sending of a request that waited for its connection to be established.
     fn up(&mut self, io: &mut Io, conn: Conn) {
-        let Some((_, ConnectionUse::Rpc(number))) = self.connections.get(&conn).copied() else { return };
-        if self.pending.get(&number).is_some_and(|message| message.fully_written && !message.resent) {
-            self.rpcs[number].sent_at = io.clock().now();
+        let Some((_, ConnectionUse::Rpc(rpc_index))) = self.connections.get(&conn).copied() else { return };
+        if self.pending.get(&rpc_index).is_some_and(|request| request.fully_written && !request.resent) {
+            self.rpcs[rpc_index].sent_at = io.clock().now();
         }
     }
 
     fn came(&mut self, io: &mut Io, conn: Conn) {
-        let Some((gateway, what)) = self.connections.get(&conn).copied() else { return };
+        let Some((gateway, usage)) = self.connections.get(&conn).copied() else { return };
         let answer = match http::answer(io.input(conn)) {
             Ok(Some(answer)) => answer,
             Ok(None) => return,
@@ -587,7 +613,7 @@
             }
         };
         io.used(conn, answer.length);
-        match what {
+        match usage {
             ConnectionUse::Probe => {
                 self.connections.remove(&conn);
                 io.close(conn);
@@ -597,12 +623,13 @@
                 }
             }
             ConnectionUse::Idle => self.unexpected_answers += 1,
-            ConnectionUse::Silent => {} // the error that whoever says nothing gets
-            ConnectionUse::Rpc(call) => {
-                let fresh = self.pending.get(&call).is_some_and(|message| message.close_after_answer);
+            ConnectionUse::Silent => {} // the error answer to a client that sends nothing
+            ConnectionUse::Rpc(rpc_index) => {
+                let close_after_answer =
+                    self.pending.get(&rpc_index).is_some_and(|request| request.close_after_answer);
                 self.finish_rpc(
                     io,
-                    call,
+                    rpc_index,
                     match answer.status {
                         200 => RpcOutcome::Ok,
                         429 | 503 => RpcOutcome::PushedBack,
@@ -610,7 +637,7 @@
                     },
                 );
                 let closes = |value: &str| value.eq_ignore_ascii_case("close");
-                if fresh || answer.header("connection").is_some_and(closes) {
+                if close_after_answer || answer.header("connection").is_some_and(closes) {
                     self.connections.remove(&conn);
                     io.close(conn);
                 } else {
@@ -624,8 +651,8 @@
     fn over(&mut self, io: &mut Io, conn: Conn) {
         match self.connections.remove(&conn) {
             Some((gateway, ConnectionUse::Probe)) => self.gateways[gateway].probe = None,
-            Some((gateway, ConnectionUse::Rpc(call))) => {
-                self.connection_lost(io, conn, call);
+            Some((gateway, ConnectionUse::Rpc(rpc_index))) => {
+                self.connection_lost(io, conn, rpc_index);
                 self.mark_failing(io, gateway);
             }
             Some((_, ConnectionUse::Idle | ConnectionUse::Silent)) | None => {}
@@ -637,32 +664,39 @@
             ARRIVAL_TIMER => self.send_due_arrivals(io),
             PROBE_TIMER => self.probe_gateways(io),
             SILENT_CONNECTIONS_TIMER => self.open_silent_connections(io),
-            call => {
-                let number = (call & RPC_INDEX_MASK) as usize;
-                match call & !RPC_INDEX_MASK {
-                    FIRST_WRITE => self.write_request(io, number),
-                    SECOND_WRITE => self.write_second_half(io, number),
+            rpc_token => {
+                let rpc_index = (rpc_token & RPC_INDEX_MASK) as usize;
+                match rpc_token & !RPC_INDEX_MASK {
+                    FIRST_WRITE => self.write_request(io, rpc_index),
+                    SECOND_WRITE => self.write_second_half(io, rpc_index),
                     RESUME_READING => {
-                        if let Some(conn) = self.pending.get(&number).and_then(|message| message.conn) {
+                        if let Some(conn) = self.pending.get(&rpc_index).and_then(|request| request.conn) {
                             io.hold(conn, false);
                         }
                     }
-                    ABANDON => self.abandon(io, number, RpcOutcome::Left),
-                    _ => self.abandon(io, number, RpcOutcome::Lost),
+                    ABANDON => self.abandon(io, rpc_index, RpcOutcome::Left),
+                    _ => self.abandon(io, rpc_index, RpcOutcome::Lost),
                 }
             }
         }
     }
 }
 
-/// How late the front was: due to written, in nanoseconds, at these quantiles and at most.
-pub fn lateness(calls: &[ClientRpc]) -> (Nanos, Nanos, Nanos) {
-    let mut late: Vec<Nanos> =
-        calls.iter().map(|call| call.sent_at.saturating_sub(call.scheduled_at)).collect();
-    late.sort_unstable();
-    let at = |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
-    (at(0.5).copied().unwrap_or(0), at(0.99).copied().unwrap_or(0), late.last().copied().unwrap_or(0))
+/// Returns the median, the 99th percentile and the maximum of the load generator's lateness: the time from the scheduled
+/// to the actual sending, in nanoseconds.
+pub fn lateness(rpcs: &[ClientRpc]) -> (Nanos, Nanos, Nanos) {
+    let mut lateness: Vec<Nanos> =
+        rpcs.iter().map(|rpc| rpc.sent_at.saturating_sub(rpc.scheduled_at)).collect();
+    lateness.sort_unstable();
+    let quantile = |share: f64| {
+        lateness.get(((lateness.len() as f64 * share) as usize).min(lateness.len().saturating_sub(1)))
+    };
+    (
+        quantile(0.5).copied().unwrap_or(0),
+        quantile(0.99).copied().unwrap_or(0),
+        lateness.last().copied().unwrap_or(0),
+    )
 }
 
-/// A run whose front was later than this for one RPC in a hundred is void.
+/// A run is void if the 99th percentile of the load generator's lateness exceeds this.
 pub const MAX_LATENESS: Nanos = SEC / 20;
