--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -216,7 +216,7 @@
             counter_address: loopback::COUNTER,
             servers_address: loopback::next_server_address(),
         };
-        fleet.counter_address = fleet.counter.with(|counter, io| counter.open(io, loopback::COUNTER))?;
+        fleet.counter_address = fleet.counter.with(|counter, io| counter.listen(io, loopback::COUNTER))?;
         for group in &scenario.servers {
             for _ in 0..group.count {
                 let number = fleet.add_server(group, true)?;
@@ -247,16 +247,17 @@
             let gateway_state = &mut self.gateways[gateway];
             if let Some(program) = &mut gateway_state.program {
                 let term_sent = gateway_state.term_sent_at.is_some();
-                if let Some(status) = program.ended().filter(|status| !(term_sent && status.success())) {
+                if let Some(status) = program.exit_status().filter(|status| !(term_sent && status.success()))
+                {
                     self.crashed.push(format!("n{} exited by itself with {status:?}", gateway_state.number));
-                } else if program.ended().is_none() {
-                    let _ = program.send(Signal::TERM);
+                } else if program.exit_status().is_none() {
+                    let _ = program.send_signal(Signal::TERM);
                 }
             }
         }
         (0..self.gateways.len()).for_each(|gateway| self.wait_for_exit(gateway, true));
         let (server_rpcs, open_connections) = self.servers.with(|servers, _| {
-            (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connections))
+            (std::mem::take(&mut servers.ledger), std::mem::take(&mut servers.connection_samples))
         });
         let (client_rpcs, unexpected_answers, resent_rpcs) = self.load_generator.with(|generator, _| {
             (std::mem::take(&mut generator.rpcs), generator.unexpected_answers, generator.resent_rpcs)
@@ -283,7 +284,7 @@
             step_counts: self.step_counts,
             resent_rpcs,
             counter_calls: self.counter.with(|counter, _| counter.calls),
-            list_bytes: self.discovery.with(|discovery, _| discovery.told_bytes),
+            list_bytes: self.discovery.with(|discovery, _| discovery.list_bytes_sent),
         }
     }
 }
--- a/crates/rig/src/fleet/gateways.rs
+++ b/crates/rig/src/fleet/gateways.rs
@@ -27,14 +27,14 @@
         }
         let agent = self
             .discovery
-            .with(move |discovery, io| discovery.agent(io, loopback::DISCOVERY, link_addresses))?;
+            .with(move |discovery, io| discovery.add_agent(io, loopback::DISCOVERY, link_addresses))?;
         let faults = self.faults_between(number, |place| *place == Place::Discovery);
         let discovery = self.link_address(faults, &format!("discovery of {number}"), agent)?;
         let faults = self.faults_between(number, |place| *place == Place::Counter);
         let counter = self.link_address(faults, "counter", self.counter_address)?;
         let listen = loopback::GATEWAYS;
         let (_, broadcast_address) =
-            self.relays.with(|relays, io| relays.member(io, loopback::BROADCAST_RELAY))?;
+            self.relays.with(|relays, io| relays.add_member(io, loopback::BROADCAST_RELAY))?;
         self.gateways.push(Gateway {
             number,
             fleet_size,
@@ -62,7 +62,7 @@
         settings["zone"] = json!(state.number % self.scenario.zones.len());
         settings["localities"] = json!(self.scenario.zones);
         let number = state.number;
-        let known = self.discovery.with(move |discovery, _| discovery.known(number));
+        let known = self.discovery.with(move |discovery, _| discovery.snapshot(number));
         let mut configuration = json!({"name": format!("n{}", state.number), "listen": state.listen.to_string(),
             "discovery": state.discovery.to_string(), "counter": state.counter.to_string(),
             "seed": format!("{:016x}", self.seed_rng.random::<u64>()),
@@ -111,7 +111,7 @@
             let listen = program.address;
             let peer_address = loopback::peer_address(&lines);
             let member = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(member, peer_address));
+            self.relays.with(move |relays, _| relays.set_receiver(member, peer_address));
             self.gateways[*gateway].listen = listen;
             if first_start {
                 let faults = self.faults_between(*gateway, |place| *place == Place::LoadGenerator);
@@ -129,13 +129,13 @@
         let state = &mut self.gateways[gateway];
         let Some(mut program) = state.program.take() else { return };
         let deadline = self.clock.now() + DRAIN_TIMEOUT;
-        while program.ended().is_none() && self.clock.now() < deadline {
+        while program.exit_status().is_none() && self.clock.now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let status = program.ended();
+        let status = program.exit_status();
         if after_sigterm && status.is_none_or(|status| !status.success()) {
             self.crashed.push(format!("n{} exited with {status:?} after SIGTERM", state.number));
         }
-        state.log_lines.extend(program.lines_now());
+        state.log_lines.extend(program.new_lines());
     }
 }
--- a/crates/rig/src/fleet/script.rs
+++ b/crates/rig/src/fleet/script.rs
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use standins::counter::State;
 use standins::discovery::Mode;
-use standins::relay::{Faults, Gate, Path as RelayPath};
+use standins::relay::{AcceptMode, Faults, PathFaults};
 use standins::servers::Health;
 
 /// The platform sends SIGKILL no earlier than the longest deadline, capped at `MAX_DEADLINE_SECONDS`, plus
@@ -313,16 +313,16 @@
 
 /// Converts a link effect of the scenario into the faults of a relay.
 fn relay_faults(effect: &LinkEffect) -> Faults {
-    let path = |cut: bool| RelayPath {
+    let path = |cut: bool| PathFaults {
         cut,
         delay: nanos(effect.delay_ms / 1e3),
-        lose: effect.lose,
-        ..RelayPath::default()
+        loss: effect.lose,
+        ..PathFaults::default()
     };
-    let gate = match (effect.reset, effect.silent) {
-        (true, _) => Gate::Resets,
-        (_, true) => Gate::Silent,
-        _ => Gate::Passes,
+    let accept = match (effect.reset, effect.silent) {
+        (true, _) => AcceptMode::Reset,
+        (_, true) => AcceptMode::Discard,
+        _ => AcceptMode::Forward,
     };
-    Faults { gate, there: path(effect.cut_there), back: path(effect.cut_back) }
+    Faults { accept, to_target: path(effect.cut_there), from_target: path(effect.cut_back) }
 }
--- a/crates/rig/src/fleet/steps.rs
+++ b/crates/rig/src/fleet/steps.rs
@@ -37,7 +37,7 @@
                 // If faults overlap, another one may have started the process again already; it is left alone then.
                 let mut can_start = |gateway: &usize| {
                     let state = &mut self.gateways[*gateway];
-                    let ended = state.program.as_mut().is_none_or(|program| program.ended().is_some());
+                    let ended = state.program.as_mut().is_none_or(|program| program.exit_status().is_some());
                     ended || wait_for_exit && state.term_sent_at.is_some()
                 };
                 let gateways: Vec<usize> =
@@ -70,9 +70,9 @@
             }
             Step::Agents { agents, mode, versions_back } => self.set_agents(agents, mode, versions_back)?,
             Step::CounterState(state) => {
-                self.counter.with(move |counter, io| counter.become_(io, state)).map_err(step_error)?;
+                self.counter.with(move |counter, io| counter.set_state(io, state)).map_err(step_error)?;
             }
-            Step::EmptyCounter => self.counter.with(|counter, _| counter.empty()),
+            Step::EmptyCounter => self.counter.with(|counter, _| counter.clear()),
             Step::Crowd { rate } => {
                 self.load_generator.with(move |generator, io| generator.set_silent_connection_rate(io, rate))
             }
@@ -81,7 +81,7 @@
             }
             Step::Links { links, faults } => {
                 self.relays.with(move |relays, io| {
-                    links.into_iter().for_each(|link| relays.set(io, link, faults));
+                    links.into_iter().for_each(|link| relays.set_faults(io, link, faults));
                 });
             }
         }
@@ -109,11 +109,11 @@
     fn signal(&mut self, gateways: Vec<usize>, signal: Signal) -> Result<(), String> {
         for gateway in gateways {
             let Some(program) = &mut self.gateways[gateway].program else { continue };
-            if program.ended().is_some() {
+            if program.exit_status().is_some() {
                 continue; // another fault has ended this process already
             }
             let now = self.clock.now();
-            program.send(signal).map_err(step_error)?;
+            program.send_signal(signal).map_err(step_error)?;
             if signal == Signal::TERM {
                 self.gateways[gateway].term_sent_at.get_or_insert(now);
             }
@@ -131,8 +131,8 @@
         let mut paused = Vec::new();
         for gateway in gateways {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.send(Signal::STOP).map_err(step_error)?;
+            if program.exit_status().is_none() {
+                program.send_signal(Signal::STOP).map_err(step_error)?;
                 paused.push(program.pid());
             }
         }
@@ -177,8 +177,8 @@
                 continue; // this process started after the SIGTERM that the step refers to
             }
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.send(Signal::KILL).map_err(step_error)?;
+            if program.exit_status().is_none() {
+                program.send_signal(Signal::KILL).map_err(step_error)?;
                 let number = self.gateways[*gateway].number;
                 self.crashed.push(format!("n{number} was still running when it was killed"));
                 self.wait_for_exit(*gateway, false);
@@ -192,9 +192,9 @@
         for gateway in gateways {
             let text = self.configuration_text(*gateway);
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
-            if program.ended().is_none() {
-                program.rewrite(&text);
-                program.send(Signal::HUP).map_err(step_error)?;
+            if program.exit_status().is_none() {
+                program.rewrite_config(&text);
+                program.send_signal(Signal::HUP).map_err(step_error)?;
             }
         }
         Ok(())
@@ -225,8 +225,8 @@
             self.gateways[gateway].fleet_size = new_size;
             let text = self.configuration_text(gateway);
             if let Some(program) = &self.gateways[gateway].program {
-                program.rewrite(&text);
-                program.send(Signal::HUP).map_err(step_error)?;
+                program.rewrite_config(&text);
+                program.send_signal(Signal::HUP).map_err(step_error)?;
             }
         }
         self.start_gateways(&(old_size..new_size).collect::<Vec<_>>())?;
@@ -250,7 +250,7 @@
     }
 
     fn set_health(&mut self, server: usize, health: Health) -> Result<(), String> {
-        self.servers.with(move |servers, io| servers.become_(io, server, health)).map_err(step_error)
+        self.servers.with(move |servers, io| servers.set_health(io, server, health)).map_err(step_error)
     }
 
     /// Sets the health of servers and records since when they are ready.
@@ -259,7 +259,7 @@
             self.set_health(server, health)?;
             self.record_readiness(server, health != Health::Down && health != Health::Silent);
             if health == Health::Well {
-                let since = self.servers.with(move |servers, _| servers.since(server));
+                let since = self.servers.with(move |servers, _| servers.started_at(server));
                 let since_ms = if since == 0 { 0 } else { self.clock.unix_ms(since) };
                 self.entries[server].since_ms = since_ms;
             }
@@ -272,7 +272,7 @@
         for agent in agents {
             let set = self.discovery.with(move |discovery, io| {
                 let version = (versions_back > 0).then(|| discovery.index().saturating_sub(versions_back));
-                discovery.set(io, agent, mode, version)
+                discovery.set_mode(io, agent, mode, version)
             });
             set.map_err(step_error)?;
         }
--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::Exp1;
 use standins::http;
-use standins::reactor::{Conn, Io, Service};
+use standins::reactor::{ConnId, EventHandler, Io};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -154,8 +154,8 @@
 struct Gateway {
     address: SocketAddr,
     state: GatewayState,
-    idle_connections: Vec<Conn>,
-    probe: Option<Conn>,
+    idle_connections: Vec<ConnId>,
+    probe: Option<ConnId>,
 }
 
 /// What a connection is used for.
@@ -172,7 +172,7 @@
 #[derive(Clone, Debug)]
 struct PendingRequest {
     bytes: Vec<u8>,
-    conn: Option<Conn>,
+    conn: Option<ConnId>,
     /// The connection was open before this request, so the gateway may close it while the request is in flight.
     preexisting_conn: bool,
     /// The client closes the connection after the answer.
@@ -185,7 +185,7 @@
 pub struct LoadGenerator {
     profile: LoadProfile,
     gateways: Vec<Gateway>,
-    connections: BTreeMap<Conn, (usize, ConnectionUse)>,
+    connections: BTreeMap<ConnId, (usize, ConnectionUse)>,
     /// Requests of the open RPCs, by index.
     pending: BTreeMap<usize, PendingRequest>,
     /// RPCs that were resent because the gateway closed the connection while the request was in flight.
@@ -238,7 +238,7 @@
     /// Adds a gateway, which is probed from now on.
     pub fn add_gateway(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
-            io.at(io.now(), PROBE_TIMER);
+            io.set_timer(io.now(), PROBE_TIMER);
         }
         self.gateways.push(Gateway {
             address,
@@ -258,7 +258,7 @@
         self.running = running;
         if running {
             self.next_arrival = io.now();
-            io.at(self.next_arrival, ARRIVAL_TIMER);
+            io.set_timer(self.next_arrival, ARRIVAL_TIMER);
         }
     }
 
@@ -274,14 +274,14 @@
         self.silent_rate = rate;
         self.flooded_until = io.now() + FLOOD_AFTERMATH;
         if starts {
-            io.at(io.now(), SILENT_CONNECTIONS_TIMER);
+            io.set_timer(io.now(), SILENT_CONNECTIONS_TIMER);
         }
     }
 
     fn open_silent_connections(&mut self, io: &mut Io) {
         if self.silent_rate == 0.0 {
             let silent = self.connections.iter().filter(|(_, (_, usage))| *usage == ConnectionUse::Silent);
-            let silent: Vec<Conn> = silent.map(|(conn, _)| *conn).collect();
+            let silent: Vec<ConnId> = silent.map(|(conn, _)| *conn).collect();
             for conn in silent {
                 self.connections.remove(&conn);
                 io.close(conn);
@@ -298,7 +298,7 @@
                 }
             }
         }
-        io.at(io.now() + SILENT_CONNECTIONS_INTERVAL, SILENT_CONNECTIONS_TIMER);
+        io.set_timer(io.now() + SILENT_CONNECTIONS_INTERVAL, SILENT_CONNECTIONS_TIMER);
     }
 
     /// Replaces the customers, for a fleet of another size.
@@ -330,7 +330,7 @@
             self.send_rpc(io, scheduled_at);
         }
         if self.running {
-            io.at(self.next_arrival, ARRIVAL_TIMER);
+            io.set_timer(self.next_arrival, ARRIVAL_TIMER);
         }
     }
 
@@ -399,9 +399,9 @@
         rpc.scheduled_at += delay;
         rpc.sent_at += delay;
         if behaviour.abandon_share > 0.0 && self.rng.random_bool(behaviour.abandon_share) {
-            io.at(rpc.scheduled_at + self.rng.random_range(0..deadline), ABANDON | rpc_index as u64);
+            io.set_timer(rpc.scheduled_at + self.rng.random_range(0..deadline), ABANDON | rpc_index as u64);
         }
-        io.at(rpc.scheduled_at + deadline + DEADLINE_SLACK, rpc_index as u64);
+        io.set_timer(rpc.scheduled_at + deadline + DEADLINE_SLACK, rpc_index as u64);
         self.pending.insert(
             rpc_index,
             PendingRequest {
@@ -415,14 +415,14 @@
         );
         self.rpcs.push(rpc);
         if connect_early {
-            io.at(scheduled_at + delay, FIRST_WRITE | rpc_index as u64);
+            io.set_timer(scheduled_at + delay, FIRST_WRITE | rpc_index as u64);
         } else {
             self.write_request(io, rpc_index);
         }
     }
 
     /// Takes an idle connection to a gateway that is still open.
-    fn take_idle_connection(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
+    fn take_idle_connection(&mut self, io: &mut Io, gateway: usize) -> Option<ConnId> {
         loop {
             let conn = self.gateways[gateway].idle_connections.pop()?;
             if io.is_open(conn) {
@@ -455,7 +455,7 @@
             self.rpcs[rpc_index].sent_at = io.clock().now();
         }
         if split {
-            io.at(
+            io.set_timer(
                 io.now() + self.rng.random_range(0..MAX_SECOND_WRITE_DELAY),
                 SECOND_WRITE | rpc_index as u64,
             );
@@ -463,8 +463,11 @@
         let slow_share = self.profile.behaviour.slow_read_share;
         if slow_share > 0.0 && self.rng.random_bool(slow_share) {
             let Some(conn) = self.pending.get(&rpc_index).and_then(|request| request.conn) else { return };
-            io.hold(conn, true);
-            io.at(io.now() + self.rng.random_range(0..MAX_READ_PAUSE), RESUME_READING | rpc_index as u64);
+            io.set_read_paused(conn, true);
+            io.set_timer(
+                io.now() + self.rng.random_range(0..MAX_READ_PAUSE),
+                RESUME_READING | rpc_index as u64,
+            );
         }
     }
 
@@ -495,7 +498,7 @@
     /// Handles the end of an RPC's connection without an answer. If the connection was open before the request, the
     /// gateway may have closed it while the request was in flight, and the request is resent on a new connection; likewise
     /// during a flood of silent connections. If the connection was never established, the RPC counts as unreached.
-    fn connection_lost(&mut self, io: &mut Io, conn: Conn, rpc_index: usize) {
+    fn connection_lost(&mut self, io: &mut Io, conn: ConnId, rpc_index: usize) {
         let Some(request) = self.pending.get_mut(&rpc_index) else { return };
         request.conn = None;
         if !request.fully_written {
@@ -515,7 +518,7 @@
             request.bytes = with_remaining_time(&request.bytes, time_left);
             return self.write_request(io, rpc_index);
         }
-        let fully_sent = io.waiting(conn) == 0;
+        let fully_sent = io.unsent_bytes(conn) == 0;
         self.finish_rpc(io, rpc_index, if fully_sent { RpcOutcome::Cut } else { RpcOutcome::Unreached });
     }
 
@@ -553,7 +556,7 @@
                 io.send(conn, b"GET /-/ready HTTP/1.1\r\nHost: gateway\r\n\r\n");
             }
         }
-        io.at(io.now() + PROBE_INTERVAL, PROBE_TIMER);
+        io.set_timer(io.now() + PROBE_INTERVAL, PROBE_TIMER);
     }
 }
 
@@ -593,26 +596,26 @@
     }
 }
 
-impl Service for LoadGenerator {
+impl EventHandler for LoadGenerator {
     /// Sets the time of sending of a request that waited for its connection to be established.
-    fn up(&mut self, io: &mut Io, conn: Conn) {
+    fn on_connect(&mut self, io: &mut Io, conn: ConnId) {
         let Some((_, ConnectionUse::Rpc(rpc_index))) = self.connections.get(&conn).copied() else { return };
         if self.pending.get(&rpc_index).is_some_and(|request| request.fully_written && !request.resent) {
             self.rpcs[rpc_index].sent_at = io.clock().now();
         }
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some((gateway, usage)) = self.connections.get(&conn).copied() else { return };
-        let answer = match http::answer(io.input(conn)) {
+        let answer = match http::parse_response(io.input(conn)) {
             Ok(Some(answer)) => answer,
             Ok(None) => return,
             Err(_) => {
-                self.over(io, conn);
+                self.on_close(io, conn);
                 return io.close(conn);
             }
         };
-        io.used(conn, answer.length);
+        io.consume(conn, answer.length);
         match usage {
             ConnectionUse::Probe => {
                 self.connections.remove(&conn);
@@ -648,7 +651,7 @@
         }
     }
 
-    fn over(&mut self, io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, io: &mut Io, conn: ConnId) {
         match self.connections.remove(&conn) {
             Some((gateway, ConnectionUse::Probe)) => self.gateways[gateway].probe = None,
             Some((gateway, ConnectionUse::Rpc(rpc_index))) => {
@@ -659,7 +662,7 @@
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         match token {
             ARRIVAL_TIMER => self.send_due_arrivals(io),
             PROBE_TIMER => self.probe_gateways(io),
@@ -671,7 +674,7 @@
                     SECOND_WRITE => self.write_second_half(io, rpc_index),
                     RESUME_READING => {
                         if let Some(conn) = self.pending.get(&rpc_index).and_then(|request| request.conn) {
-                            io.hold(conn, false);
+                            io.set_read_paused(conn, false);
                         }
                     }
                     ABANDON => self.abandon(io, rpc_index, RpcOutcome::Left),
