--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -1,17 +1,18 @@
-//! How evenly the load came to the servers: per server and window, RPCs, RPCs held and connections over the server's
-//! weight, beside two references for the same arrivals. `chance` sends each to a server drawn by weight, `central` is
-//! a dispatcher that sees all and sends each to the server with the least held for its weight.
+//! Computes how evenly the load is spread over the servers: RPCs, RPCs in service and open connections per server and
+//! time window, relative to the server's weight. Two reference assignments of the same arrivals serve for comparison:
+//! one sends each RPC to a server drawn at random by weight, the other is a central dispatcher that sends each RPC to the
+//! server with the fewest RPCs in service for its weight.
 
 use crate::{Nanos, Stream, stream_rng};
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use standins::servers::{Row, RpcOutcome};
 
-/// A server over the run: its weight, and the spans in which it was up and listed as ready.
+/// A server's weight, and the time spans in which it was up and listed as ready.
 #[derive(Clone, Debug)]
 pub struct ServerHistory {
-    /// Its weight as listed.
+    /// Its weight in discovery's list.
     pub weight: f64,
-    /// Spans in which it was ready, open ones up to the largest time.
+    /// Spans in which it was ready. A span that has not ended extends to `Nanos::MAX`.
     pub ready_spans: Vec<(Nanos, Nanos)>,
 }
 
@@ -21,44 +22,45 @@
     }
 }
 
-/// An RPC at a server, as far as the measures need it.
+/// An RPC in service at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRpc {
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// When it came.
+    /// When it arrived.
     pub arrived_at: Nanos,
-    /// When it left.
+    /// When it left the server.
     pub ended_at: Nanos,
 }
 
-/// All RPCs that a server took in; what it turned away at once was never held.
-pub fn accepted_rpcs(ledger: &[Row], until: Nanos) -> Vec<ServerRpc> {
-    let held = |row: &&Row| row.outcome != RpcOutcome::TurnedAway;
-    let visit = |row: &Row| ServerRpc {
+/// Returns all RPCs that a server accepted. Those that a full server refused at once are left out: they were never in
+/// service. RPCs that are still open end at `until`.
+pub fn accepted_rpcs(rows: &[Row], until: Nanos) -> Vec<ServerRpc> {
+    let accepted = |row: &&Row| row.outcome != RpcOutcome::TurnedAway;
+    let server_rpc = |row: &Row| ServerRpc {
         server: row.server as usize,
         arrived_at: row.received_at,
         ended_at: if row.outcome == RpcOutcome::Open { until } else { row.finished_at },
     };
-    ledger.iter().filter(held).map(visit).collect()
+    rows.iter().filter(accepted).map(server_rpc).collect()
 }
 
-/// What is looked at.
+/// The quantity that is compared between servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quantity {
-    /// RPCs that came.
+    /// RPCs that arrived.
     Rpcs,
-    /// RPCs in the server on average over the window.
+    /// RPCs in service, averaged over the window.
     Held,
     /// Open connections.
     Connections,
 }
 
 impl Quantity {
-    /// All of them.
+    /// All quantities.
     pub const ALL: [Quantity; 3] = [Quantity::Rpcs, Quantity::Held, Quantity::Connections];
 
-    /// Its name in tables.
+    /// The quantity's name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::Rpcs => "rpcs",
@@ -68,22 +70,23 @@
     }
 }
 
-/// One window: each server's value over its weight, for those that were ready throughout.
+/// One time window, with the values of the servers that were ready throughout it.
 #[derive(Clone, Debug)]
 pub struct Window {
-    /// When the window begins.
+    /// Start of the window.
     pub from: Nanos,
-    /// Servers and their values over their weights.
+    /// Servers and their values divided by their weights.
     pub values: Vec<(usize, f64)>,
 }
 
 impl Window {
-    /// The mean over the servers.
+    /// Returns the mean over the servers.
     pub fn mean(&self) -> f64 {
         self.values.iter().map(|value| value.1).sum::<f64>() / self.values.len().max(1) as f64
     }
 
-    /// Over the mean: the highest, the p99 by nearest rank, and the lowest. Nothing where nothing came.
+    /// Returns the highest value, the 99th percentile (nearest rank) and the lowest value, each divided by the mean, or
+    /// `None` if the mean is 0.
     pub fn spread(&self) -> Option<[f64; 3]> {
         let mean = self.mean();
         let mut sorted: Vec<f64> = self.values.iter().map(|value| value.1 / mean).collect();
@@ -93,14 +96,14 @@
     }
 }
 
-/// Windows of a run from `from` to `to`, whole ones only.
+/// Consecutive time windows of equal width. Only whole windows count.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowSeries {
-    /// When the first window begins.
+    /// Start of the first window.
     pub from: Nanos,
-    /// When the last one ends at the latest.
+    /// Latest end of the last window.
     pub to: Nanos,
-    /// How long each is.
+    /// Length of each window.
     pub width: Nanos,
 }
 
@@ -109,183 +112,184 @@
         (self.to.saturating_sub(self.from) / self.width.max(1)) as usize
     }
 
-    /// The values of each server in each window.
-    pub fn windows(
-        &self,
-        servers: &[ServerHistory],
-        visits: &[ServerRpc],
-        quantity: Quantity,
-    ) -> Vec<Window> {
+    /// Returns the values of each server in each window, from the RPCs in service.
+    pub fn windows(&self, servers: &[ServerHistory], rpcs: &[ServerRpc], quantity: Quantity) -> Vec<Window> {
         let mut sums = vec![vec![0.0; servers.len()]; self.count()];
-        let place = |at: Nanos| (at.saturating_sub(self.from) / self.width) as usize;
-        for visit in visits {
+        let window_at = |at: Nanos| (at.saturating_sub(self.from) / self.width) as usize;
+        for rpc in rpcs {
             if quantity == Quantity::Rpcs {
-                if visit.arrived_at >= self.from && place(visit.arrived_at) < sums.len() {
-                    sums[place(visit.arrived_at)][visit.server] += 1.0;
+                if rpc.arrived_at >= self.from && window_at(rpc.arrived_at) < sums.len() {
+                    sums[window_at(rpc.arrived_at)][rpc.server] += 1.0;
                 }
                 continue;
             }
-            let (at, done) = (visit.arrived_at.max(self.from), visit.ended_at);
-            for (window, sum) in sums.iter_mut().enumerate().skip(place(at)) {
+            let (arrived_at, ended_at) = (rpc.arrived_at.max(self.from), rpc.ended_at);
+            for (window, sum) in sums.iter_mut().enumerate().skip(window_at(arrived_at)) {
                 let start = self.from + window as Nanos * self.width;
-                if done <= start {
+                if ended_at <= start {
                     break;
                 }
-                let inside = done.min(start + self.width).saturating_sub(at.max(start));
-                sum[visit.server] += inside as f64 / self.width as f64;
+                let inside = ended_at.min(start + self.width).saturating_sub(arrived_at.max(start));
+                sum[rpc.server] += inside as f64 / self.width as f64;
             }
         }
         self.divide_by_weight(servers, sums)
     }
 
-    /// Likewise from samples of open connections, the highest of each window.
+    /// Returns the values of each server in each window, as the highest sample of its open connections.
     pub fn connections(&self, servers: &[ServerHistory], samples: &[(Nanos, Vec<u32>)]) -> Vec<Window> {
-        let mut most = vec![vec![0.0; servers.len()]; self.count()];
+        let mut highest = vec![vec![0.0; servers.len()]; self.count()];
         for (at, open) in samples.iter().filter(|sample| sample.0 >= self.from) {
-            if let Some(window) = most.get_mut(((at - self.from) / self.width) as usize) {
+            if let Some(window) = highest.get_mut(((at - self.from) / self.width) as usize) {
                 window
                     .iter_mut()
                     .zip(open)
-                    .for_each(|(most, open)| *most = f64::max(*most, f64::from(*open)));
+                    .for_each(|(highest, open)| *highest = f64::max(*highest, f64::from(*open)));
             }
         }
-        self.divide_by_weight(servers, most)
+        self.divide_by_weight(servers, highest)
     }
 
     fn divide_by_weight(&self, servers: &[ServerHistory], values: Vec<Vec<f64>>) -> Vec<Window> {
-        let window = |(at, values): (usize, Vec<f64>)| {
-            let from = self.from + at as Nanos * self.width;
+        let window = |(index, values): (usize, Vec<f64>)| {
+            let from = self.from + index as Nanos * self.width;
             let ready = |server: &usize| servers[*server].is_ready(from, from + self.width);
             let values = values.into_iter().enumerate().filter(|(server, _)| ready(server));
-            Window { from, values: values.map(|(at, value)| (at, value / servers[at].weight)).collect() }
+            Window {
+                from,
+                values: values.map(|(index, value)| (index, value / servers[index].weight)).collect(),
+            }
         };
         values.into_iter().enumerate().map(window).collect()
     }
 }
 
-/// The same arrivals, each at a server drawn by weight from those ready.
-pub fn assign_at_random(servers: &[ServerHistory], visits: &[ServerRpc], seed: u64) -> Vec<ServerRpc> {
-    let mut draws = stream_rng(seed, Stream::References);
-    reassign(servers, visits, |ready, _| {
-        let weights = WeightedIndex::new(ready.iter().map(|at| servers[*at].weight)).ok()?;
-        Some(ready[weights.sample(&mut draws)])
+/// Assigns each arrival to a ready server that is drawn at random by weight.
+pub fn assign_at_random(servers: &[ServerHistory], rpcs: &[ServerRpc], seed: u64) -> Vec<ServerRpc> {
+    let mut rng = stream_rng(seed, Stream::References);
+    reassign(servers, rpcs, |ready, _| {
+        let weights = WeightedIndex::new(ready.iter().map(|server| servers[*server].weight)).ok()?;
+        Some(ready[weights.sample(&mut rng)])
     })
 }
 
-/// The same arrivals, each at the ready server that holds least for its weight just then; of equals, the one whose turn
-/// it is by weight.
-pub fn assign_to_least_loaded(servers: &[ServerHistory], visits: &[ServerRpc]) -> Vec<ServerRpc> {
-    let (mut next, mut turn) = (vec![0.0; servers.len()], 0.0);
-    reassign(servers, visits, |ready, held| {
-        let cost = |at: usize| (held[at] / servers[at].weight, f64::max(next[at], turn));
-        let least = ready.iter().copied().min_by(|one, two| {
-            let (one, two) = (cost(*one), cost(*two));
-            one.0.total_cmp(&two.0).then(one.1.total_cmp(&two.1))
+/// Assigns each arrival to the ready server with the fewest RPCs in service for its weight. Ties are broken by weighted
+/// round robin.
+pub fn assign_to_least_loaded(servers: &[ServerHistory], rpcs: &[ServerRpc]) -> Vec<ServerRpc> {
+    let (mut next_turns, mut turn) = (vec![0.0; servers.len()], 0.0);
+    reassign(servers, rpcs, |ready, in_service| {
+        let cost =
+            |server: usize| (in_service[server] / servers[server].weight, f64::max(next_turns[server], turn));
+        let chosen = ready.iter().copied().min_by(|left, right| {
+            let (left, right) = (cost(*left), cost(*right));
+            left.0.total_cmp(&right.0).then(left.1.total_cmp(&right.1))
         })?;
-        turn = cost(least).1;
-        next[least] = turn + 1.0 / servers[least].weight;
-        Some(least)
+        turn = cost(chosen).1;
+        next_turns[chosen] = turn + 1.0 / servers[chosen].weight;
+        Some(chosen)
     })
 }
 
+/// Assigns each arrival to the server that `pick` chooses from the ready servers and the RPCs in service at all servers.
 fn reassign(
     servers: &[ServerHistory],
-    visits: &[ServerRpc],
+    rpcs: &[ServerRpc],
     mut pick: impl FnMut(&[usize], &[f64]) -> Option<usize>,
 ) -> Vec<ServerRpc> {
-    let mut sorted = visits.to_vec();
-    sorted.sort_by_key(|visit| visit.arrived_at);
-    let mut held = vec![0.0; servers.len()];
+    let mut sorted = rpcs.to_vec();
+    sorted.sort_by_key(|rpc| rpc.arrived_at);
+    let mut in_service = vec![0.0; servers.len()];
     let mut ends = std::collections::BinaryHeap::new();
-    for visit in &mut sorted {
-        while let Some(std::cmp::Reverse((done, server))) = ends.peek().copied()
-            && done <= visit.arrived_at
+    for rpc in &mut sorted {
+        while let Some(std::cmp::Reverse((ended_at, server))) = ends.peek().copied()
+            && ended_at <= rpc.arrived_at
         {
             ends.pop();
-            held[server] -= 1.0;
+            in_service[server] -= 1.0;
         }
         let ready: Vec<usize> = (0..servers.len())
-            .filter(|at| servers[*at].is_ready(visit.arrived_at, visit.arrived_at))
+            .filter(|server| servers[*server].is_ready(rpc.arrived_at, rpc.arrived_at))
             .collect();
-        visit.server = pick(&ready, &held).unwrap_or(visit.server);
-        held[visit.server] += 1.0;
-        ends.push(std::cmp::Reverse((visit.ended_at, visit.server)));
+        rpc.server = pick(&ready, &in_service).unwrap_or(rpc.server);
+        in_service[rpc.server] += 1.0;
+        ends.push(std::cmp::Reverse((rpc.ended_at, rpc.server)));
     }
     sorted
 }
 
-/// Of a run of windows: the middle and worst of highest over mean, the middle p99 over mean, the middle and worst of
-/// lowest over mean.
+/// How evenly a quantity is spread over the servers, summarised over many windows. Medians are upper medians.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
-    /// Middle of the highest over the mean.
+    /// Median of the highest value over the mean.
     pub peak: f64,
-    /// The worst of it.
+    /// Maximum of the highest value over the mean.
     pub peak_worst: f64,
-    /// Middle of the 99th percentile over the mean.
+    /// Median of the 99th percentile over the mean.
     pub p99: f64,
-    /// Middle of the lowest over the mean.
+    /// Median of the lowest value over the mean.
     pub least: f64,
-    /// The worst of it.
+    /// Minimum of the lowest value over the mean.
     pub least_worst: f64,
 }
 
 impl Spread {
-    /// The spread over these windows.
+    /// Summarises these windows.
     pub fn of(windows: &[Window]) -> Spread {
-        let all: Vec<[f64; 3]> = windows.iter().filter_map(Window::spread).collect();
-        let sorted = |at: usize| {
-            let mut some: Vec<f64> = all.iter().map(|one| one[at]).collect();
-            some.sort_by(f64::total_cmp);
-            some
+        let spreads: Vec<[f64; 3]> = windows.iter().filter_map(Window::spread).collect();
+        let sorted = |figure: usize| {
+            let mut values: Vec<f64> = spreads.iter().map(|spread| spread[figure]).collect();
+            values.sort_by(f64::total_cmp);
+            values
         };
-        let middle = |some: &[f64]| some.get(some.len() / 2).copied().unwrap_or(0.0);
+        let median = |values: &[f64]| values.get(values.len() / 2).copied().unwrap_or(0.0);
         let (peaks, p99s, least) = (sorted(0), sorted(1), sorted(2));
         Spread {
-            peak: middle(&peaks),
+            peak: median(&peaks),
             peak_worst: peaks.last().copied().unwrap_or(0.0),
-            p99: middle(&p99s),
-            least: middle(&least),
+            p99: median(&p99s),
+            least: median(&least),
             least_worst: least.first().copied().unwrap_or(0.0),
         }
     }
 
-    /// The middle of several, figure by figure.
-    pub fn median(several: &[Spread]) -> Spread {
-        let middle = |pick: fn(&Spread) -> f64| {
-            let mut some: Vec<f64> = several.iter().map(pick).collect();
-            some.sort_by(f64::total_cmp);
-            some.get(some.len() / 2).copied().unwrap_or(0.0)
+    /// Returns the medians of each figure of several spreads.
+    pub fn median(spreads: &[Spread]) -> Spread {
+        let median = |figure: fn(&Spread) -> f64| {
+            let mut values: Vec<f64> = spreads.iter().map(figure).collect();
+            values.sort_by(f64::total_cmp);
+            values.get(values.len() / 2).copied().unwrap_or(0.0)
         };
         Spread {
-            peak: middle(|one| one.peak),
-            peak_worst: middle(|one| one.peak_worst),
-            p99: middle(|one| one.p99),
-            least: middle(|one| one.least),
-            least_worst: middle(|one| one.least_worst),
+            peak: median(|spread| spread.peak),
+            peak_worst: median(|spread| spread.peak_worst),
+            p99: median(|spread| spread.p99),
+            least: median(|spread| spread.least),
+            least_worst: median(|spread| spread.least_worst),
         }
     }
 }
 
-/// Servers that were ready for a whole window and got no RPC in it, over all windows whose mean is above `above` RPCs.
-pub fn count_idle_servers(windows: &[Window], above: f64) -> usize {
-    let busy = windows.iter().filter(|window| window.mean() > above);
+/// Counts the servers that were ready for a whole window and received no RPC in it, over all windows whose mean is above
+/// `min_mean` RPCs.
+pub fn count_idle_servers(windows: &[Window], min_mean: f64) -> usize {
+    let busy = windows.iter().filter(|window| window.mean() > min_mean);
     busy.flat_map(|window| &window.values).filter(|value| value.1 == 0.0).count()
 }
 
-/// How many gateways each server was sent RPCs by, for those ready throughout: lowest, mean, highest.
+/// Returns the minimum, mean and maximum number of gateways that sent RPCs to a server, over the servers that were ready
+/// throughout.
 pub fn gateways_per_server(
     servers: &[ServerHistory],
-    ledger: &[Row],
+    rows: &[Row],
     from: Nanos,
     to: Nanos,
 ) -> (usize, f64, usize) {
-    let mut met: Vec<std::collections::BTreeSet<usize>> = vec![Default::default(); servers.len()];
-    for row in ledger.iter().filter(|row| row.received_at >= from && row.received_at < to) {
-        met[row.server as usize].insert(row.gateway());
+    let mut gateways: Vec<std::collections::BTreeSet<usize>> = vec![Default::default(); servers.len()];
+    for row in rows.iter().filter(|row| row.received_at >= from && row.received_at < to) {
+        gateways[row.server as usize].insert(row.gateway());
     }
-    let ready = (0..servers.len()).filter(|at| servers[*at].is_ready(from, to));
-    let counts: Vec<usize> = ready.map(|at| met[at].len()).collect();
+    let ready = (0..servers.len()).filter(|server| servers[*server].is_ready(from, to));
+    let counts: Vec<usize> = ready.map(|server| gateways[server].len()).collect();
     let mean = counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64;
     (counts.iter().min().copied().unwrap_or(0), mean, counts.iter().max().copied().unwrap_or(0))
 }
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -1,5 +1,6 @@
-//! Tables and charts of a run: `summary.csv` (one row for each part of the run, window and quantity), `run.csv` (one row
-//! of counts), `windows.csv` (over time), `servers.csv` and `gateways.csv`, and SVG charts drawn from them.
+//! Writes the tables and charts of a run: `summary.csv` (one row per phase of the run, window width and quantity),
+//! `run.csv` (one row of counts), `windows.csv` (time series), `servers.csv` and `gateways.csv`, and SVG charts drawn from
+//! them.
 
 use crate::fleet::RunResult;
 use crate::load_generator::{MAX_LATENESS, RpcOutcome as End, lateness};
@@ -15,53 +16,53 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// How often chance is drawn for its middle figures.
+/// Number of random assignments over which the medians of the random reference are taken.
 const RANDOM_DRAWS: u64 = 11;
-/// Servers count as idle in windows of 5 s with more than so many RPCs a second each.
+/// Servers without RPCs count as idle in windows of 5 s in which the mean server gets more than this many RPCs per second.
 const IDLE_MIN_RATE: f64 = 2.0;
 
-/// Highest, p99 and lowest server over the mean, in one part of the run, for one width of window and one quantity.
+/// The spread of one quantity over the servers, in one phase of the run, for one window width.
 #[derive(Clone, Debug, Serialize)]
 pub struct SpreadRow {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// `health` or `fault`: before or after the first fault.
+    /// `health` before the first fault, `fault` after it.
     #[serde(rename = "part")]
     pub phase: &'static str,
-    /// Width of the windows, seconds.
+    /// Window width in seconds.
     pub window_s: f64,
-    /// What is looked at.
+    /// Name of the quantity.
     pub quantity: &'static str,
-    /// How many windows.
+    /// Number of windows.
     pub windows: usize,
     /// The mean over servers and windows.
     pub mean: f64,
-    /// Middle of the highest over the mean.
+    /// Median of the highest value over the mean.
     pub peak: f64,
-    /// The worst of it.
+    /// Maximum of the highest value over the mean.
     pub peak_worst: f64,
-    /// Middle of the 99th percentile over the mean.
+    /// Median of the 99th percentile over the mean.
     pub p99: f64,
-    /// Middle of the lowest over the mean.
+    /// Median of the lowest value over the mean.
     pub least: f64,
-    /// The worst of it.
+    /// Minimum of the lowest value over the mean.
     pub least_worst: f64,
-    /// The peak where each RPC goes to a server drawn by weight.
+    /// `peak` if each RPC goes to a server drawn at random by weight.
     #[serde(rename = "chance_peak")]
     pub random_peak: f64,
-    /// The worst of it.
+    /// `peak_worst` of the random assignment.
     #[serde(rename = "chance_peak_worst")]
     pub random_peak_worst: f64,
-    /// The least where each RPC goes to a server drawn by weight.
+    /// `least` of the random assignment.
     #[serde(rename = "chance_least")]
     pub random_least: f64,
-    /// The worst of it.
+    /// `least_worst` of the random assignment.
     #[serde(rename = "chance_least_worst")]
     pub random_least_worst: f64,
-    /// The peak of a dispatcher that sees all.
+    /// `peak` if a central dispatcher sends each RPC to the least loaded server.
     #[serde(rename = "centre_peak")]
     pub central_peak: f64,
-    /// The worst of it.
+    /// `peak_worst` of the central dispatcher.
     #[serde(rename = "centre_peak_worst")]
     pub central_peak_worst: f64,
 }
@@ -69,74 +70,74 @@
 /// Counts of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RunRow {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// Gateways at the start.
+    /// Gateways over the run, including those added during it.
     pub gateways: usize,
-    /// Servers over the run.
+    /// Servers over the run, including those added during it.
     pub servers: usize,
-    /// RPCs that were measured.
+    /// RPCs in the measured part of the run.
     pub rpcs: usize,
-    /// Answered ok.
+    /// RPCs answered with 200.
     pub ok: usize,
-    /// Rejected: 429 or 503.
+    /// RPCs rejected with 429 or 503.
     #[serde(rename = "pushed_back")]
     pub rejected: usize,
-    /// Any other answer.
+    /// RPCs answered with any other status.
     pub failed: usize,
-    /// Their connection broke.
+    /// RPCs whose connection was closed after the request had been written.
     pub cut: usize,
-    /// No gateway took the connection.
+    /// RPCs for which no gateway accepted the connection.
     pub unreached: usize,
-    /// Without an answer.
+    /// RPCs without an answer.
     pub lost: usize,
-    /// Answers that no RPC waited for.
+    /// Answers that arrived when no RPC was waiting for one.
     #[serde(rename = "extra_answers")]
     pub unexpected_answers: u64,
-    /// RPCs that may run once only and ran twice.
+    /// RPCs that may run only once and ran more than once.
     #[serde(rename = "twice")]
     pub executed_twice: usize,
-    /// Attempts at servers.
+    /// Attempts that reached servers.
     #[serde(rename = "call_outs")]
     pub attempts: usize,
-    /// Attempts that a full server turned away.
+    /// Attempts that a full server refused.
     #[serde(rename = "turned_away")]
     pub refused_attempts: usize,
-    /// 5 s windows of single servers that were ready and got nothing while the mean was above 2 RPCs a second.
+    /// Cases of a ready server without an RPC in a 5 s window whose mean was above 2 RPCs per second.
     #[serde(rename = "idle")]
     pub idle_server_windows: usize,
-    /// Gateways that sent to a server before the first fault: lowest, mean and highest.
+    /// Minimum number of gateways that sent to a server before the first fault.
     #[serde(rename = "parts_least")]
     pub gateways_per_server_min: usize,
-    /// The mean of it.
+    /// Mean number of gateways that sent to a server before the first fault.
     #[serde(rename = "parts_mean")]
     pub gateways_per_server_mean: f64,
-    /// The highest of it.
+    /// Maximum number of gateways that sent to a server before the first fault.
     #[serde(rename = "parts_most")]
     pub gateways_per_server_max: usize,
-    /// The busiest gateway's RPCs over the mean.
+    /// RPCs of the busiest gateway over the mean.
     pub gateway_peak: f64,
-    /// Median latency of ok answers, milliseconds.
+    /// Median latency of RPCs answered with 200, milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of that latency, milliseconds.
     pub p99_ms: f64,
-    /// Calls that the counter got.
+    /// Calls that the counter received.
     #[serde(rename = "count_calls")]
     pub counter_calls: u64,
-    /// Bytes of lists that discovery sent.
+    /// Bytes of lists and changes that discovery sent.
     pub list_bytes: u64,
-    /// Gateways that ended unasked, or badly.
+    /// Gateways that exited without SIGTERM, with a non-zero status or too late.
     pub crashed: usize,
-    /// How late the front sent, median, milliseconds.
+    /// Median lateness of the load generator, milliseconds.
     pub late_p50_ms: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of the load generator's lateness, milliseconds.
     pub late_p99_ms: f64,
-    /// The highest of it.
+    /// Maximum lateness of the load generator, milliseconds.
     #[serde(rename = "late_most_ms")]
     pub late_max_ms: f64,
-    /// The front was too late: the figures are worth nothing.
+    /// Whether the load generator was too late, which makes the figures invalid.
     pub void: bool,
 }
 
@@ -180,7 +181,7 @@
     (value * 1e3).round() / 1e3
 }
 
-/// The RPCs at the servers as they were, and where two references would have sent them.
+/// The RPCs in service as measured, and as the two reference assignments would have placed them.
 struct Arrivals {
     measured: Vec<ServerRpc>,
     random: Vec<Vec<ServerRpc>>,
@@ -189,94 +190,95 @@
 
 impl Arrivals {
     fn compute(scenario: &Scenario, outcome: &RunResult) -> Arrivals {
-        let seen = accepted_rpcs(&outcome.server_rpcs, outcome.measured_until + 10 * SEC);
-        let by_centre = assign_to_least_loaded(&outcome.servers, &seen);
-        let drawn = |nth| assign_at_random(&outcome.servers, &seen, scenario.seed ^ nth << 32);
-        let by_chance = (0..RANDOM_DRAWS).map(drawn).collect();
-        Arrivals { measured: seen, random: by_chance, central: by_centre }
+        let measured = accepted_rpcs(&outcome.server_rpcs, outcome.measured_until + 10 * SEC);
+        let central = assign_to_least_loaded(&outcome.servers, &measured);
+        let random_assignment =
+            |draw| assign_at_random(&outcome.servers, &measured, scenario.seed ^ draw << 32);
+        let random = (0..RANDOM_DRAWS).map(random_assignment).collect();
+        Arrivals { measured, random, central }
     }
 }
 
-/// The row of a part of the run, a width of windows and a quantity; none where there is no window.
+/// Returns the row for a phase, window width and quantity, or `None` if the phase has no whole window.
 fn spread_row(
     scenario: &Scenario,
     outcome: &RunResult,
     arrivals: &Arrivals,
-    part: &'static str,
-    frame: WindowSeries,
+    phase: &'static str,
+    window_series: WindowSeries,
     quantity: Quantity,
 ) -> Option<SpreadRow> {
-    let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
+    let windows = |rpcs: &[ServerRpc]| window_series.windows(&outcome.servers, rpcs, quantity);
     let has_references = quantity != Quantity::Connections;
-    let seen = match has_references {
+    let measured = match has_references {
         true => windows(&arrivals.measured),
-        false => frame.connections(&outcome.servers, &outcome.open_connections),
+        false => window_series.connections(&outcome.servers, &outcome.open_connections),
     };
-    if seen.is_empty() {
+    if measured.is_empty() {
         return None;
     }
-    let reference = |several: &[Vec<ServerRpc>]| {
+    let reference = |assignments: &[Vec<ServerRpc>]| {
         if !has_references {
             return Spread::default();
         }
-        let spreads: Vec<Spread> = several.iter().map(|one| Spread::of(&windows(one))).collect();
+        let spreads: Vec<Spread> = assignments.iter().map(|rpcs| Spread::of(&windows(rpcs))).collect();
         Spread::median(&spreads)
     };
-    let chance = reference(&arrivals.random);
-    let centre = reference(std::slice::from_ref(&arrivals.central));
-    let spread = Spread::of(&seen);
-    let mean = seen.iter().map(Window::mean).sum::<f64>() / seen.len() as f64;
+    let random = reference(&arrivals.random);
+    let central = reference(std::slice::from_ref(&arrivals.central));
+    let spread = Spread::of(&measured);
+    let mean = measured.iter().map(Window::mean).sum::<f64>() / measured.len() as f64;
     Some(SpreadRow {
         scenario: scenario.name.clone(),
-        phase: part,
-        window_s: frame.width as f64 / SEC as f64,
+        phase,
+        window_s: window_series.width as f64 / SEC as f64,
         quantity: quantity.name(),
-        windows: seen.len(),
+        windows: measured.len(),
         mean: round(mean),
         peak: round(spread.peak),
         peak_worst: round(spread.peak_worst),
         p99: round(spread.p99),
         least: round(spread.least),
         least_worst: round(spread.least_worst),
-        random_peak: round(chance.peak),
-        random_peak_worst: round(chance.peak_worst),
-        random_least: round(chance.least),
-        random_least_worst: round(chance.least_worst),
-        central_peak: round(centre.peak),
-        central_peak_worst: round(centre.peak_worst),
+        random_peak: round(random.peak),
+        random_peak_worst: round(random.peak_worst),
+        random_least: round(random.least),
+        random_least_worst: round(random.least_worst),
+        central_peak: round(central.peak),
+        central_peak_worst: round(central.peak_worst),
     })
 }
 
-/// A row for each window, beside both references.
+/// Returns a row for each window, with both references.
 fn window_rows(
     outcome: &RunResult,
     arrivals: &Arrivals,
-    frame: WindowSeries,
+    window_series: WindowSeries,
     quantity: Quantity,
 ) -> Vec<WindowRow> {
-    let windows = |visits: &[ServerRpc]| frame.windows(&outcome.servers, visits, quantity);
+    let windows = |rpcs: &[ServerRpc]| window_series.windows(&outcome.servers, rpcs, quantity);
     let references = windows(&arrivals.random[0]).into_iter().zip(windows(&arrivals.central));
     let rows = windows(&arrivals.measured).into_iter().zip(references);
-    let row = |(seen, (chance, centre)): (Window, (Window, Window))| {
-        let spread = seen.spread()?;
+    let row = |(measured, (random, central)): (Window, (Window, Window))| {
+        let spread = measured.spread()?;
         Some(WindowRow {
-            t_s: round((seen.from - outcome.measured_from) as f64 / SEC as f64),
+            t_s: round((measured.from - outcome.measured_from) as f64 / SEC as f64),
             quantity: quantity.name(),
-            mean: round(seen.mean()),
+            mean: round(measured.mean()),
             peak: round(spread[0]),
             least: round(spread[2]),
-            random_peak: round(chance.spread()?[0]),
-            central_peak: round(centre.spread()?[0]),
+            random_peak: round(random.spread()?[0]),
+            central_peak: round(central.spread()?[0]),
         })
     };
     rows.filter_map(row).collect()
 }
 
-/// All that is worked out of a run.
+/// All figures of a run.
 pub struct Figures {
     /// Counts of the run.
     pub run: RunRow,
-    /// How evenly the load came, by part, window and quantity.
+    /// Spread of the load by phase, window width and quantity.
     pub spreads: Vec<SpreadRow>,
     windows: Vec<WindowRow>,
     servers: Vec<ServerRow>,
@@ -284,25 +286,25 @@
 }
 
 impl Figures {
-    /// The row for a part (`health` or `fault`), window width in seconds and quantity.
-    pub fn spread(&self, part: &str, window_s: f64, quantity: Quantity) -> Option<&SpreadRow> {
+    /// Returns the row for a phase (`health` or `fault`), window width in seconds and quantity.
+    pub fn spread(&self, phase: &str, window_s: f64, quantity: Quantity) -> Option<&SpreadRow> {
         let is = |row: &&SpreadRow| {
-            row.phase == part && row.window_s == window_s && row.quantity == quantity.name()
+            row.phase == phase && row.window_s == window_s && row.quantity == quantity.name()
         };
         self.spreads.iter().find(is)
     }
 
-    /// Works the figures out.
+    /// Computes the figures of a run.
     pub fn compute(scenario: &Scenario, outcome: &RunResult) -> Figures {
         let arrivals = Arrivals::compute(scenario, outcome);
-        let until = outcome.first_fault_at.unwrap_or(outcome.measured_until);
+        let health_until = outcome.first_fault_at.unwrap_or(outcome.measured_until);
         let mut spreads = Vec::new();
-        for (part, from, to) in
-            [("health", outcome.measured_from, until), ("fault", until, outcome.measured_until)]
+        for (phase, from, to) in
+            [("health", outcome.measured_from, health_until), ("fault", health_until, outcome.measured_until)]
         {
             for width in [SEC, 5 * SEC] {
-                let frame = WindowSeries { from, to, width };
-                let row = |quantity| spread_row(scenario, outcome, &arrivals, part, frame, quantity);
+                let window_series = WindowSeries { from, to, width };
+                let row = |quantity| spread_row(scenario, outcome, &arrivals, phase, window_series, quantity);
                 spreads.extend(Quantity::ALL.into_iter().filter_map(row));
             }
         }
@@ -314,7 +316,7 @@
         let seconds = WindowSeries { width: SEC, ..whole };
         let windows = [Quantity::Rpcs, Quantity::Held].into_iter();
         Figures {
-            run: run_row(scenario, outcome, until, idle),
+            run: run_row(scenario, outcome, health_until, idle),
             spreads,
             windows: windows
                 .flat_map(|quantity| window_rows(outcome, &arrivals, seconds, quantity))
@@ -324,7 +326,7 @@
         }
     }
 
-    /// Writes all tables and charts into a directory.
+    /// Writes all tables and charts into a directory, which is created if it does not exist.
     pub fn write(&self, dir: &Path) -> Result<(), String> {
         std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         write_csv(&dir.join("summary.csv"), &self.spreads)?;
@@ -340,8 +342,8 @@
             let lines = [
                 line("measured, busiest", |row| row.peak),
                 line("measured, least busy", |row| row.least),
-                line("pure chance, busiest", |row| row.random_peak),
-                line("one dispatcher, busiest", |row| row.central_peak),
+                line("random assignment, busiest", |row| row.random_peak),
+                line("central dispatcher, busiest", |row| row.central_peak),
             ];
             let title =
                 format!("{}: {quantity} of a server over the mean, windows of 1 s", self.run.scenario);
@@ -362,15 +364,15 @@
         )
     }
 
-    /// The figures for a person.
+    /// Formats the figures as text.
     pub fn summary_text(&self) -> String {
         let run = &self.run;
         let mut text = format!(
-            "{}: {} gateways, {} servers, {} RPCs: {} ok, {} pushed back, {} failed, {} cut, {} unreached, {} lost; \
-             {} call-outs, {} turned away, {} ran twice; p50 {} ms, p99 {} ms\n\
-             parts {} / {:.1} / {}, idle servers {}, busiest gateway {:.2} of the mean, crashed {}, \
-             front late p99 {} ms, at most {} ms{}\n\
-             part    win quantity     mean | peak  worst | p99   | least worst | chance peak worst least worst | centre peak worst\n",
+            "{}: {} gateways, {} servers, {} RPCs: {} ok, {} rejected, {} failed, {} cut, {} unreached, {} lost; \
+             {} attempts, {} refused by servers, {} ran twice; p50 {} ms, p99 {} ms\n\
+             gateways per server {} / {:.1} / {}, idle servers {}, busiest gateway {:.2} of the mean, crashed {}, \
+             load generator late p99 {} ms, at most {} ms{}\n\
+             phase   win quantity     mean | peak  worst | p99   | least worst | random peak worst least worst | central peak worst\n",
             run.scenario,
             run.gateways,
             run.servers,
@@ -421,42 +423,41 @@
     }
 }
 
-fn run_row(scenario: &Scenario, outcome: &RunResult, until: Nanos, idle: usize) -> RunRow {
-    let calls: Vec<_> =
-        outcome.client_rpcs.iter().filter(|call| call.scheduled_at >= outcome.measured_from).collect();
-    let count = |end: End| calls.iter().filter(|call| call.outcome == end).count();
-    let mut times: Vec<Nanos> = calls
-        .iter()
-        .filter(|call| call.outcome == End::Ok)
-        .map(|call| call.ended_at - call.scheduled_at)
-        .collect();
-    times.sort_unstable();
+fn run_row(scenario: &Scenario, outcome: &RunResult, health_until: Nanos, idle: usize) -> RunRow {
+    let rpcs: Vec<_> =
+        outcome.client_rpcs.iter().filter(|rpc| rpc.scheduled_at >= outcome.measured_from).collect();
+    let count = |rpc_outcome: End| rpcs.iter().filter(|rpc| rpc.outcome == rpc_outcome).count();
+    let mut latencies: Vec<Nanos> =
+        rpcs.iter().filter(|rpc| rpc.outcome == End::Ok).map(|rpc| rpc.ended_at - rpc.scheduled_at).collect();
+    latencies.sort_unstable();
     let quantile = |share: f64| {
-        let at = ((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1));
-        ms(times.get(at).copied().unwrap_or(0))
+        let at = ((latencies.len() as f64 * share) as usize).min(latencies.len().saturating_sub(1));
+        ms(latencies.get(at).copied().unwrap_or(0))
     };
-    // What ran: an RPC may do so once, unless its class says otherwise. Work of a server that died may have been done.
-    let once = |txn: u64| {
-        let call = outcome.client_rpcs.get((txn & 0xffff_ffff_ffff) as usize);
-        call.is_some_and(|call| !outcome.methods[call.method].1)
+    // RPCs may run only once unless their class is idempotent. Attempts at a server that went down count as run, since
+    // the work may have been done.
+    let runs_once = |txn: u64| {
+        let rpc = outcome.client_rpcs.get((txn & 0xffff_ffff_ffff) as usize);
+        rpc.is_some_and(|rpc| !outcome.methods[rpc.method].1)
     };
-    let mut ran: BTreeMap<u64, usize> = BTreeMap::new();
-    for row in outcome.server_rpcs.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && once(row.txn))
+    let mut executions: BTreeMap<u64, usize> = BTreeMap::new();
+    for row in
+        outcome.server_rpcs.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && runs_once(row.txn))
     {
-        *ran.entry(row.txn).or_default() += 1;
+        *executions.entry(row.txn).or_default() += 1;
     }
     let (least, mean, most) =
-        gateways_per_server(&outcome.servers, &outcome.server_rpcs, outcome.measured_from, until);
+        gateways_per_server(&outcome.servers, &outcome.server_rpcs, outcome.measured_from, health_until);
     let (p50, p99, late_most) = lateness(&outcome.client_rpcs);
     let mut at_gateway = vec![0usize; outcome.log_lines.len()];
-    calls.iter().for_each(|call| at_gateway[call.gateway.min(outcome.log_lines.len() - 1)] += 1);
+    rpcs.iter().for_each(|rpc| at_gateway[rpc.gateway.min(outcome.log_lines.len() - 1)] += 1);
     let busiest = at_gateway.iter().max().copied().unwrap_or(0) as f64;
     RunRow {
         scenario: scenario.name.clone(),
         seed: scenario.seed,
         gateways: outcome.log_lines.len(),
         servers: outcome.servers.len(),
-        rpcs: calls.len(),
+        rpcs: rpcs.len(),
         ok: count(End::Ok),
         rejected: count(End::PushedBack),
         failed: count(End::Failed),
@@ -464,7 +465,7 @@
         unreached: count(End::Unreached),
         lost: count(End::Lost) + count(End::Open),
         unexpected_answers: outcome.unexpected_answers,
-        executed_twice: ran.values().filter(|count| **count > 1).count(),
+        executed_twice: executions.values().filter(|count| **count > 1).count(),
         attempts: outcome.server_rpcs.len(),
         refused_attempts: outcome
             .server_rpcs
@@ -475,7 +476,7 @@
         gateways_per_server_min: least,
         gateways_per_server_mean: round(mean),
         gateways_per_server_max: most,
-        gateway_peak: round(busiest * outcome.log_lines.len() as f64 / calls.len().max(1) as f64),
+        gateway_peak: round(busiest * outcome.log_lines.len() as f64 / rpcs.len().max(1) as f64),
         p50_ms: quantile(0.5),
         p99_ms: quantile(0.99),
         counter_calls: outcome.counter_calls,
@@ -489,14 +490,14 @@
 }
 
 fn server_rows(outcome: &RunResult) -> Vec<ServerRow> {
-    let rows = |at: usize| outcome.server_rpcs.iter().filter(move |row| row.server as usize == at);
-    let row = |(at, server): (usize, &crate::measure::ServerHistory)| {
-        let gateways: std::collections::BTreeSet<usize> = rows(at).map(|row| row.gateway()).collect();
+    let rows = |index: usize| outcome.server_rpcs.iter().filter(move |row| row.server as usize == index);
+    let row = |(index, server): (usize, &crate::measure::ServerHistory)| {
+        let gateways: std::collections::BTreeSet<usize> = rows(index).map(|row| row.gateway()).collect();
         ServerRow {
-            server: at,
+            server: index,
             weight: server.weight,
-            rpcs: rows(at).count(),
-            refused_attempts: rows(at).filter(|row| row.outcome == RpcOutcome::TurnedAway).count(),
+            rpcs: rows(index).count(),
+            refused_attempts: rows(index).filter(|row| row.outcome == RpcOutcome::TurnedAway).count(),
             gateways: gateways.len(),
         }
     };
@@ -504,18 +505,18 @@
 }
 
 fn gateway_rows(outcome: &RunResult) -> Vec<GatewayRow> {
-    let mut met: Vec<(usize, std::collections::BTreeSet<u32>)> =
+    let mut gateways: Vec<(usize, std::collections::BTreeSet<u32>)> =
         vec![Default::default(); outcome.log_lines.len()];
     for row in &outcome.server_rpcs {
-        if let Some(at) = met.get_mut(row.gateway()) {
-            at.0 += 1;
-            at.1.insert(row.server);
+        if let Some(entry) = gateways.get_mut(row.gateway()) {
+            entry.0 += 1;
+            entry.1.insert(row.server);
         }
     }
-    let mut calls = vec![0; outcome.log_lines.len()];
-    outcome.client_rpcs.iter().for_each(|call| calls[call.gateway.min(outcome.log_lines.len() - 1)] += 1);
-    let row = |(gateway, (call_outs, servers)): (usize, (usize, std::collections::BTreeSet<u32>))| {
-        GatewayRow { gateway, rpcs: calls[gateway], attempts: call_outs, servers: servers.len() }
+    let mut rpcs = vec![0; outcome.log_lines.len()];
+    outcome.client_rpcs.iter().for_each(|rpc| rpcs[rpc.gateway.min(outcome.log_lines.len() - 1)] += 1);
+    let row = |(gateway, (attempts, servers)): (usize, (usize, std::collections::BTreeSet<u32>))| {
+        GatewayRow { gateway, rpcs: rpcs[gateway], attempts, servers: servers.len() }
     };
-    met.into_iter().enumerate().map(row).collect()
+    gateways.into_iter().enumerate().map(row).collect()
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,64 +1,65 @@
-//! What the rig plays, read from TOML and checked before any process starts. `docs/rig.md` documents the format.
+//! Scenario files of the rig, read from TOML and validated before any process starts. `docs/rig.md` documents the format.
 
 use crate::load_generator::ClientBehaviour;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// One scenario, as read.
+/// A scenario as read from its file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Names the tables.
+    /// Name of the scenario, which the tables show.
     pub name: String,
-    /// The seed of all chance.
+    /// Seed of all random numbers.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Seconds of arrivals before anything is measured, and measured ones.
+    /// Warm-up: seconds of arrivals before the measured part of the run.
     #[serde(default = "default_warm_seconds")]
     pub warm_seconds: f64,
-    /// Seconds of arrivals that are measured.
+    /// Length of the measured part of the run in seconds.
     pub seconds: f64,
-    /// How many gateways.
+    /// Number of gateways at the start.
     pub gateways: usize,
-    /// Zone `g % len` is gateway `g`'s.
+    /// Names of the zones. Gateway `g` is in zone `g % zones.len()`.
     pub zones: Vec<String>,
-    /// Pairs of gateways of which the second is given the first one's number by mistake.
+    /// Pairs of gateways of which the second is misconfigured with the number of the first.
     #[serde(default)]
     pub same_number: Vec<(usize, usize)>,
-    /// The service's settings in the gateway's nested form; `balancers`, `me`, `zone` and `localities` are added.
+    /// The service's settings in the gateway's nested form. The rig adds `balancers`, `me`, `zone` and `localities`.
     pub settings: toml::Table,
-    /// What the front sends.
+    /// The load that the load generator sends.
     pub load: Load,
-    /// Groups of servers.
+    /// Groups of servers at the start.
     pub servers: Vec<ServerGroup>,
-    /// The size of the fleet that gateways are told, if it is another than that of the scenario.
+    /// Fleet size in the gateways' configuration, if it differs from the actual one.
     #[serde(default)]
     pub told_gateways: Option<usize>,
-    /// Descriptors that each gateway may hold.
+    /// Limit of open descriptors of each gateway.
     #[serde(default = "default_sockets")]
     pub sockets: u32,
-    /// The shared counter.
+    /// Model of the shared counter.
     #[serde(default)]
     pub counter: CounterModel,
-    /// The settings have a version on which the gateways agree.
+    /// If present, the settings are versioned and the gateways agree on the version in force.
     #[serde(default)]
     pub agreement: Option<Agreement>,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The gateways' system calls fail now and then.
+    /// Random failures of the gateways' system calls.
     #[serde(default)]
     pub system_calls: Option<SystemCallFaults>,
 }
 
-/// A share of the gateways' system calls fails, by a library loaded into each process (`crates/faults`).
+/// Random failures of the gateways' system calls, injected by a library that is preloaded into each process
+/// (`crates/faults`).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SystemCallFaults {
-    /// The library.
+    /// Path of the library.
     pub library: PathBuf,
-    /// The share of calls that fail.
+    /// Share of the calls that fail.
     pub rate: f64,
 }
 
@@ -66,41 +67,41 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// RPCs a second for each gateway on average (Poisson over the whole fleet).
+    /// Mean RPCs per second and gateway. Arrivals are a Poisson process over the whole fleet.
     pub rate: f64,
-    /// How many customers.
+    /// Number of customers.
     pub customers: usize,
-    /// Sigma of the log-normal that customers' shares are drawn from; 0 gives all the same.
+    /// Sigma of the log-normal distribution of the customers' shares; 0 makes them equal.
     #[serde(default)]
     pub skew: f64,
-    /// Through how many gateways in a row each customer's RPCs come in.
+    /// Number of consecutive gateways that each customer uses.
     pub width: usize,
-    /// Classes of RPCs and their shares.
+    /// Classes of RPCs and their shares of the load.
     pub methods: Vec<Method>,
-    /// A tariff of the settings.
+    /// Plan of all customers: the name of a tariff in the settings.
     pub plan: String,
-    /// How long until the front notices a dead gateway, seconds.
+    /// How long after a failure the load generator stops sending to a gateway, seconds.
     #[serde(default = "default_one")]
     pub notice: f64,
-    /// The share of RPCs whose clients leave before the answer.
+    /// Share of RPCs whose clients close the connection before the answer.
     #[serde(default)]
     pub leave: f64,
-    /// The share of RPCs that come on a connection opened up to 1.2 s before, as the first on it.
+    /// Share of RPCs that are the first on a connection that was opened up to 1.2 s earlier.
     #[serde(default)]
     pub early: f64,
-    /// The share of RPCs whose message comes in two pieces.
+    /// Share of RPCs whose request is sent in two parts.
     #[serde(default)]
     pub pieces: f64,
-    /// The share of RPCs that come on a connection of their own, which their client closes behind the answer.
+    /// Share of RPCs that have a connection of their own, which the client closes after the answer.
     #[serde(default)]
     pub fresh: f64,
-    /// The share of RPCs whose client reads nothing for a while once it has sent.
+    /// Share of RPCs whose client stops reading for a while after it has sent the request.
     #[serde(default)]
     pub slow: f64,
 }
 
 impl Load {
-    /// What clients do.
+    /// Returns how clients deviate from the ordinary exchange.
     pub fn behaviour(&self) -> ClientBehaviour {
         ClientBehaviour {
             abandon_share: self.leave,
@@ -112,72 +113,72 @@
     }
 }
 
-/// A class of RPCs as it is sent.
+/// A class of RPCs in the load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Method {
-    /// A class of the settings.
+    /// Name of a class in the settings.
     pub name: String,
-    /// The share of all arrivals.
+    /// Share of all arrivals.
     pub share: f64,
-    /// Units of the plan's quota for each RPC.
+    /// Units of the plan's quota that each RPC uses.
     #[serde(default = "default_one")]
     pub units: f64,
 }
 
-/// A group of alike servers, in the zones by turns.
+/// A group of identical servers, spread round robin over the zones.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerGroup {
-    /// How many servers.
+    /// Number of servers.
     pub count: usize,
-    /// Only in this zone.
+    /// If present, all servers of the group are in this zone.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Their weight as listed.
+    /// Weight of each server in discovery's list.
     #[serde(default = "default_one")]
     pub weight: f64,
-    /// RPCs served at once.
+    /// RPCs served concurrently by each server.
     pub cores: usize,
-    /// RPCs that wait beyond those.
+    /// Queue length beyond those; further RPCs are refused.
     pub queue: usize,
-    /// Connections beyond these are reset.
+    /// Connection limit; further connections are reset.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Median service time, milliseconds (log-normal).
+    /// Median of the log-normal service time, milliseconds.
     pub service_ms: f64,
-    /// The log-normal's sigma.
+    /// Sigma of the log-normal service time.
     #[serde(default = "default_spread")]
     pub spread: f64,
-    /// The share of its speed at which a server works after its start.
+    /// Share of its full speed at which a server works right after its start.
     #[serde(default = "default_one")]
     pub cold_share: f64,
-    /// How long until it works at full speed.
+    /// Seconds until a started server works at full speed.
     #[serde(default)]
     pub cold_seconds: f64,
-    /// Whether answers carry a load report.
+    /// Whether answers carry a load report header.
     #[serde(default)]
     pub reports: bool,
-    /// How long the bodies of answers are, bytes.
+    /// Length of the answers' bodies in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
 }
 
-/// Terms of an agreement, seconds.
+/// Timing of the agreement on versioned settings, in seconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agreement {
-    /// How long a lease is.
+    /// Length of a lease.
     pub lease: f64,
-    /// How far any clock may be off.
+    /// Bound on the error of any gateway's clock.
     pub clock: f64,
 }
 
-/// The shared counter.
+/// Model of the shared counter.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CounterModel {
-    /// Time that one call takes of it, microseconds.
+    /// Service time of one call, microseconds.
     pub cost_us: f64,
 }
 
@@ -187,10 +188,10 @@
     }
 }
 
-/// Who an end of a link is, as `front`, `discovery`, `counter`, `gateways:3`, `gateways:0-9`, `servers:4-7` or `zone:a`.
+/// An end of a link, written as `front`, `discovery`, `counter`, `gateways:3`, `gateways:0-9`, `servers:4-7` or `zone:a`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Place {
-    /// The front.
+    /// The load generator, written as `front`.
     LoadGenerator,
     /// Discovery.
     Discovery,
@@ -205,286 +206,288 @@
 }
 
 impl Place {
-    /// Reads a place as scenarios write it.
+    /// Parses a place as it is written in scenarios.
     pub fn parse(text: &str) -> Result<Place, String> {
         let range = |text: &str| -> Option<Range<usize>> {
             let (from, to) = text.split_once('-').unwrap_or((text, text));
             Some(from.parse().ok()?..to.parse::<usize>().ok()? + 1)
         };
-        let bad = || format!("no such place: '{text}'");
+        let unknown_place = || format!("no such place: '{text}'");
         match text.split_once(':') {
             None if text == "front" => Ok(Place::LoadGenerator),
             None if text == "discovery" => Ok(Place::Discovery),
             None if text == "counter" => Ok(Place::Counter),
-            Some(("gateways", which)) => range(which).map(Place::Gateways).ok_or_else(bad),
-            Some(("servers", which)) => range(which).map(Place::Servers).ok_or_else(bad),
+            Some(("gateways", indexes)) => range(indexes).map(Place::Gateways).ok_or_else(unknown_place),
+            Some(("servers", indexes)) => range(indexes).map(Place::Servers).ok_or_else(unknown_place),
             Some(("zone", name)) => Ok(Place::Zone(name.to_string())),
-            _ => Err(bad()),
+            _ => Err(unknown_place()),
         }
     }
 }
 
-/// What a link does to what passes it. Ways are seen from `from`.
+/// The effect of a link fault on the traffic between its two ends, `from` and `to`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkEffect {
-    /// Nothing passes from `from`.
+    /// Drops all data that `from` sends.
     pub cut_there: bool,
-    /// Nothing passes to `from`.
+    /// Drops all data that is sent to `from`.
     pub cut_back: bool,
-    /// Each way.
+    /// Delay in each direction, milliseconds.
     pub delay_ms: f64,
-    /// The share that is lost.
+    /// Share of the data that is lost.
     pub lose: f64,
-    /// Connections are reset.
+    /// Resets connections.
     pub reset: bool,
-    /// Accepts and says nothing.
+    /// Accepts connections and sends nothing.
     pub silent: bool,
 }
 
-/// A fault at a time (seconds after the warm-up), for a span where it has one. Shares are drawn by the seed.
+/// A fault and when it occurs. Times are in seconds after the warm-up. The gateways or servers that make up a share are
+/// drawn with the scenario's seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// Gateways get SIGKILL, and start again after a while if told.
+    /// Gateways receive SIGKILL, and are started again if `back_after` is given.
     Kill {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// They start again so many seconds later, if told.
+        /// Seconds after the signal at which they are started again, if given.
         back_after: Option<f64>,
     },
-    /// Gateways get SIGTERM, likewise.
+    /// Gateways receive SIGTERM, and are started again if `back_after` is given.
     Term {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// They start again so many seconds later, if told.
+        /// Seconds after the signal at which they are started again, if given.
         back_after: Option<f64>,
     },
-    /// Gateways are restarted as the platform does it: SIGTERM, SIGKILL once the longest deadline (3 s at most) and 0.7 s
-    /// have passed, and a new process some time later.
+    /// Gateways are restarted as the platform does it: SIGTERM, then SIGKILL once the longest deadline (3 s at most) plus
+    /// 0.7 s have passed, then a new process.
     Restart {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// They start again so many seconds after SIGKILL.
+        /// Seconds after SIGKILL at which they are started again.
         back_after: f64,
     },
-    /// The same with a series of signals: SIGHUP, SIGTERM, SIGTERM, SIGHUP, so many seconds apart.
+    /// Like `Restart`, with a series of signals before SIGKILL: SIGHUP, SIGTERM, SIGTERM, SIGHUP.
     SignalSeries {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// Between one signal and the next, seconds.
+        /// Seconds between consecutive signals.
         apart: f64,
-        /// They start again so many seconds after SIGKILL.
+        /// Seconds after SIGKILL at which they are started again.
         back_after: f64,
     },
-    /// One server after another is listed as draining, and as ready by the next change.
+    /// Each server in turn is listed as draining, and as ready again by the next change of the list.
     Flap {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// Between one change and the next, seconds.
+        /// Seconds between consecutive changes.
         every: f64,
     },
-    /// Clients open so many connections a second to each gateway, and say nothing on them.
+    /// Clients open connections to each gateway and send nothing on them.
     Crowd {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// Connections a second.
+        /// Connections per second to each gateway.
         rate: f64,
     },
-    /// Gateways read their configuration again.
+    /// Gateways reload their configuration.
     Reload {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
     },
-    /// Gateways get SIGSTOP and later SIGCONT.
+    /// Gateways receive SIGSTOP, and SIGCONT at the end.
     Pause {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// Gateways have a part of a core: they stand still for the rest of each hundredth of a second.
+    /// Gateways are limited to a share of a core: they are stopped for the rest of each period of 10 ms.
     Throttle {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// The part of a core that they have.
+        /// Share of a core that they have.
         core: f64,
     },
-    /// So many more gateways start, told of the larger fleet; the old ones are told by SIGHUP, each `share` of them.
+    /// More gateways start with the larger fleet size in their configuration. A share of the old gateways is reloaded with
+    /// it by SIGHUP.
     Grow {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How many gateways start.
+        /// Number of gateways that start.
         count: usize,
-        /// The share of the old ones that is told.
+        /// Share of the old gateways that are reloaded.
         share: f64,
     },
-    /// Servers are replaced by new, cold ones, evenly over `seconds`; an old one drains for `drain` and goes.
+    /// Servers are replaced by new, cold ones, spread evenly over `seconds`. Each old server drains and then goes down.
     Replace {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// How long an old server drains, seconds.
+        /// Seconds for which an old server drains.
         drain: f64,
     },
-    /// One more server like the first group's, or the last one gone.
+    /// A server like those of the first group is added.
     Join {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
     },
-    /// The last server goes.
+    /// The last server that is listed as ready drains and goes down.
     Leave {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
     },
-    /// All servers of a zone are down; the list says so after `told_after` if told, and they come back cold.
+    /// All servers of a zone are down, and come up again cold. With `told_after` the list shows them as gone meanwhile.
     ZoneDown {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// When the list says so, seconds after the beginning.
+        /// Seconds after the start of the fault at which the list shows the servers as gone, if given.
         told_after: Option<f64>,
     },
-    /// Servers serve so many times slower.
+    /// Servers serve more slowly.
     Slow {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How many times.
+        /// Factor on the service time.
         factor: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// Servers answer every RPC 500 at once.
+    /// Servers answer every RPC with 500 at once.
     FailsFast {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// Servers take bytes and say nothing.
+    /// Servers accept data and send nothing.
     Silent {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// A share of the gateways hears changes of the list so late, or nothing, or an older version once more.
+    /// Changes of discovery's list reach a share of the gateways late.
     ListLate {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// How late, seconds.
+        /// Delay in seconds.
         late: f64,
     },
-    /// A share of the gateways hears no change of the list.
+    /// Changes of discovery's list do not reach a share of the gateways.
     ListStill {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// A share of the gateways hears an older version once more.
+    /// A share of the gateways receives an older version of discovery's list.
     ListBack {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// How many versions back.
+        /// Number of versions by which the list is older.
         versions: u64,
     },
-    /// A share of the gateways can't reach discovery.
+    /// A share of the gateways cannot reach discovery.
     DiscoveryDown {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of them that is affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// The counter answers nothing.
+    /// The counter does not answer.
     CounterStall {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// Nobody listens at the counter's address.
+    /// The counter does not listen at its address.
     CounterDown {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// The counter is replaced by an empty one.
+    /// The counter loses all its values.
     CounterEmpty {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
     },
-    /// All arrivals come so many times as often.
+    /// The rate of arrivals is multiplied.
     Burst {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How many times.
+        /// Factor on the rate.
         factor: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
     },
-    /// A link between two places.
+    /// The traffic between two places is disturbed.
     Link {
-        /// When it begins, seconds.
+        /// Start of the fault, seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, seconds.
         seconds: f64,
-        /// One end.
+        /// One end of the link, as [`Place::parse`] reads it.
         from: String,
-        /// The other end.
+        /// The other end of the link, likewise.
         to: String,
-        /// What it does to what passes.
+        /// Effect on the traffic.
         wire: LinkEffect,
     },
 }
 
 impl Fault {
-    /// When it begins, seconds.
+    /// Returns the start of the fault in seconds after the warm-up.
     pub fn at(&self) -> f64 {
         use Fault::*;
         match *self {
@@ -536,13 +539,16 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario file, with what it `extends` and with dotted fields set (`gateways=100`).
+    /// Reads and validates a scenario file, together with the file that it `extends`. Each assignment in `set` overrides a
+    /// field given by its dotted name (`gateways=100`).
     pub fn load(path: &Path, set: &[String]) -> Result<Scenario, String> {
         let text = lab::scenario::read_text(path)?;
         let mut table: toml::Table = toml::from_str(&text).map_err(|e| e.to_string())?;
-        for one in set {
-            let (name, value) = one.split_once('=').ok_or_else(|| format!("'{one}' is not FIELD=VALUE"))?;
-            let value = format!("v = {value}").parse::<toml::Table>().map_err(|e| format!("{one}: {e}"))?;
+        for assignment in set {
+            let (name, value) =
+                assignment.split_once('=').ok_or_else(|| format!("'{assignment}' is not FIELD=VALUE"))?;
+            let value =
+                format!("v = {value}").parse::<toml::Table>().map_err(|e| format!("{assignment}: {e}"))?;
             let nested = name.rsplit('.').fold(value["v"].clone(), |inner, field| {
                 toml::Value::Table([(field.to_string(), inner)].into_iter().collect())
             });
@@ -553,7 +559,7 @@
         Scenario::from_table(table).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario.
     pub fn from_toml(text: &str) -> Result<Scenario, String> {
         Scenario::from_table(toml::from_str(text).map_err(|e| e.to_string())?)
     }
@@ -573,11 +579,11 @@
         }
         self.check_load()?;
         self.check_servers()?;
-        for (at, fault) in self.faults.iter().enumerate() {
-            self.check_fault(at, fault)?;
+        for (index, fault) in self.faults.iter().enumerate() {
+            self.check_fault(index, fault)?;
         }
-        let beyond = |pair: &(usize, usize)| pair.0 >= self.gateways || pair.1 >= self.gateways;
-        if self.same_number.iter().any(beyond) {
+        let out_of_range = |pair: &(usize, usize)| pair.0 >= self.gateways || pair.1 >= self.gateways;
+        if self.same_number.iter().any(out_of_range) {
             return Err("same_number names a gateway beyond 'gateways'".into());
         }
         Ok(())
@@ -589,16 +595,16 @@
             return Err("'load.width' must be from 1 to 'gateways', 'load.customers' 1 or more".into());
         }
         if !(load.rate > 0.0 && load.rate.is_finite()) {
-            return Err("'load.rate' must be above nought".into());
+            return Err("'load.rate' must be above 0".into());
         }
-        let names = |list: &str| -> Vec<&str> {
+        let names_in = |list: &str| -> Vec<&str> {
             let entries = self.settings.get(list).and_then(toml::Value::as_array);
             entries.into_iter().flatten().filter_map(|entry| entry.get("name")?.as_str()).collect()
         };
-        if !names("tariffs").contains(&&*load.plan) {
+        if !names_in("tariffs").contains(&&*load.plan) {
             return Err(format!("load.plan: no tariff named '{}' in the settings", load.plan));
         }
-        let classes = names("classes");
+        let classes = names_in("classes");
         if let Some(method) = load.methods.iter().find(|method| !classes.contains(&&*method.name)) {
             return Err(format!("load.methods: no class named '{}' in the settings", method.name));
         }
@@ -612,30 +618,28 @@
     }
 
     fn check_servers(&self) -> Result<(), String> {
-        for (at, group) in self.servers.iter().enumerate() {
+        for (index, group) in self.servers.iter().enumerate() {
             if group.zone.as_ref().is_some_and(|zone| !self.zones.contains(zone)) {
-                return Err(format!("servers[{at}].zone is none of 'zones'"));
+                return Err(format!("servers[{index}].zone is not one of 'zones'"));
             }
             if !(group.weight > 0.0 && group.service_ms > 0.0 && group.cores > 0) {
-                return Err(format!(
-                    "servers[{at}]: 'weight', 'service_ms' and 'cores' must be above nought"
-                ));
+                return Err(format!("servers[{index}]: 'weight', 'service_ms' and 'cores' must be above 0"));
             }
         }
         Ok(())
     }
 
-    fn check_fault(&self, at: usize, fault: &Fault) -> Result<(), String> {
+    fn check_fault(&self, index: usize, fault: &Fault) -> Result<(), String> {
         if !(0.0..=self.seconds).contains(&fault.at()) || !(0.0..=1.0).contains(&fault.share()) {
-            return Err(format!("faults[{at}]: 'at' must lie in 'seconds', 'share' be from 0 to 1"));
+            return Err(format!("faults[{index}]: 'at' must be within 'seconds' and 'share' from 0 to 1"));
         }
         match fault {
             Fault::ZoneDown { zone, .. } if !self.zones.contains(zone) => {
-                Err(format!("faults[{at}].zone is none of 'zones'"))
+                Err(format!("faults[{index}].zone is not one of 'zones'"))
             }
             Fault::Link { from, to, .. } if !can_link(&Place::parse(from)?, &Place::parse(to)?) => {
                 Err(format!(
-                    "faults[{at}]: a link leads from the front to gateways, or from gateways to servers, \
+                    "faults[{index}]: a link leads from the front to gateways, or from gateways to servers, \
                      discovery or the counter"
                 ))
             }
@@ -643,35 +647,35 @@
         }
     }
 
-    /// A field of a class of the settings.
+    /// Returns a field of a class in the settings.
     fn class(&self, class: &str, field: &str) -> Option<&toml::Value> {
         let classes = self.settings.get("classes").and_then(toml::Value::as_array)?;
         let is = |entry: &&toml::Value| entry.get("name").and_then(toml::Value::as_str) == Some(class);
         classes.iter().find(is)?.get(field)
     }
 
-    /// The longest deadline of the settings' classes, seconds.
+    /// Returns the longest deadline of all classes in the settings, in seconds.
     pub fn longest_deadline(&self) -> f64 {
         let classes = self.settings.get("classes").and_then(toml::Value::as_array);
         let names = classes.into_iter().flatten().filter_map(|entry| entry.get("name")?.as_str());
         names.map(|name| self.deadline(name)).fold(0.0, f64::max)
     }
 
-    /// A class's deadline in seconds.
+    /// Returns the deadline of a class in seconds.
     pub fn deadline(&self, class: &str) -> f64 {
         let value = self.class(class, "deadline");
         value
-            .and_then(|value| value.as_float().or(value.as_integer().map(|whole| whole as f64)))
+            .and_then(|value| value.as_float().or(value.as_integer().map(|seconds| seconds as f64)))
             .unwrap_or(5.0)
     }
 
-    /// How a class may be repeated, as the settings have it (`free`, `guarded` or `single_shot`).
+    /// Returns the idempotency of a class in the settings: `free`, `guarded` or `single_shot`.
     pub fn idempotency(&self, class: &str) -> String {
         self.class(class, "idempotency").and_then(toml::Value::as_str).unwrap_or("single_shot").to_string()
     }
 }
 
-/// Whether a link can lead from one place to another.
+/// Returns whether a link can be placed between these ends.
 fn can_link(from: &Place, to: &Place) -> bool {
     match (from, to) {
         (Place::LoadGenerator, Place::Gateways(_) | Place::Zone(_)) => true,
--- a/crates/rig/src/scenario/tests.rs
+++ b/crates/rig/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `scenario`.
+//! Unit tests of reading and validating scenarios.
 
 use super::*;
 
@@ -31,11 +31,11 @@
 "#;
 
 #[test]
-fn a_scenario_reads_and_what_is_wrong_is_named() {
+fn valid_scenario_is_read_and_errors_name_the_field() {
     let scenario = Scenario::from_toml(SMALL).unwrap();
     assert_eq!((scenario.deadline("read"), scenario.idempotency("read")), (3.0, "free".to_string()));
     assert_eq!(Place::parse("servers:0-1"), Ok(Place::Servers(0..2)));
-    for (was, is, named) in [
+    for (valid, invalid, message) in [
         ("plan = \"team\"", "plan = \"none\"", "no tariff named 'none'"),
         ("name = \"read\", share", "name = \"none\", share", "no class named 'none'"),
         ("gateways = 4", "gateways = 4\nwhat = 1", "what"),
@@ -43,7 +43,7 @@
         ("to = \"servers:0-1\"", "to = \"front\"", "a link leads"),
         ("width = 2", "width = 9", "load.width"),
     ] {
-        let error = Scenario::from_toml(&SMALL.replace(was, is)).unwrap_err();
-        assert!(error.contains(named), "{error}");
+        let error = Scenario::from_toml(&SMALL.replace(valid, invalid)).unwrap_err();
+        assert!(error.contains(message), "{error}");
     }
 }
