--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -189,11 +189,11 @@
 }
 
 impl Arrivals {
-    fn compute(scenario: &Scenario, outcome: &RunResult) -> Arrivals {
-        let measured = accepted_rpcs(&outcome.server_rpcs, outcome.measured_until + 10 * SEC);
-        let central = assign_to_least_loaded(&outcome.servers, &measured);
+    fn compute(scenario: &Scenario, result: &RunResult) -> Arrivals {
+        let measured = accepted_rpcs(&result.server_rpcs, result.measured_until + 10 * SEC);
+        let central = assign_to_least_loaded(&result.servers, &measured);
         let random_assignment =
-            |draw| assign_at_random(&outcome.servers, &measured, scenario.seed ^ draw << 32);
+            |draw| assign_at_random(&result.servers, &measured, scenario.seed ^ draw << 32);
         let random = (0..RANDOM_DRAWS).map(random_assignment).collect();
         Arrivals { measured, random, central }
     }
@@ -202,17 +202,17 @@
 /// Returns the row for a phase, window width and quantity, or `None` if the phase has no whole window.
 fn spread_row(
     scenario: &Scenario,
-    outcome: &RunResult,
+    result: &RunResult,
     arrivals: &Arrivals,
     phase: &'static str,
     window_series: WindowSeries,
     quantity: Quantity,
 ) -> Option<SpreadRow> {
-    let windows = |rpcs: &[ServerRpc]| window_series.windows(&outcome.servers, rpcs, quantity);
+    let windows = |rpcs: &[ServerRpc]| window_series.windows(&result.servers, rpcs, quantity);
     let has_references = quantity != Quantity::Connections;
     let measured = match has_references {
         true => windows(&arrivals.measured),
-        false => window_series.connections(&outcome.servers, &outcome.open_connections),
+        false => window_series.connections(&result.servers, &result.open_connections),
     };
     if measured.is_empty() {
         return None;
@@ -251,18 +251,18 @@
 
 /// Returns a row for each window, with both references.
 fn window_rows(
-    outcome: &RunResult,
+    result: &RunResult,
     arrivals: &Arrivals,
     window_series: WindowSeries,
     quantity: Quantity,
 ) -> Vec<WindowRow> {
-    let windows = |rpcs: &[ServerRpc]| window_series.windows(&outcome.servers, rpcs, quantity);
+    let windows = |rpcs: &[ServerRpc]| window_series.windows(&result.servers, rpcs, quantity);
     let references = windows(&arrivals.random[0]).into_iter().zip(windows(&arrivals.central));
     let rows = windows(&arrivals.measured).into_iter().zip(references);
     let row = |(measured, (random, central)): (Window, (Window, Window))| {
         let spread = measured.spread()?;
         Some(WindowRow {
-            t_s: round((measured.from - outcome.measured_from) as f64 / SEC as f64),
+            t_s: round((measured.from - result.measured_from) as f64 / SEC as f64),
             quantity: quantity.name(),
             mean: round(measured.mean()),
             peak: round(spread[0]),
@@ -295,34 +295,32 @@
     }
 
     /// Computes the figures of a run.
-    pub fn compute(scenario: &Scenario, outcome: &RunResult) -> Figures {
-        let arrivals = Arrivals::compute(scenario, outcome);
-        let health_until = outcome.first_fault_at.unwrap_or(outcome.measured_until);
+    pub fn compute(scenario: &Scenario, result: &RunResult) -> Figures {
+        let arrivals = Arrivals::compute(scenario, result);
+        let health_until = result.first_fault_at.unwrap_or(result.measured_until);
         let mut spreads = Vec::new();
         for (phase, from, to) in
-            [("health", outcome.measured_from, health_until), ("fault", health_until, outcome.measured_until)]
+            [("health", result.measured_from, health_until), ("fault", health_until, result.measured_until)]
         {
             for width in [SEC, 5 * SEC] {
                 let window_series = WindowSeries { from, to, width };
-                let row = |quantity| spread_row(scenario, outcome, &arrivals, phase, window_series, quantity);
+                let row = |quantity| spread_row(scenario, result, &arrivals, phase, window_series, quantity);
                 spreads.extend(Quantity::ALL.into_iter().filter_map(row));
             }
         }
-        let whole = WindowSeries { from: outcome.measured_from, to: outcome.measured_until, width: 5 * SEC };
+        let whole = WindowSeries { from: result.measured_from, to: result.measured_until, width: 5 * SEC };
         let idle = count_idle_servers(
-            &whole.windows(&outcome.servers, &arrivals.measured, Quantity::Rpcs),
+            &whole.windows(&result.servers, &arrivals.measured, Quantity::Rpcs),
             IDLE_MIN_RATE * 5.0,
         );
         let seconds = WindowSeries { width: SEC, ..whole };
         let windows = [Quantity::Rpcs, Quantity::Held].into_iter();
         Figures {
-            run: run_row(scenario, outcome, health_until, idle),
+            run: run_row(scenario, result, health_until, idle),
             spreads,
-            windows: windows
-                .flat_map(|quantity| window_rows(outcome, &arrivals, seconds, quantity))
-                .collect(),
-            servers: server_rows(outcome),
-            gateways: gateway_rows(outcome),
+            windows: windows.flat_map(|quantity| window_rows(result, &arrivals, seconds, quantity)).collect(),
+            servers: server_rows(result),
+            gateways: gateway_rows(result),
         }
     }
 
@@ -423,9 +421,9 @@
     }
 }
 
-fn run_row(scenario: &Scenario, outcome: &RunResult, health_until: Nanos, idle: usize) -> RunRow {
+fn run_row(scenario: &Scenario, result: &RunResult, health_until: Nanos, idle: usize) -> RunRow {
     let rpcs: Vec<_> =
-        outcome.client_rpcs.iter().filter(|rpc| rpc.scheduled_at >= outcome.measured_from).collect();
+        result.client_rpcs.iter().filter(|rpc| rpc.scheduled_at >= result.measured_from).collect();
     let count = |rpc_outcome: End| rpcs.iter().filter(|rpc| rpc.outcome == rpc_outcome).count();
     let mut latencies: Vec<Nanos> =
         rpcs.iter().filter(|rpc| rpc.outcome == End::Ok).map(|rpc| rpc.ended_at - rpc.scheduled_at).collect();
@@ -437,26 +435,26 @@
     // RPCs may run only once unless their class is idempotent. Attempts at a server that went down count as run, since
     // the work may have been done.
     let runs_once = |txn: u64| {
-        let rpc = outcome.client_rpcs.get((txn & 0xffff_ffff_ffff) as usize);
-        rpc.is_some_and(|rpc| !outcome.methods[rpc.method].1)
+        let rpc = result.client_rpcs.get((txn & 0xffff_ffff_ffff) as usize);
+        rpc.is_some_and(|rpc| !result.methods[rpc.method].1)
     };
     let mut executions: BTreeMap<u64, usize> = BTreeMap::new();
     for row in
-        outcome.server_rpcs.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && runs_once(row.txn))
+        result.server_rpcs.iter().filter(|row| row.outcome != RpcOutcome::TurnedAway && runs_once(row.txn))
     {
         *executions.entry(row.txn).or_default() += 1;
     }
     let (least, mean, most) =
-        gateways_per_server(&outcome.servers, &outcome.server_rpcs, outcome.measured_from, health_until);
-    let (p50, p99, late_most) = lateness(&outcome.client_rpcs);
-    let mut at_gateway = vec![0usize; outcome.log_lines.len()];
-    rpcs.iter().for_each(|rpc| at_gateway[rpc.gateway.min(outcome.log_lines.len() - 1)] += 1);
+        gateways_per_server(&result.servers, &result.server_rpcs, result.measured_from, health_until);
+    let (p50, p99, late_most) = lateness(&result.client_rpcs);
+    let mut at_gateway = vec![0usize; result.log_lines.len()];
+    rpcs.iter().for_each(|rpc| at_gateway[rpc.gateway.min(result.log_lines.len() - 1)] += 1);
     let busiest = at_gateway.iter().max().copied().unwrap_or(0) as f64;
     RunRow {
         scenario: scenario.name.clone(),
         seed: scenario.seed,
-        gateways: outcome.log_lines.len(),
-        servers: outcome.servers.len(),
+        gateways: result.log_lines.len(),
+        servers: result.servers.len(),
         rpcs: rpcs.len(),
         ok: count(End::Ok),
         rejected: count(End::PushedBack),
@@ -464,10 +462,10 @@
         cut: count(End::Cut),
         unreached: count(End::Unreached),
         lost: count(End::Lost) + count(End::Open),
-        unexpected_answers: outcome.unexpected_answers,
+        unexpected_answers: result.unexpected_answers,
         executed_twice: executions.values().filter(|count| **count > 1).count(),
-        attempts: outcome.server_rpcs.len(),
-        refused_attempts: outcome
+        attempts: result.server_rpcs.len(),
+        refused_attempts: result
             .server_rpcs
             .iter()
             .filter(|row| row.outcome == RpcOutcome::TurnedAway)
@@ -476,12 +474,12 @@
         gateways_per_server_min: least,
         gateways_per_server_mean: round(mean),
         gateways_per_server_max: most,
-        gateway_peak: round(busiest * outcome.log_lines.len() as f64 / rpcs.len().max(1) as f64),
+        gateway_peak: round(busiest * result.log_lines.len() as f64 / rpcs.len().max(1) as f64),
         p50_ms: quantile(0.5),
         p99_ms: quantile(0.99),
-        counter_calls: outcome.counter_calls,
-        list_bytes: outcome.list_bytes,
-        crashed: outcome.crashed.len(),
+        counter_calls: result.counter_calls,
+        list_bytes: result.list_bytes,
+        crashed: result.crashed.len(),
         late_p50_ms: ms(p50),
         late_p99_ms: ms(p99),
         late_max_ms: ms(late_most),
@@ -489,8 +487,8 @@
     }
 }
 
-fn server_rows(outcome: &RunResult) -> Vec<ServerRow> {
-    let rows = |index: usize| outcome.server_rpcs.iter().filter(move |row| row.server as usize == index);
+fn server_rows(result: &RunResult) -> Vec<ServerRow> {
+    let rows = |index: usize| result.server_rpcs.iter().filter(move |row| row.server as usize == index);
     let row = |(index, server): (usize, &crate::measure::ServerHistory)| {
         let gateways: std::collections::BTreeSet<usize> = rows(index).map(|row| row.gateway()).collect();
         ServerRow {
@@ -501,20 +499,20 @@
             gateways: gateways.len(),
         }
     };
-    outcome.servers.iter().enumerate().map(row).collect()
+    result.servers.iter().enumerate().map(row).collect()
 }
 
-fn gateway_rows(outcome: &RunResult) -> Vec<GatewayRow> {
+fn gateway_rows(result: &RunResult) -> Vec<GatewayRow> {
     let mut gateways: Vec<(usize, std::collections::BTreeSet<u32>)> =
-        vec![Default::default(); outcome.log_lines.len()];
-    for row in &outcome.server_rpcs {
+        vec![Default::default(); result.log_lines.len()];
+    for row in &result.server_rpcs {
         if let Some(entry) = gateways.get_mut(row.gateway()) {
             entry.0 += 1;
             entry.1.insert(row.server);
         }
     }
-    let mut rpcs = vec![0; outcome.log_lines.len()];
-    outcome.client_rpcs.iter().for_each(|rpc| rpcs[rpc.gateway.min(outcome.log_lines.len() - 1)] += 1);
+    let mut rpcs = vec![0; result.log_lines.len()];
+    result.client_rpcs.iter().for_each(|rpc| rpcs[rpc.gateway.min(result.log_lines.len() - 1)] += 1);
     let row = |(gateway, (attempts, servers)): (usize, (usize, std::collections::BTreeSet<u32>))| {
         GatewayRow { gateway, rpcs: rpcs[gateway], attempts, servers: servers.len() }
     };
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -235,7 +235,7 @@
     pub cut_back: bool,
     /// Delay in each direction, milliseconds.
     pub delay_ms: f64,
-    /// Share of the data that is lost.
+    /// Share of the data that is lost, which on a connection delays it by a retransmission.
     pub lose: f64,
     /// Resets connections.
     pub reset: bool,
