--- a/crates/rig/src/load_generator.rs
+++ b/crates/rig/src/load_generator.rs
@@ -111,7 +111,7 @@
     Cut,
     /// No gateway accepted the connection.
     Unreached,
-    /// No answer by the deadline plus [`DEADLINE_SLACK`].
+    /// No answer by the deadline plus `DEADLINE_SLACK`.
     Lost,
     /// The client closed its connection before the answer.
     Left,
