--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-martenramp-rig: many real martenramp processes on loopback, with faults between them
+martenramp-rig: runs many real martenramp processes on loopback and injects faults between them
 
 usage: martenramp-rig run SCENARIO.toml [--program FILE] [--out DIR] [--set FIELD=VALUE]... [--logs]
        martenramp-rig soak [--set FIELD=VALUE]... [--without KIND]... [--program FILE]
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -3,7 +3,7 @@
 //! them.
 
 use crate::fleet::RunResult;
-use crate::load_generator::{MAX_LATENESS, RpcOutcome as End, lateness};
+use crate::load_generator::{MAX_LATENESS, RpcOutcome as ClientOutcome, lateness};
 use crate::measure::{
     Quantity, ServerRpc, Spread, Window, WindowSeries, accepted_rpcs, assign_at_random,
     assign_to_least_loaded, count_idle_servers, gateways_per_server,
@@ -424,13 +424,16 @@
 fn run_row(scenario: &Scenario, result: &RunResult, health_until: Nanos, idle: usize) -> RunRow {
     let rpcs: Vec<_> =
         result.client_rpcs.iter().filter(|rpc| rpc.scheduled_at >= result.measured_from).collect();
-    let count = |rpc_outcome: End| rpcs.iter().filter(|rpc| rpc.outcome == rpc_outcome).count();
-    let mut latencies: Vec<Nanos> =
-        rpcs.iter().filter(|rpc| rpc.outcome == End::Ok).map(|rpc| rpc.ended_at - rpc.scheduled_at).collect();
+    let count = |rpc_outcome: ClientOutcome| rpcs.iter().filter(|rpc| rpc.outcome == rpc_outcome).count();
+    let mut latencies: Vec<Nanos> = rpcs
+        .iter()
+        .filter(|rpc| rpc.outcome == ClientOutcome::Ok)
+        .map(|rpc| rpc.ended_at - rpc.scheduled_at)
+        .collect();
     latencies.sort_unstable();
     let quantile = |share: f64| {
-        let at = ((latencies.len() as f64 * share) as usize).min(latencies.len().saturating_sub(1));
-        ms(latencies.get(at).copied().unwrap_or(0))
+        let index = ((latencies.len() as f64 * share) as usize).min(latencies.len().saturating_sub(1));
+        ms(latencies.get(index).copied().unwrap_or(0))
     };
     // RPCs may run only once unless their class is idempotent. Attempts at a server that went down count as run, since
     // the work may have been done.
@@ -444,24 +447,24 @@
     {
         *executions.entry(row.txn).or_default() += 1;
     }
-    let (least, mean, most) =
+    let (min, mean, max) =
         gateways_per_server(&result.servers, &result.server_rpcs, result.measured_from, health_until);
-    let (p50, p99, late_most) = lateness(&result.client_rpcs);
-    let mut at_gateway = vec![0usize; result.log_lines.len()];
-    rpcs.iter().for_each(|rpc| at_gateway[rpc.gateway.min(result.log_lines.len() - 1)] += 1);
-    let busiest = at_gateway.iter().max().copied().unwrap_or(0) as f64;
+    let (p50, p99, late_max) = lateness(&result.client_rpcs);
+    let mut rpcs_by_gateway = vec![0usize; result.log_lines.len()];
+    rpcs.iter().for_each(|rpc| rpcs_by_gateway[rpc.gateway.min(result.log_lines.len() - 1)] += 1);
+    let busiest = rpcs_by_gateway.iter().max().copied().unwrap_or(0) as f64;
     RunRow {
         scenario: scenario.name.clone(),
         seed: scenario.seed,
         gateways: result.log_lines.len(),
         servers: result.servers.len(),
         rpcs: rpcs.len(),
-        ok: count(End::Ok),
-        rejected: count(End::PushedBack),
-        failed: count(End::Failed),
-        cut: count(End::Cut),
-        unreached: count(End::Unreached),
-        lost: count(End::Lost) + count(End::Open),
+        ok: count(ClientOutcome::Ok),
+        rejected: count(ClientOutcome::PushedBack),
+        failed: count(ClientOutcome::Failed),
+        cut: count(ClientOutcome::Cut),
+        unreached: count(ClientOutcome::Unreached),
+        lost: count(ClientOutcome::Lost) + count(ClientOutcome::Open),
         unexpected_answers: result.unexpected_answers,
         executed_twice: executions.values().filter(|count| **count > 1).count(),
         attempts: result.server_rpcs.len(),
@@ -471,9 +474,9 @@
             .filter(|row| row.outcome == RpcOutcome::TurnedAway)
             .count(),
         idle_server_windows: idle,
-        gateways_per_server_min: least,
+        gateways_per_server_min: min,
         gateways_per_server_mean: round(mean),
-        gateways_per_server_max: most,
+        gateways_per_server_max: max,
         gateway_peak: round(busiest * result.log_lines.len() as f64 / rpcs.len().max(1) as f64),
         p50_ms: quantile(0.5),
         p99_ms: quantile(0.99),
@@ -482,7 +485,7 @@
         crashed: result.crashed.len(),
         late_p50_ms: ms(p50),
         late_p99_ms: ms(p99),
-        late_max_ms: ms(late_most),
+        late_max_ms: ms(late_max),
         void: p99 > MAX_LATENESS,
     }
 }
