--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -1,12 +1,12 @@
 //! A hollow fleet on one emulated clock: gateways, their agents, the servers and the counter, and every event between them.
 
-use super::agreeing::VersionFile;
 use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
 use super::figures::{Counts, InForce, Processor, Work, processor_now};
 use super::gateway::{Agreed, HollowGateway, Start};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
 use super::script::Step;
+use super::settings_agreement::VersionFile;
 use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -2,8 +2,8 @@
 //! agreement, fed the bytes that the sockets would bring. What it has to say is handed back as bytes.
 
 use super::Nanos;
-use super::agreeing::{Agreeing, VersionFile};
 use super::discovery::number_of;
+use super::settings_agreement::{Agreeing, VersionFile};
 use crate::replica::batches;
 use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, CounterConnection};
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -6,7 +6,6 @@
 //! the same tables byte for byte, but for `processor.csv`, which holds what the run took of this machine. Figures are
 //! emulated. `docs/scale-hollow.md` says what each of them means.
 
-mod agreeing;
 mod discovery;
 mod figures;
 mod fleet;
@@ -14,6 +13,7 @@
 mod rpcs;
 pub mod scenario;
 mod script;
+mod settings_agreement;
 mod tables;
 mod traffic;
 
