--- a/crates/scale/src/hollow/figures.rs
+++ b/crates/scale/src/hollow/figures.rs
@@ -1,6 +1,6 @@
 //! What a run measures beside traffic: times until changes are in force, outcomes of RPCs, and processor time.
 
-use super::traffic::Frame;
+use super::traffic::MeasuredPeriod;
 use super::{Nanos, SEC};
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
@@ -45,7 +45,7 @@
 
 /// Processor time of the played gateways. It is the machine's and not the emulation's: no two runs give the same.
 pub struct Processor {
-    frame: Frame,
+    frame: MeasuredPeriod,
     total: [Nanos; 4],
     /// For control, by gateway and second.
     control: Vec<Vec<u32>>,
@@ -54,13 +54,13 @@
 }
 
 impl Processor {
-    pub fn new(frame: Frame, gateways: usize) -> Processor {
+    pub fn new(frame: MeasuredPeriod, gateways: usize) -> Processor {
         let control = vec![vec![0; frame.seconds]; gateways];
         Processor { frame, total: [0; 4], control, list_changes: histogram() }
     }
 
     pub fn add(&mut self, now: Nanos, gateway: usize, work: Work, spent: Nanos) {
-        let Some(second) = self.frame.second(now) else { return };
+        let Some(second) = self.frame.second_index(now) else { return };
         self.total[work as usize] += spent;
         if work.is_control() {
             let cell = &mut self.control[gateway][second];
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -7,7 +7,7 @@
 use super::scenario::Scenario;
 use super::script::Step;
 use super::settings_agreement::VersionFile;
-use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
+use super::traffic::{ControlLoad, Direction, MeasuredPeriod, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
 use agreement::config::AgreementConfig;
@@ -30,28 +30,28 @@
 
 /// What happens at a time.
 pub enum Event {
-    Arrive,
-    Wake { gateway: usize, life: u32, token: u32 },
-    AtServer { call: AttemptRef, server: u32, server_life: u32 },
-    Back { call: AttemptRef, how: CallOutcome },
-    Freed { server: u32, server_life: u32 },
-    CountAt(CounterCall),
-    CountBack { gateway: usize, life: u32, line: usize, bytes: Vec<u8> },
-    CountLimit { gateway: usize, life: u32, line: usize, serial: u64 },
-    AgentWrites { agent: usize },
+    RpcArrival,
+    Timer { gateway: usize, incarnation: u32, token: u32 },
+    AttemptAtServer { call: AttemptRef, server: u32, server_incarnation: u32 },
+    AttemptEnd { call: AttemptRef, how: CallOutcome },
+    SlotFreed { server: u32, server_incarnation: u32 },
+    CounterRequest(CounterCall),
+    CounterReply { gateway: usize, incarnation: u32, line: usize, bytes: Vec<u8> },
+    CounterTimeout { gateway: usize, incarnation: u32, line: usize, serial: u64 },
+    AgentWrite { agent: usize },
     Heartbeat,
-    AskList { gateway: usize, life: u32 },
-    Sweep { gateway: usize, life: u32 },
-    Agree { gateway: usize, life: u32 },
+    WatchRequest { gateway: usize, incarnation: u32 },
+    Sweep { gateway: usize, incarnation: u32 },
+    EvaluateAgreement { gateway: usize, incarnation: u32 },
     Datagram { from: usize, region: usize, bytes: Rc<Vec<u8>> },
-    FileCame { gateway: usize, version: usize },
+    VersionFileArrival { gateway: usize, version: usize },
     Step(Step),
 }
 
 /// A place for a gateway: who is there now, and since when.
-pub struct Place {
-    pub hollow: Option<HollowGateway>,
-    pub life: u32,
+pub struct GatewayNode {
+    pub running: Option<HollowGateway>,
+    pub incarnation: u32,
     pub zone: usize,
     pub region: usize,
     pub started: Nanos,
@@ -66,8 +66,8 @@
 pub struct Memory {
     before: u64,
     /// When all gateways had started.
-    pub started: u64,
-    pub ended: u64,
+    pub after_start: u64,
+    pub at_end: u64,
     pub peak: u64,
 }
 
@@ -81,9 +81,9 @@
 /// The whole emulation.
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
-    pub frame: Frame,
+    pub measured: MeasuredPeriod,
     pub(super) queue: Queue<Event>,
-    pub(super) places: Vec<Place>,
+    pub(super) nodes: Vec<GatewayNode>,
     pub discovery: Discovery,
     pub(super) servers: Servers,
     pub counter: Counter,
@@ -95,13 +95,13 @@
     pub versions_in_force: InForce,
     pub counts: Counts,
     pub memory: Memory,
-    pub(super) draws: ChaCha8Rng,
+    pub(super) rng: ChaCha8Rng,
     settings: Settings,
     zones: Vec<String>,
     terms: Option<AgreementConfig>,
     versions: Vec<Arc<VersionFile>>,
     /// The region that is cut off from all others.
-    pub(super) apart: Option<usize>,
+    pub(super) isolated_region: Option<usize>,
     end: Nanos,
 }
 
@@ -110,27 +110,27 @@
     pub fn new(scenario: &'a Scenario) -> Fleet<'a> {
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
-        let frame = Frame { from, seconds: scenario.seconds.ceil() as usize };
+        let measured = MeasuredPeriod { from, seconds: scenario.seconds.ceil() as usize };
         let played = scenario.played();
-        let machines = || ControlLoad::new(frame, scenario.control_machines);
+        let machines = || ControlLoad::new(measured, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
             scenario,
-            frame,
+            measured,
             queue: Queue::default(),
-            places: Vec::with_capacity(played),
+            nodes: Vec::with_capacity(played),
             discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
             servers: servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
-            traffic: Traffic::new(frame, played),
+            traffic: Traffic::new(measured, played),
             control: Control { discovery: machines(), counter: machines(), datagrams: machines() },
-            processor: Processor::new(frame, played),
+            processor: Processor::new(measured, played),
             lists_in_force: InForce::new(from),
             versions_in_force: InForce::new(from),
             counts: Counts::default(),
             memory: Memory { before: alloc::counts().held, ..Memory::default() },
-            draws: chance::stream(scenario.seed, Stream::Troubles),
+            rng: chance::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
             terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
@@ -139,33 +139,33 @@
                 max_clock_error: nanos(terms.clock),
             }),
             versions: Vec::new(),
-            apart: None,
+            isolated_region: None,
             end: from + nanos(scenario.seconds),
         };
-        fleet.queue.at(EPOCH, Event::Arrive);
+        fleet.queue.at(EPOCH, Event::RpcArrival);
         fleet.queue.at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
         if fleet.terms.is_some() {
             fleet.versions.push(Arc::new(VersionFile::new(fleet.version(1, 0), 0)));
         }
         for number in 0..played {
-            fleet.add_place(number);
+            fleet.add_node(number);
         }
-        (0..played).for_each(|gateway| fleet.start(EPOCH, gateway, true));
-        fleet.memory.started = alloc::counts().held.saturating_sub(fleet.memory.before);
+        (0..played).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
+        fleet.memory.after_start = alloc::counts().held.saturating_sub(fleet.memory.before);
         fleet.schedule_script(from);
         fleet
     }
 
-    fn add_place(&mut self, number: usize) {
+    fn add_node(&mut self, number: usize) {
         let zone = number % self.scenario.zones;
         let met =
             (0..self.scenario.services_each()).map(|nth| self.scenario.service_met(number, nth)).collect();
         let delays = &self.scenario.discovery;
-        let delay = self.draws.random_range(delays.delay_ms_least..=delays.delay_ms_most);
+        let delay = self.rng.random_range(delays.delay_ms_least..=delays.delay_ms_most);
         self.discovery.add_agent(met, nanos(delay / 1e3));
-        self.places.push(Place {
-            hollow: None,
-            life: 0,
+        self.nodes.push(GatewayNode {
+            running: None,
+            incarnation: 0,
             zone,
             region: zone % self.scenario.regions,
             started: 0,
@@ -180,50 +180,52 @@
             self.handle(now, event);
         }
         let counts = alloc::counts();
-        self.memory.ended = counts.held.saturating_sub(self.memory.before);
+        self.memory.at_end = counts.held.saturating_sub(self.memory.before);
         self.memory.peak = counts.peak.saturating_sub(self.memory.before);
     }
 
     fn handle(&mut self, now: Nanos, event: Event) {
         match event {
-            Event::Arrive => self.arrive(now),
-            Event::Wake { gateway, life, token } => {
-                self.enter(now, gateway, life, Work::Rpcs, |hollow| hollow.woke(now, token));
+            Event::RpcArrival => self.arrive(now),
+            Event::Timer { gateway, incarnation, token } => {
+                self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.woke(now, token));
             }
-            Event::AtServer { call, server, server_life } => self.at_server(now, call, server, server_life),
-            Event::Back { call, how } => self.call_ended(now, call, how),
-            Event::Freed { server, server_life } => self.servers.free(server, server_life),
-            Event::CountAt(call) => self.count_at(now, call),
-            Event::CountBack { gateway, life, line, bytes } => {
-                self.count_back(now, gateway, life, line, &bytes)
+            Event::AttemptAtServer { call, server, server_incarnation } => {
+                self.at_server(now, call, server, server_incarnation)
             }
-            Event::CountLimit { gateway, life, line, serial } => {
+            Event::AttemptEnd { call, how } => self.call_ended(now, call, how),
+            Event::SlotFreed { server, server_incarnation } => self.servers.free(server, server_incarnation),
+            Event::CounterRequest(call) => self.count_at(now, call),
+            Event::CounterReply { gateway, incarnation, line, bytes } => {
+                self.count_back(now, gateway, incarnation, line, &bytes)
+            }
+            Event::CounterTimeout { gateway, incarnation, line, serial } => {
                 let timed_out = |hollow: &mut HollowGateway| hollow.count_timed_out(now, line, serial);
-                self.enter(now, gateway, life, Work::Counter, timed_out);
+                self.enter(now, gateway, incarnation, Work::Counter, timed_out);
             }
-            Event::AgentWrites { agent } => self.agent_writes(now, agent),
+            Event::AgentWrite { agent } => self.agent_writes(now, agent),
             Event::Heartbeat => self.heartbeat(now),
-            Event::AskList { gateway, life } => self.ask_list(now, gateway, life),
-            Event::Sweep { gateway, life } => self.sweep(now, gateway, life),
-            Event::Agree { gateway, life } => self.agree(now, gateway, life),
+            Event::WatchRequest { gateway, incarnation } => self.ask_list(now, gateway, incarnation),
+            Event::Sweep { gateway, incarnation } => self.sweep(now, gateway, incarnation),
+            Event::EvaluateAgreement { gateway, incarnation } => self.agree(now, gateway, incarnation),
             Event::Datagram { from, region, bytes } => self.datagram(now, from, region, &bytes),
-            Event::FileCame { gateway, version } => self.file_came(now, gateway, version),
+            Event::VersionFileArrival { gateway, version } => self.file_came(now, gateway, version),
             Event::Step(step) => self.carry_out(now, step),
         }
     }
 
     /// Lets a gateway's state machines work, takes the processor time, and carries out what they ask for. Nothing if this
-    /// life of the gateway is over.
+    /// incarnation of the gateway is over.
     pub(super) fn enter<T>(
         &mut self,
         now: Nanos,
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         work: Work,
         does: impl FnOnce(&mut HollowGateway) -> T,
     ) -> Option<T> {
-        let place = &mut self.places[gateway];
-        let hollow = place.hollow.as_mut().filter(|_| place.life == life)?;
+        let place = &mut self.nodes[gateway];
+        let hollow = place.running.as_mut().filter(|_| place.incarnation == incarnation)?;
         let begun = processor_now();
         let result = does(hollow);
         self.processor.add(now, gateway, work, processor_now() - begun);
@@ -234,22 +236,22 @@
     // ---- Lives
 
     /// A gateway starts, on the list that it held before where it held one.
-    pub(super) fn start(&mut self, now: Nanos, gateway: usize, first: bool) {
-        let place = &mut self.places[gateway];
-        place.life += 1;
+    pub(super) fn start_gateway(&mut self, now: Nanos, gateway: usize, first: bool) {
+        let place = &mut self.nodes[gateway];
+        place.incarnation += 1;
         place.started = now;
-        let life = place.life;
+        let incarnation = place.incarnation;
         let agreed = place.file.clone().zip(self.terms.clone());
         let start = Start {
             number: gateway as u32,
             zone: place.zone,
-            seed: chance::gateway_seed(self.scenario.seed, gateway as u32, life),
+            seed: chance::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
             settings: &self.settings,
             zones: &self.zones,
             services: self.scenario.services as u32,
             agreed: agreed.map(|(file, terms)| Agreed { file, terms, fresh: first }),
         };
-        place.hollow = Some(HollowGateway::new(&start, now));
+        place.running = Some(HollowGateway::new(&start, now));
         let known = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
         if let Some((list, changes)) = known {
             let list = serde_json::from_str(&list)
@@ -259,22 +261,22 @@
                 list.into_iter().for_each(|told| hollow.told(now, told));
                 hollow.ask_again_after(now)
             };
-            let rest = self.enter(now, gateway, life, Work::List, read).unwrap_or(0);
+            let rest = self.enter(now, gateway, incarnation, Work::List, read).unwrap_or(0);
             self.lists_reached(now, gateway, &changes);
-            self.queue.after(rest, Event::AskList { gateway, life });
+            self.queue.after(rest, Event::WatchRequest { gateway, incarnation });
         } else {
-            self.queue.at(now, Event::AskList { gateway, life });
+            self.queue.at(now, Event::WatchRequest { gateway, incarnation });
         }
-        let phase = self.draws.random_range(0..SWEEP_EVERY);
-        self.queue.at(now + phase, Event::Sweep { gateway, life });
-        self.agree(now, gateway, life);
+        let phase = self.rng.random_range(0..SWEEP_EVERY);
+        self.queue.at(now + phase, Event::Sweep { gateway, incarnation });
+        self.agree(now, gateway, incarnation);
     }
 
     /// A gateway is killed: all that it held is cut.
-    pub(super) fn kill(&mut self, gateway: usize) {
-        let place = &mut self.places[gateway];
-        if let Some(hollow) = place.hollow.take() {
-            let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.frame.from);
+    pub(super) fn kill_gateway(&mut self, gateway: usize) {
+        let place = &mut self.nodes[gateway];
+        if let Some(hollow) = place.running.take() {
+            let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.measured.from);
             self.counts.cut += measured.count() as u64;
         }
     }
@@ -286,18 +288,18 @@
     }
 
     fn agent_writes(&mut self, now: Nanos, agent: usize) {
-        let open = self.places[agent].hollow.as_ref().is_some_and(|hollow| hollow.watching);
+        let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
         if let Some(lines) = self.discovery.write(now, agent, open) {
             self.list_came(now, agent, &lines);
         }
-        self.agent_goes_on(now, agent);
+        self.schedule_agent_write(now, agent);
     }
 
     /// Sets when an agent writes next, if it holds something back.
-    pub(super) fn agent_goes_on(&mut self, now: Nanos, agent: usize) {
-        let open = self.places[agent].hollow.as_ref().is_some_and(|hollow| hollow.watching);
+    pub(super) fn schedule_agent_write(&mut self, now: Nanos, agent: usize) {
+        let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
         if open && let Some(at) = self.discovery.writes_next(now, agent) {
-            self.queue.at(at, Event::AgentWrites { agent });
+            self.queue.at(at, Event::AgentWrite { agent });
         }
     }
 
@@ -305,22 +307,22 @@
     fn list_came(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Received, lines.bytes.len());
         self.control.discovery.add(now, self.machine(gateway), lines.bytes.len());
-        let life = self.places[gateway].life;
+        let incarnation = self.nodes[gateway].incarnation;
         let begun = processor_now();
         let came = |hollow: &mut HollowGateway| hollow.list_came(now, &lines.bytes);
-        let Some(outcome) = self.enter(now, gateway, life, Work::List, came) else { return };
-        if outcome.entries > 0 && now >= self.frame.from {
+        let Some(outcome) = self.enter(now, gateway, incarnation, Work::List, came) else { return };
+        if outcome.entries > 0 && now >= self.measured.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
             self.processor.list_changes.saturating_record(processor_now() - begun);
         }
         if outcome.broken.is_some() {
-            return self.watch_broke(now, gateway, life);
+            return self.retry_watch(now, gateway, incarnation);
         }
         self.lists_reached(now, gateway, &lines.changes);
     }
 
     fn lists_reached(&mut self, now: Nanos, gateway: usize, changes: &[u32]) {
-        let started = self.places[gateway].started;
+        let started = self.nodes[gateway].started;
         for place in changes {
             let at = self.discovery.changes[*place as usize].at;
             self.lists_in_force.reached(at, started, now);
@@ -330,21 +332,21 @@
     fn heartbeat(&mut self, now: Nanos) {
         self.queue.at(now + HEARTBEAT_EVERY, Event::Heartbeat);
         let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
-        for gateway in 0..self.places.len() {
-            let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
+        for gateway in 0..self.nodes.len() {
+            let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
             if open && self.discovery.is_up(gateway) {
                 self.list_came(now, gateway, &lines);
             }
         }
     }
 
-    fn ask_list(&mut self, now: Nanos, gateway: usize, life: u32) {
+    fn ask_list(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let ask = |hollow: &mut HollowGateway| hollow.ask(now);
-        let Some(request) = self.enter(now, gateway, life, Work::List, ask) else { return };
-        self.counts.watch_requests += u64::from(now >= self.frame.from);
-        let from = self.places[gateway].hollow.as_ref().map_or(0, |hollow| hollow.watch.index);
+        let Some(request) = self.enter(now, gateway, incarnation, Work::List, ask) else { return };
+        self.counts.watch_requests += u64::from(now >= self.measured.from);
+        let from = self.nodes[gateway].running.as_ref().map_or(0, |hollow| hollow.watch.index);
         let Some(lines) = self.discovery.answer(gateway, from) else {
-            return self.watch_broke(now, gateway, life); // refused
+            return self.retry_watch(now, gateway, incarnation); // refused
         };
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Sent, request.len());
         self.control.discovery.add(now, self.machine(gateway), request.len());
@@ -352,23 +354,23 @@
     }
 
     /// The watch is over; it is asked for again after a rest.
-    pub(super) fn watch_broke(&mut self, now: Nanos, gateway: usize, life: u32) {
+    pub(super) fn retry_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let rests = |hollow: &mut HollowGateway| hollow.ask_again_after(now);
-        if let Some(rest) = self.enter(now, gateway, life, Work::List, rests) {
-            self.counts.watches_broken += u64::from(now >= self.frame.from);
-            self.queue.after(rest, Event::AskList { gateway, life });
+        if let Some(rest) = self.enter(now, gateway, incarnation, Work::List, rests) {
+            self.counts.watches_broken += u64::from(now >= self.measured.from);
+            self.queue.after(rest, Event::WatchRequest { gateway, incarnation });
         }
     }
 
-    fn sweep(&mut self, now: Nanos, gateway: usize, life: u32) {
+    fn sweep(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let look = |hollow: &mut HollowGateway| hollow.sweep(now);
-        let Some(outcome) = self.enter(now, gateway, life, Work::Counter, look) else { return };
-        self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, life });
+        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Counter, look) else { return };
+        self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, incarnation });
         for ping in outcome.pings {
-            self.ping(now, gateway, life, ping.line, &ping.bytes);
+            self.ping(now, gateway, incarnation, ping.line, &ping.bytes);
         }
         if outcome.watch_is_silent {
-            self.watch_broke(now, gateway, life);
+            self.retry_watch(now, gateway, incarnation);
         }
     }
 
@@ -384,7 +386,7 @@
     }
 
     /// A new version is put out; it starts two leases after the last machine has it.
-    pub(super) fn put_out_version(&mut self, now: Nanos) {
+    pub(super) fn publish_version(&mut self, now: Nanos) {
         let Some(agreement) = &self.scenario.agreement else { return };
         let spread = nanos(agreement.file_seconds);
         let start = now + spread + 2 * nanos(agreement.lease);
@@ -393,42 +395,42 @@
         self.versions.push(Arc::new(file));
         self.counts.versions += 1;
         let version = self.versions.len() - 1;
-        for gateway in 0..self.places.len() {
-            let after = self.draws.random_range(0..=spread);
-            self.queue.after(after, Event::FileCame { gateway, version });
+        for gateway in 0..self.nodes.len() {
+            let after = self.rng.random_range(0..=spread);
+            self.queue.after(after, Event::VersionFileArrival { gateway, version });
         }
     }
 
     fn file_came(&mut self, now: Nanos, gateway: usize, version: usize) {
         let file = self.versions[version].clone();
-        let place = &mut self.places[gateway];
+        let place = &mut self.nodes[gateway];
         let newer = place.file.as_ref().is_none_or(|held| held.version.number < file.version.number);
         if newer {
             place.file = Some(file.clone());
         }
-        let life = place.life;
+        let incarnation = place.incarnation;
         let take = |hollow: &mut HollowGateway| {
             hollow.agreeing.as_mut().is_some_and(|agreeing| agreeing.take_file(now, &file))
         };
-        if self.enter(now, gateway, life, Work::Agreement, take).is_some() {
-            self.agree(now, gateway, life);
+        if self.enter(now, gateway, incarnation, Work::Agreement, take).is_some() {
+            self.agree(now, gateway, incarnation);
         }
     }
 
     /// A gateway looks at what it may act on and tells others what there is to tell.
-    fn agree(&mut self, now: Nanos, gateway: usize, life: u32) {
+    fn agree(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let look = |hollow: &mut HollowGateway| hollow.agree(now);
-        let Some(outcome) = self.enter(now, gateway, life, Work::Agreement, look) else { return };
+        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Agreement, look) else { return };
         for bytes in outcome.datagrams {
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Sent, bytes.len());
             let bytes = Rc::new(bytes);
             for region in 0..self.scenario.regions {
-                let after = self.delay(self.places[gateway].region, region);
+                let after = self.network_delay(self.nodes[gateway].region, region);
                 self.queue.after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
             }
         }
         if let Some(next) = outcome.looks_next {
-            self.queue.at(next, Event::Agree { gateway, life });
+            self.queue.at(next, Event::EvaluateAgreement { gateway, incarnation });
         }
         if let Some(version) = outcome.in_force {
             self.version_in_force(now, gateway, version);
@@ -436,7 +438,7 @@
     }
 
     fn version_in_force(&mut self, now: Nanos, gateway: usize, version: u64) {
-        let place = &mut self.places[gateway];
+        let place = &mut self.nodes[gateway];
         let (before, started) = (place.version, place.started);
         place.version = before.max(version);
         for number in before + 1..=version {
@@ -447,39 +449,39 @@
 
     /// A datagram reaches all gateways of a region.
     fn datagram(&mut self, now: Nanos, from: usize, region: usize, bytes: &[u8]) {
-        if self.is_apart(self.places[from].region, region) {
+        if self.is_partitioned(self.nodes[from].region, region) {
             return;
         }
-        for gateway in 0..self.places.len() {
-            let place = &self.places[gateway];
-            if gateway == from || place.region != region || place.hollow.is_none() {
+        for gateway in 0..self.nodes.len() {
+            let place = &self.nodes[gateway];
+            if gateway == from || place.region != region || place.running.is_none() {
                 continue;
             }
-            let life = place.life;
+            let incarnation = place.incarnation;
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
             self.control.datagrams.add(now, self.machine(gateway), bytes.len());
             let hear = |hollow: &mut HollowGateway| hollow.hear(now, bytes);
-            self.enter(now, gateway, life, Work::Agreement, hear);
-            self.agree(now, gateway, life);
+            self.enter(now, gateway, incarnation, Work::Agreement, hear);
+            self.agree(now, gateway, incarnation);
         }
     }
 
     // ---- The network
 
-    pub(super) fn is_apart(&self, one: usize, two: usize) -> bool {
-        one != two && self.apart.is_some_and(|region| region == one || region == two)
+    pub(super) fn is_partitioned(&self, one: usize, two: usize) -> bool {
+        one != two && self.isolated_region.is_some_and(|region| region == one || region == two)
     }
 
     /// How long a message takes one way.
-    pub(super) fn delay(&self, one: usize, two: usize) -> Nanos {
+    pub(super) fn network_delay(&self, one: usize, two: usize) -> Nanos {
         let network = &self.scenario.network;
         nanos(if one == two { network.delay_ms } else { network.far_delay_ms } / 1e3)
     }
 
     /// Pairs of a measured version and a gateway where it never came into force.
     pub fn versions_not_in_force(&self) -> u64 {
-        let measured = self.versions.iter().filter(|file| file.put_out >= self.frame.from).count() as u64;
-        (measured * self.places.len() as u64).saturating_sub(self.versions_in_force.times.len())
+        let measured = self.versions.iter().filter(|file| file.put_out >= self.measured.from).count() as u64;
+        (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.times.len())
     }
 }
 
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -24,7 +24,7 @@
 pub struct Start<'a> {
     pub number: u32,
     pub zone: usize,
-    /// The seed of this life.
+    /// The seed of this incarnation.
     pub seed: u64,
     pub settings: &'a Settings,
     pub zones: &'a [String],
@@ -48,7 +48,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// A sign of life that was written on a line to the counter.
+/// A sign of incarnation that was written on a line to the counter.
 pub struct Ping {
     pub line: usize,
     pub bytes: Vec<u8>,
@@ -92,7 +92,7 @@
     pub brain: AdmissionController,
     pub watch: Watch,
     /// A watch is open, or being asked for.
-    pub watching: bool,
+    pub is_watching: bool,
     pub wishes: Wishes,
     pub rpcs: BTreeMap<u32, OpenRpc>,
     pub call_outs: BTreeMap<(u32, u16), CallOut>,
@@ -135,14 +135,14 @@
             number("balancers").map_or(1, |count| count as u32),
         );
         let agreeing = start.agreed.as_ref().map(|agreed| {
-            let life = fastrand::Rng::with_seed(start.seed).u32(..);
-            Agreeing::new(agreed, start.number, start.zone, life, now)
+            let incarnation = fastrand::Rng::with_seed(start.seed).u32(..);
+            Agreeing::new(agreed, start.number, start.zone, incarnation, now)
         });
         let settings = agreeing.as_ref().map_or(settings, |agreeing| agreeing.settings());
         HollowGateway {
             brain: AdmissionController::new(start.seed, settings),
             watch: Watch::new(0, ENTRIES_MEMORY),
-            watching: false,
+            is_watching: false,
             wishes: Wishes::default(),
             rpcs: BTreeMap::new(),
             call_outs: BTreeMap::new(),
@@ -168,14 +168,14 @@
     pub fn ask(&mut self, now: Nanos) -> Vec<u8> {
         let mut request = Vec::new();
         self.watch.write_request(&mut request, now);
-        self.watching = true;
+        self.is_watching = true;
         self.input.clear();
         request
     }
 
     /// How long to rest before the watch is asked for again.
     pub fn ask_again_after(&mut self, now: Nanos) -> Nanos {
-        self.watching = false;
+        self.is_watching = false;
         self.watch.retry_delay(now, self.pushed, self.fleet, self.stop_within, &mut self.chance)
     }
 
@@ -317,7 +317,7 @@
                 pings.push(Ping { line, bytes });
             }
         }
-        SweepOutcome { pings, watch_is_silent: self.watching && self.watch.is_unresponsive(now) }
+        SweepOutcome { pings, watch_is_silent: self.is_watching && self.watch.is_unresponsive(now) }
     }
 
     // ---- The agreement
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -22,13 +22,13 @@
 /// The region that the counter and discovery's source are in.
 pub const HOME_REGION: usize = 0;
 /// Visits to servers are kept for the spread of the load where no more than so many are to be expected.
-const VISITS_MOST: f64 = 20e6;
+const MAX_SERVED_ATTEMPTS: f64 = 20e6;
 
 /// A call on its way to the counter, by the line that it was written on.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
     pub gateway: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub line: usize,
     pub name: u64,
     pub add: f64,
@@ -59,7 +59,7 @@
     count_wait: Nanos,
     dial: Nanos,
     /// Call-outs that servers took, where they are kept.
-    pub visits: Option<Vec<ServerRpc>>,
+    pub served_attempts: Option<Vec<ServerRpc>>,
 }
 
 impl Load {
@@ -80,7 +80,8 @@
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
         let rate = scenario.rate * f64::from(played);
-        let whole_fleet = scenario.played() == scenario.gateways && rate * scenario.seconds < VISITS_MOST;
+        let whole_fleet =
+            scenario.played() == scenario.gateways && rate * scenario.seconds < MAX_SERVED_ATTEMPTS;
         Load {
             plan: scenario.plan().unwrap_or(0),
             methods: methods.collect(),
@@ -93,7 +94,7 @@
             last_rpc: 0,
             count_wait: time("extra.countWait", gateway::counter::DEFAULT_CALL_TIMEOUT),
             dial: time("ceilings.dialTimeout", gateway::servers::DEFAULT_CONNECT_TIMEOUT),
-            visits: whole_fleet.then(Vec::new),
+            served_attempts: whole_fleet.then(Vec::new),
         }
     }
 
@@ -109,14 +110,14 @@
             return;
         }
         let gap = self.load.gap();
-        self.queue.after(gap, Event::Arrive);
+        self.queue.after(gap, Event::RpcArrival);
         let load = &mut self.load;
         let tenant = load.by_tenant.sample(&mut load.draws);
         let number = load.by_method.sample(&mut load.draws);
         let (width, first) = (self.scenario.load.width, load.tenants[tenant].first as usize);
         let start = load.draws.random_range(0..width);
-        let set = (0..width).map(|at| (first + (start + at) % width) % self.places.len());
-        let Some(gateway) = set.into_iter().find(|at| self.places[*at].hollow.is_some()) else {
+        let set = (0..width).map(|at| (first + (start + at) % width) % self.nodes.len());
+        let Some(gateway) = set.into_iter().find(|at| self.nodes[*at].running.is_some()) else {
             self.count(now, |counts| (counts.rpcs, counts.cut) = (counts.rpcs + 1, counts.cut + 1));
             return;
         };
@@ -136,13 +137,13 @@
             first_gateway: first as u32,
         };
         self.count(now, |counts| counts.rpcs += 1);
-        let life = self.places[gateway].life;
-        self.enter(now, gateway, life, Work::Rpcs, |hollow| hollow.rpc(now, &arrival));
+        let incarnation = self.nodes[gateway].incarnation;
+        self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.rpc(now, &arrival));
     }
 
     /// Counts something in the measured part of the run.
     pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut Counts)) {
-        if now >= self.frame.from {
+        if now >= self.measured.from {
             counts(&mut self.counts);
         }
     }
@@ -157,7 +158,7 @@
     /// Carries out what a gateway asked of its host; `work` is what it was doing.
     pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: Work) {
         loop {
-            let Some(hollow) = &mut self.places[gateway].hollow else { return };
+            let Some(hollow) = &mut self.nodes[gateway].running else { return };
             let wishes = std::mem::take(&mut hollow.wishes.0);
             if wishes.is_empty() {
                 return;
@@ -169,10 +170,12 @@
     }
 
     fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
-        let life = self.places[gateway].life;
-        let Some(hollow) = &mut self.places[gateway].hollow else { return };
+        let incarnation = self.nodes[gateway].incarnation;
+        let Some(hollow) = &mut self.nodes[gateway].running else { return };
         match wish {
-            Wish::Wake { after, token } => self.queue.after(after, Event::Wake { gateway, life, token }),
+            Wish::Wake { after, token } => {
+                self.queue.after(after, Event::Timer { gateway, incarnation, token })
+            }
             Wish::PushBack { rpc, .. } => {
                 let answered = hollow.rpcs.remove(&rpc);
                 self.answered(answered, |counts| &mut counts.pushed_back);
@@ -189,66 +192,71 @@
     // ---- Call-outs
 
     fn call_out(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
-        let life = self.places[gateway].life;
-        let Some(hollow) = &mut self.places[gateway].hollow else { return };
+        let incarnation = self.nodes[gateway].incarnation;
+        let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let Some(open) = hollow.rpcs.get_mut(&rpc) else { return };
         let until = if limit == 0 { open.deadline } else { (now + limit).min(open.deadline) };
         let nth = open.call_outs;
         open.call_outs += 1;
         hollow.call_outs.insert((rpc, nth), CallOut { server, sent: now });
-        let call = AttemptRef { gateway: gateway as u32, incarnation: life, rpc, nth };
+        let call = AttemptRef { gateway: gateway as u32, incarnation: incarnation, rpc, nth };
         let Some(to) = hollow.server(server).filter(|_| until > now) else {
-            self.enter(now, gateway, life, work, |hollow| {
+            self.enter(now, gateway, incarnation, work, |hollow| {
                 hollow.call_out_ended(now, rpc, nth, CallOutcome::NotSent)
             });
             return;
         };
         self.count(now, |counts| counts.call_outs += 1);
-        let (region, server_region) = (self.places[gateway].region, self.region_of_server(to));
-        if self.is_apart(region, server_region) {
-            return self.queue.after(self.load.dial, Event::Back { call, how: CallOutcome::NoConnection });
+        let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(to));
+        if self.is_partitioned(region, server_region) {
+            return self
+                .queue
+                .after(self.load.dial, Event::AttemptEnd { call, how: CallOutcome::NoConnection });
         }
-        let server_life = self.servers.all[to as usize].incarnation;
-        let after = self.delay(region, server_region);
-        self.queue.after(after, Event::AtServer { call, server: to, server_life });
-        self.queue.at(until, Event::Back { call, how: CallOutcome::TimedOut });
+        let server_incarnation = self.servers.all[to as usize].incarnation;
+        let after = self.network_delay(region, server_region);
+        self.queue.after(after, Event::AttemptAtServer { call, server: to, server_incarnation });
+        self.queue.at(until, Event::AttemptEnd { call, how: CallOutcome::TimedOut });
     }
 
     fn region_of_server(&self, server: u32) -> usize {
         server as usize % self.scenario.zones % self.scenario.regions
     }
 
-    pub(super) fn at_server(&mut self, now: Nanos, call: AttemptRef, server: u32, server_life: u32) {
-        let region = self.places[call.gateway as usize].region;
-        let back = self.delay(region, self.region_of_server(server));
-        let (after, how) = match self.servers.accept(now, server, server_life, call) {
+    pub(super) fn at_server(&mut self, now: Nanos, call: AttemptRef, server: u32, server_incarnation: u32) {
+        let region = self.nodes[call.gateway as usize].region;
+        let back = self.network_delay(region, self.region_of_server(server));
+        let (after, how) = match self.servers.accept(now, server, server_incarnation, call) {
             Disposition::Refused => (back, CallOutcome::NoConnection),
             Disposition::Full => (back, CallOutcome::Full),
             Disposition::Held => return,
             Disposition::Serving { after, ok } => {
-                if let Some(visits) = self.load.visits.as_mut().filter(|_| now >= self.frame.from) {
-                    visits.push(ServerRpc {
+                if let Some(served_attempts) =
+                    self.load.served_attempts.as_mut().filter(|_| now >= self.measured.from)
+                {
+                    served_attempts.push(ServerRpc {
                         server: server as usize,
                         arrived_at: now,
                         ended_at: now + after,
                     });
                 }
-                self.queue.after(after, Event::Freed { server, server_life });
+                self.queue.after(after, Event::SlotFreed { server, server_incarnation });
                 (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
             }
         };
-        self.queue.after(after, Event::Back { call, how });
+        self.queue.after(after, Event::AttemptEnd { call, how });
     }
 
     pub(super) fn call_ended(&mut self, now: Nanos, call: AttemptRef, how: CallOutcome) {
-        let (gateway, life) = (call.gateway as usize, call.incarnation);
-        let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| {
-            self.places[gateway].life == life && hollow.call_outs.contains_key(&(call.rpc, call.nth))
+        let (gateway, incarnation) = (call.gateway as usize, call.incarnation);
+        let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| {
+            self.nodes[gateway].incarnation == incarnation
+                && hollow.call_outs.contains_key(&(call.rpc, call.nth))
         });
         if !open {
             return; // its time was over, or it had ended before its time
         }
-        let ended = self.enter(now, gateway, life, Work::Rpcs, |hollow| {
+        let ended = self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| {
             hollow.call_out_ended(now, call.rpc, call.nth, how)
         });
         self.answered(ended.flatten(), |counts| &mut counts.ok);
@@ -257,19 +265,19 @@
     // ---- The counter
 
     fn call_counter(&mut self, now: Nanos, gateway: usize, name: u64, add: f64, forget: Nanos) {
-        let life = self.places[gateway].life;
-        let region = self.places[gateway].region;
-        let Some(hollow) = &mut self.places[gateway].hollow else { return };
+        let incarnation = self.nodes[gateway].incarnation;
+        let region = self.nodes[gateway].region;
+        let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let WrittenCall { line, serial, bytes } = hollow.count(now, name, add, forget);
         self.count(now, |counts| counts.count_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.queue.after(self.load.count_wait, Event::CountLimit { gateway, life, line, serial });
-        if !self.is_apart(region, HOME_REGION) {
-            let after = self.delay(region, HOME_REGION);
-            let call = CounterCall { gateway, life, line, name, add, forget };
-            self.queue.after(after, Event::CountAt(call));
+        self.queue.after(self.load.count_wait, Event::CounterTimeout { gateway, incarnation, line, serial });
+        if !self.is_partitioned(region, HOME_REGION) {
+            let after = self.network_delay(region, HOME_REGION);
+            let call = CounterCall { gateway, incarnation, line, name, add, forget };
+            self.queue.after(after, Event::CounterRequest(call));
         }
     }
 
@@ -279,34 +287,43 @@
     }
 
     pub(super) fn count_at(&mut self, now: Nanos, call: CounterCall) {
-        let CounterCall { gateway, life, line, name, add, forget } = call;
+        let CounterCall { gateway, incarnation, line, name, add, forget } = call;
         let Some(total) = self.counter.add(now, gateway as u32, name, add, forget) else { return };
         let text = total.to_string();
         let bytes = format!("${}\r\n{text}\r\n", text.len()).into_bytes();
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.answer_later(gateway, life, line, bytes);
+        self.answer_later(gateway, incarnation, line, bytes);
     }
 
-    fn answer_later(&mut self, gateway: usize, life: u32, line: usize, bytes: Vec<u8>) {
+    fn answer_later(&mut self, gateway: usize, incarnation: u32, line: usize, bytes: Vec<u8>) {
         let after = nanos(self.scenario.counter.latency_ms / 1e3)
-            + self.delay(self.places[gateway].region, HOME_REGION);
-        self.queue.after(after, Event::CountBack { gateway, life, line, bytes });
+            + self.network_delay(self.nodes[gateway].region, HOME_REGION);
+        self.queue.after(after, Event::CounterReply { gateway, incarnation, line, bytes });
     }
 
-    pub(super) fn count_back(&mut self, now: Nanos, gateway: usize, life: u32, line: usize, bytes: &[u8]) {
-        if self.places[gateway].life != life || self.is_apart(self.places[gateway].region, HOME_REGION) {
+    pub(super) fn count_back(
+        &mut self,
+        now: Nanos,
+        gateway: usize,
+        incarnation: u32,
+        line: usize,
+        bytes: &[u8],
+    ) {
+        if self.nodes[gateway].incarnation != incarnation
+            || self.is_partitioned(self.nodes[gateway].region, HOME_REGION)
+        {
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.enter(now, gateway, life, Work::Counter, |hollow| hollow.counter_came(now, line, bytes));
+        self.enter(now, gateway, incarnation, Work::Counter, |hollow| hollow.counter_came(now, line, bytes));
     }
 
-    /// A line's sign of life, and its answer.
-    pub(super) fn ping(&mut self, now: Nanos, gateway: usize, life: u32, line: usize, bytes: &[u8]) {
+    /// A line's sign of incarnation, and its answer.
+    pub(super) fn ping(&mut self, now: Nanos, gateway: usize, incarnation: u32, line: usize, bytes: &[u8]) {
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
-        if !self.counter.stalled && !self.is_apart(self.places[gateway].region, HOME_REGION) {
-            self.answer_later(gateway, life, line, b"+PONG\r\n".to_vec());
+        if !self.counter.stalled && !self.is_partitioned(self.nodes[gateway].region, HOME_REGION) {
+            self.answer_later(gateway, incarnation, line, b"+PONG\r\n".to_vec());
         }
     }
 }
--- a/crates/scale/src/hollow/script.rs
+++ b/crates/scale/src/hollow/script.rs
@@ -111,7 +111,7 @@
                 vec![(nanos(*at), Step::Fail { servers, told_after, down })]
             }
             Scripted::Replace { at, share, seconds, drain } => {
-                let old = pick(self.scenario.servers as u32, *share, &mut self.draws);
+                let old = pick(self.scenario.servers as u32, *share, &mut self.rng);
                 let gap = seconds / old.len().max(1) as f64;
                 let drain = nanos(*drain);
                 let each = old.into_iter().enumerate().map(|(nth, old)| {
@@ -146,7 +146,7 @@
         match step {
             Step::Churn { fail_share, drain, down } => self.churn(now, fail_share, drain, down),
             Step::Rack { servers, told_after, down } => {
-                let zone = self.draws.random_range(0..self.scenario.zones);
+                let zone = self.rng.random_range(0..self.scenario.zones);
                 let of_zone = (0..self.scenario.servers as u32).filter(|server| {
                     *server as usize % self.scenario.zones == zone && self.is_ready(*server)
                 });
@@ -175,11 +175,11 @@
                 self.list(now, new, Status::Ready);
                 self.queue.after(drain, Event::Step(Step::Gone { servers: vec![old] }));
             }
-            Step::PutOutVersion => self.put_out_version(now),
+            Step::PutOutVersion => self.publish_version(now),
             Step::Apart { region } => self.cut_region(now, region),
             Step::KillGateways { share, first, down } => self.kill_gateways(share, first, down),
             Step::StartGateways { gateways } => {
-                gateways.into_iter().for_each(|gateway| self.start(now, gateway, false));
+                gateways.into_iter().for_each(|gateway| self.start_gateway(now, gateway, false));
             }
             Step::LoseMachines { share, seconds } => self.lose_machines(now, share, seconds),
             Step::MachinesBack { gateways } => {
@@ -197,20 +197,20 @@
 
     fn list(&mut self, now: Nanos, server: u32, status: Status) {
         let came_up = self.servers.all[server as usize].came_up;
-        self.counts.list_changes += u64::from(now >= self.frame.from);
+        self.counts.list_changes += u64::from(now >= self.measured.from);
         for write in self.discovery.change(now, server, status, came_up / MS) {
-            self.queue.at(write.at, Event::AgentWrites { agent: write.agent });
+            self.queue.at(write.at, Event::AgentWrite { agent: write.agent });
         }
     }
 
     fn churn(&mut self, now: Nanos, fail_share: f64, drain: Nanos, down: Nanos) {
         let count = self.discovery.servers() as u32;
-        let drawn = (0..DRAWS_MOST).map(|_| self.draws.random_range(0..count)).collect::<Vec<_>>();
+        let drawn = (0..DRAWS_MOST).map(|_| self.rng.random_range(0..count)).collect::<Vec<_>>();
         let Some(server) = drawn.into_iter().chain(0..count).find(|server| self.is_ready(*server)) else {
             return;
         };
         let servers = vec![server];
-        if self.draws.random::<f64>() < fail_share {
+        if self.rng.random::<f64>() < fail_share {
             return self.fail(now, servers, drain, down);
         }
         self.list(now, server, Status::Draining);
@@ -228,35 +228,35 @@
     // ---- Gateways, control machines and regions
 
     fn kill_gateways(&mut self, share: f64, first: usize, down: Nanos) {
-        let drawn = pick(self.places.len() as u32, share, &mut self.draws);
+        let drawn = pick(self.nodes.len() as u32, share, &mut self.rng);
         let gateways: Vec<usize> = (0..first).chain(drawn.into_iter().map(|at| at as usize)).collect();
-        gateways.iter().for_each(|gateway| self.kill(*gateway));
+        gateways.iter().for_each(|gateway| self.kill_gateway(*gateway));
         self.queue.after(down, Event::Step(Step::StartGateways { gateways }));
     }
 
     fn lose_machines(&mut self, now: Nanos, share: f64, seconds: Nanos) {
-        let machines = pick(self.scenario.control_machines as u32, share, &mut self.draws);
+        let machines = pick(self.scenario.control_machines as u32, share, &mut self.rng);
         let lost = |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
-        let gateways: Vec<usize> = (0..self.places.len()).filter(lost).collect();
+        let gateways: Vec<usize> = (0..self.nodes.len()).filter(lost).collect();
         for gateway in &gateways {
             self.discovery.set_up(*gateway, false);
-            let life = self.places[*gateway].life;
-            let watches = self.places[*gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
+            let life = self.nodes[*gateway].incarnation;
+            let watches = self.nodes[*gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
             if watches {
-                self.watch_broke(now, *gateway, life);
+                self.retry_watch(now, *gateway, life);
             }
         }
         self.queue.after(seconds, Event::Step(Step::MachinesBack { gateways }));
     }
 
     fn cut_region(&mut self, now: Nanos, region: Option<usize>) {
-        self.apart = region;
-        for gateway in 0..self.places.len() {
-            let cut = self.is_apart(self.places[gateway].region, HOME_REGION);
+        self.isolated_region = region;
+        for gateway in 0..self.nodes.len() {
+            let cut = self.is_partitioned(self.nodes[gateway].region, HOME_REGION);
             let was = self.discovery.is_cut(gateway);
             self.discovery.set_cut(gateway, cut);
             if was && !cut {
-                self.agent_goes_on(now, gateway);
+                self.schedule_agent_write(now, gateway);
             }
         }
     }
--- a/crates/scale/src/hollow/settings_agreement.rs
+++ b/crates/scale/src/hollow/settings_agreement.rs
@@ -51,10 +51,10 @@
 }
 
 impl Agreeing {
-    pub fn new(agreed: &Agreed, number: u32, zone: usize, life: u32, now: Nanos) -> Agreeing {
+    pub fn new(agreed: &Agreed, number: u32, zone: usize, incarnation: u32, now: Nanos) -> Agreeing {
         let file = agreed.file.clone();
         let (content, start) = (file.content, file.version.start);
-        let mut state = Agreement::new(agreed.terms.clone(), Some(number), life, now, content, start);
+        let mut state = Agreement::new(agreed.terms.clone(), Some(number), incarnation, now, content, start);
         if agreed.fresh {
             state.skip_recovery();
         }
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -299,8 +299,8 @@
 
 /// How evenly RPCs came to the servers that were ready throughout a window, as the rig measures it.
 fn spread(fleet: &Fleet) -> Option<Spread> {
-    let visits = fleet.load.visits.as_ref()?;
-    let (from, to) = (fleet.frame.from, fleet.frame.from + fleet.frame.seconds as u64 * SEC);
+    let visits = fleet.load.served_attempts.as_ref()?;
+    let (from, to) = (fleet.measured.from, fleet.measured.from + fleet.measured.seconds as u64 * SEC);
     let servers = ready_servers(fleet);
     let windows = WindowSeries { from, to, width: SPREAD_WINDOW }.windows(&servers, visits, Quantity::Rpcs);
     Some(Spread::of(&windows))
@@ -315,7 +315,7 @@
         p99_ms: round(in_force.quantile_ms(0.99)),
         most_ms: round(in_force.most_ms()),
     };
-    let untold = fleet.discovery.untold(fleet.frame.from) as u64;
+    let untold = fleet.discovery.untold(fleet.measured.from) as u64;
     vec![
         row("list", &fleet.lists_in_force, untold),
         row("version", &fleet.versions_in_force, fleet.versions_not_in_force()),
@@ -324,14 +324,14 @@
 
 fn traffic_rows(fleet: &Fleet) -> Vec<TrafficRow> {
     let voters = fleet.scenario.agreement.as_ref().map_or(1, |terms| terms.voters);
-    let seconds = fleet.frame.seconds;
+    let seconds = fleet.measured.seconds;
     let mut rows = Vec::new();
     for peer in Peer::ALL {
         for direction in Direction::ALL {
             let total = fleet.traffic.total(peer, direction);
             let by_voters = (peer, direction) == (Peer::Gateways, Direction::Sent);
             let gateways = if by_voters { voters } else { fleet.scenario.played() } as f64;
-            let all = (0..seconds).map(|second| fleet.traffic.of_second(second, peer, direction));
+            let all = (0..seconds).map(|second| fleet.traffic.in_second(second, peer, direction));
             let peak = all.max_by_key(|tally| tally.bytes).unwrap_or_default();
             let each = |count: u64| round(count as f64 / gateways);
             rows.push(TrafficRow {
@@ -349,7 +349,7 @@
 
 fn control_rows(fleet: &Fleet) -> Vec<ControlRow> {
     let (machines, times) = (fleet.scenario.control_machines, fleet.scenario.multiplied_by());
-    let spans = (machines * fleet.frame.seconds) as f64;
+    let spans = (machines * fleet.measured.seconds) as f64;
     let row = |what, load: &ControlLoad| {
         let (total, peak): (Tally, Tally) = (load.total(), load.busiest_second());
         ControlRow {
@@ -370,7 +370,7 @@
 
 fn second_rows(fleet: &Fleet) -> Vec<SecondRow> {
     let row = |second: usize| {
-        let of = |peer, direction| fleet.traffic.of_second(second, peer, direction);
+        let of = |peer, direction| fleet.traffic.in_second(second, peer, direction);
         let both = |peer| of(peer, Direction::Sent).bytes + of(peer, Direction::Received).bytes;
         SecondRow {
             t_s: second,
@@ -381,7 +381,7 @@
             datagram_bytes: both(Peer::Gateways),
         }
     };
-    (0..fleet.frame.seconds).map(row).collect()
+    (0..fleet.measured.seconds).map(row).collect()
 }
 
 fn processor_rows(fleet: &Fleet) -> Vec<ProcessorRow> {
@@ -406,8 +406,8 @@
     rows.push(row("a line of the list, at most", milliseconds(changes.max()), "ms"));
     let memory = fleet.memory;
     let each = |bytes: u64| megabytes(bytes / fleet.scenario.played() as u64);
-    rows.push(row("held a gateway, once started", each(memory.started), "MB"));
-    rows.push(row("held a gateway, at the end", each(memory.ended), "MB"));
+    rows.push(row("held a gateway, once started", each(memory.after_start), "MB"));
+    rows.push(row("held a gateway, at the end", each(memory.at_end), "MB"));
     rows.push(row("peak of the whole emulation", megabytes(memory.peak), "MB"));
     rows
 }
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -60,14 +60,14 @@
 
 /// Seconds of a run, from the first measured one on.
 #[derive(Clone, Copy, Debug)]
-pub struct Frame {
+pub struct MeasuredPeriod {
     pub from: Nanos,
     pub seconds: usize,
 }
 
-impl Frame {
+impl MeasuredPeriod {
     /// Which second of the run this is; nothing outside of it.
-    pub fn second(&self, now: Nanos) -> Option<usize> {
+    pub fn second_index(&self, now: Nanos) -> Option<usize> {
         let second = (now.checked_sub(self.from)? / SEC) as usize;
         (second < self.seconds).then_some(second)
     }
@@ -75,7 +75,7 @@
 
 /// All that went between the played gateways and their peers, second by second.
 pub struct Traffic {
-    frame: Frame,
+    measured: MeasuredPeriod,
     /// By second, peer and direction.
     seconds: Vec<[[Tally; 2]; 3]>,
     /// Bytes in both directions, by gateway and second.
@@ -83,25 +83,25 @@
 }
 
 impl Traffic {
-    pub fn new(frame: Frame, gateways: usize) -> Traffic {
-        let seconds = vec![Default::default(); frame.seconds];
-        Traffic { frame, seconds, gateways: vec![vec![0; frame.seconds]; gateways] }
+    pub fn new(measured: MeasuredPeriod, gateways: usize) -> Traffic {
+        let seconds = vec![Default::default(); measured.seconds];
+        Traffic { measured, seconds, gateways: vec![vec![0; measured.seconds]; gateways] }
     }
 
     pub fn add(&mut self, now: Nanos, gateway: usize, peer: Peer, direction: Direction, bytes: usize) {
-        let Some(second) = self.frame.second(now) else { return };
+        let Some(second) = self.measured.second_index(now) else { return };
         self.seconds[second][peer as usize][direction as usize].add(1, bytes as u64);
         self.gateways[gateway][second] += bytes as u32;
     }
 
-    pub fn of_second(&self, second: usize, peer: Peer, direction: Direction) -> Tally {
+    pub fn in_second(&self, second: usize, peer: Peer, direction: Direction) -> Tally {
         self.seconds[second][peer as usize][direction as usize]
     }
 
     pub fn total(&self, peer: Peer, direction: Direction) -> Tally {
         let mut total = Tally::default();
         for second in 0..self.seconds.len() {
-            let tally = self.of_second(second, peer, direction);
+            let tally = self.in_second(second, peer, direction);
             total.add(tally.messages, tally.bytes);
         }
         total
@@ -115,18 +115,18 @@
 
 /// What each control machine carries, second by second.
 pub struct ControlLoad {
-    frame: Frame,
+    measured: MeasuredPeriod,
     /// By machine and second.
     machines: Vec<Vec<Tally>>,
 }
 
 impl ControlLoad {
-    pub fn new(frame: Frame, machines: usize) -> ControlLoad {
-        ControlLoad { frame, machines: vec![vec![Tally::default(); frame.seconds]; machines] }
+    pub fn new(measured: MeasuredPeriod, machines: usize) -> ControlLoad {
+        ControlLoad { measured, machines: vec![vec![Tally::default(); measured.seconds]; machines] }
     }
 
     pub fn add(&mut self, now: Nanos, machine: usize, bytes: usize) {
-        if let Some(second) = self.frame.second(now) {
+        if let Some(second) = self.measured.second_index(now) {
             self.machines[machine][second].add(1, bytes as u64);
         }
     }
