--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -1,10 +1,14 @@
-//! Hollow gateways: the program's own state machines (the decision module with quotas and its part of the servers, the list
-//! watch, the lines to the counter, the agreement on settings) without sockets, many in a process, on one emulated clock,
-//! with every message for control encoded and counted.
+//! Emulates a fleet of hollow gateways: many gateways without sockets, in one process and on one
+//! emulated clock.
 //!
-//! [`scenario`] says what is played, [`fleet`] plays it, [`tables`] writes what was found. The same scenario and seed give
-//! the same tables byte for byte, but for `processor.csv`, which holds what the run took of this machine. Figures are
-//! emulated. `docs/scale-hollow.md` says what each of them means.
+//! A hollow gateway runs the product's own state machines: the admission controller with quotas and
+//! the gateway's subset of the servers, the list watch, the connections to the counter, and the
+//! agreement on settings. Every control message is encoded and counted.
+//!
+//! [`scenario`] reads the scenario, [`fleet`] runs it, and [`tables`] writes the results. The same
+//! scenario and seed give the same tables byte for byte, except for `processor.csv`, which holds
+//! the processor time and memory that the run took on this machine. All other figures come from the
+//! emulated clock. `docs/scale-hollow.md` explains each of them.
 
 mod discovery;
 mod figures;
@@ -28,29 +32,29 @@
 /// Arguments of `martenramp-scale hollow`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// The scenario to play (TOML).
+    /// The scenario file (TOML).
     pub scenario: PathBuf,
-    /// Where tables go; the scenario's name is added.
+    /// Directory for the tables, which are written to a subdirectory named after the scenario.
     #[arg(long, default_value = "docs/scale-results/hollow")]
     pub out: PathBuf,
-    /// Another seed than the scenario's.
+    /// Overrides the scenario's seed.
     #[arg(long)]
     pub seed: Option<u64>,
 }
 
-/// Plays a hollow fleet, writes its tables and prints its figures.
+/// Runs a scenario, writes its tables and prints a summary.
 pub fn run(args: Args) -> Result<(), ScaleError> {
     let mut scenario = Scenario::read(&args.scenario)?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
-    let begun = Instant::now();
+    let started = Instant::now();
     let tables = play(&scenario);
     tables.write(&args.out.join(&scenario.name))?;
     print!("{}", tables.shown());
-    println!("played in {:.0} s", begun.elapsed().as_secs_f64());
+    println!("played in {:.0} s", started.elapsed().as_secs_f64());
     Ok(())
 }
 
-/// Plays a checked scenario.
+/// Runs a validated scenario and returns its tables.
 pub fn play(scenario: &Scenario) -> Tables {
     let mut fleet = fleet::Fleet::new(scenario);
     fleet.run();
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -1,16 +1,18 @@
-//! Messages and bytes between the gateways and those that they speak to for control, counted as they would go out: payloads
-//! only, without the headers of TCP, UDP and IP.
+//! Counts control traffic: the messages and bytes between gateways and their discovery agents, the
+//! counter and other gateways.
+//!
+//! Bytes are payload only, without TCP, UDP and IP headers.
 
 use super::{Nanos, SEC};
 
-/// Whom a gateway speaks to.
+/// The kind of peer that a gateway exchanges control messages with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
-    /// Its discovery agent: watch requests out, lines of the list in.
+    /// The gateway's discovery agent: watch requests out, lines of the server list in.
     Discovery,
-    /// The shared counter: calls out, answers in.
+    /// The shared counter: calls out, replies in.
     Counter,
-    /// Other gateways: datagrams of the agreement.
+    /// Other gateways: datagrams of the agreement on settings.
     Gateways,
 }
 
@@ -26,7 +28,7 @@
     }
 }
 
-/// Which way, as the gateway sees it.
+/// The direction of a message, as seen by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Sent,
@@ -44,7 +46,7 @@
     }
 }
 
-/// How many messages, and bytes in them.
+/// A number of messages and their total bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     pub messages: u64,
@@ -58,7 +60,7 @@
     }
 }
 
-/// Seconds of a run, from the first measured one on.
+/// The measured part of a run, after warm-up, in whole seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasuredPeriod {
     pub from: Nanos,
@@ -66,32 +68,32 @@
 }
 
 impl MeasuredPeriod {
-    /// Which second of the run this is; nothing outside of it.
+    /// The index of the measured second that contains `now`, or `None` outside the measured period.
     pub fn second_index(&self, now: Nanos) -> Option<usize> {
         let second = (now.checked_sub(self.from)? / SEC) as usize;
         (second < self.seconds).then_some(second)
     }
 }
 
-/// All that went between the played gateways and their peers, second by second.
+/// Control traffic between the emulated gateways and their peers, by second.
 pub struct Traffic {
     measured: MeasuredPeriod,
     /// By second, peer and direction.
     seconds: Vec<[[Tally; 2]; 3]>,
     /// Bytes in both directions, by gateway and second.
-    gateways: Vec<Vec<u32>>,
+    gateway_bytes: Vec<Vec<u32>>,
 }
 
 impl Traffic {
     pub fn new(measured: MeasuredPeriod, gateways: usize) -> Traffic {
         let seconds = vec![Default::default(); measured.seconds];
-        Traffic { measured, seconds, gateways: vec![vec![0; measured.seconds]; gateways] }
+        Traffic { measured, seconds, gateway_bytes: vec![vec![0; measured.seconds]; gateways] }
     }
 
     pub fn add(&mut self, now: Nanos, gateway: usize, peer: Peer, direction: Direction, bytes: usize) {
         let Some(second) = self.measured.second_index(now) else { return };
         self.seconds[second][peer as usize][direction as usize].add(1, bytes as u64);
-        self.gateways[gateway][second] += bytes as u32;
+        self.gateway_bytes[gateway][second] += bytes as u32;
     }
 
     pub fn in_second(&self, second: usize, peer: Peer, direction: Direction) -> Tally {
@@ -107,13 +109,13 @@
         total
     }
 
-    /// The most bytes that any gateway had in one second.
+    /// The most bytes that any gateway sent and received in one second.
     pub fn busiest_gateway_second(&self) -> u32 {
-        self.gateways.iter().flatten().copied().max().unwrap_or(0)
+        self.gateway_bytes.iter().flatten().copied().max().unwrap_or(0)
     }
 }
 
-/// What each control machine carries, second by second.
+/// The messages and bytes that each control machine handles, by second.
 pub struct ControlLoad {
     measured: MeasuredPeriod,
     /// By machine and second.
@@ -131,14 +133,16 @@
         }
     }
 
-    /// Messages and bytes of all machines together over the run.
+    /// Messages and bytes of all machines over the whole measured period.
     pub fn total(&self) -> Tally {
         let mut total = Tally::default();
         self.machines.iter().flatten().for_each(|tally| total.add(tally.messages, tally.bytes));
         total
     }
 
-    /// The most of each that one machine carried in one second.
+    /// The most messages and the most bytes that one machine handled in one second.
+    ///
+    /// The two maxima may come from different machines and seconds.
     pub fn busiest_second(&self) -> Tally {
         let all = || self.machines.iter().flatten();
         Tally {
