--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
 use super::figures::{Counts, InForce, Processor, Work, processor_now};
-use super::gateway::{Agreed, HollowGateway, Start};
+use super::gateway::{AgreementStart, HollowGateway, StartParams};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
 use super::script::Step;
@@ -36,8 +36,8 @@
     AttemptEnd { call: AttemptRef, how: CallOutcome },
     SlotFreed { server: u32, server_incarnation: u32 },
     CounterRequest(CounterCall),
-    CounterReply { gateway: usize, incarnation: u32, line: usize, bytes: Vec<u8> },
-    CounterTimeout { gateway: usize, incarnation: u32, line: usize, serial: u64 },
+    CounterReply { gateway: usize, incarnation: u32, connection: usize, bytes: Vec<u8> },
+    CounterTimeout { gateway: usize, incarnation: u32, connection: usize, serial: u64 },
     AgentWrite { agent: usize },
     Heartbeat,
     WatchRequest { gateway: usize, incarnation: u32 },
@@ -98,7 +98,7 @@
     pub(super) rng: ChaCha8Rng,
     settings: Settings,
     zones: Vec<String>,
-    terms: Option<AgreementConfig>,
+    agreement_config: Option<AgreementConfig>,
     versions: Vec<Arc<VersionFile>>,
     /// The region that is cut off from all others.
     pub(super) isolated_region: Option<usize>,
@@ -133,7 +133,7 @@
             rng: chance::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
-            terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
+            agreement_config: scenario.agreement.as_ref().map(|terms| AgreementConfig {
                 voters: (0..terms.voters as u32).collect(),
                 lease_duration: nanos(terms.lease),
                 max_clock_error: nanos(terms.clock),
@@ -144,7 +144,7 @@
         };
         fleet.queue.at(EPOCH, Event::RpcArrival);
         fleet.queue.at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
-        if fleet.terms.is_some() {
+        if fleet.agreement_config.is_some() {
             fleet.versions.push(Arc::new(VersionFile::new(fleet.version(1, 0), 0)));
         }
         for number in 0..played {
@@ -188,7 +188,7 @@
         match event {
             Event::RpcArrival => self.arrive(now),
             Event::Timer { gateway, incarnation, token } => {
-                self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.woke(now, token));
+                self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_timer(now, token));
             }
             Event::AttemptAtServer { call, server, server_incarnation } => {
                 self.at_server(now, call, server, server_incarnation)
@@ -196,11 +196,12 @@
             Event::AttemptEnd { call, how } => self.call_ended(now, call, how),
             Event::SlotFreed { server, server_incarnation } => self.servers.free(server, server_incarnation),
             Event::CounterRequest(call) => self.count_at(now, call),
-            Event::CounterReply { gateway, incarnation, line, bytes } => {
-                self.count_back(now, gateway, incarnation, line, &bytes)
+            Event::CounterReply { gateway, incarnation, connection, bytes } => {
+                self.count_back(now, gateway, incarnation, connection, &bytes)
             }
-            Event::CounterTimeout { gateway, incarnation, line, serial } => {
-                let timed_out = |hollow: &mut HollowGateway| hollow.count_timed_out(now, line, serial);
+            Event::CounterTimeout { gateway, incarnation, connection, serial } => {
+                let timed_out =
+                    |hollow: &mut HollowGateway| hollow.on_counter_timeout(now, connection, serial);
                 self.enter(now, gateway, incarnation, Work::Counter, timed_out);
             }
             Event::AgentWrite { agent } => self.agent_writes(now, agent),
@@ -241,15 +242,15 @@
         place.incarnation += 1;
         place.started = now;
         let incarnation = place.incarnation;
-        let agreed = place.file.clone().zip(self.terms.clone());
-        let start = Start {
+        let agreement = place.file.clone().zip(self.agreement_config.clone());
+        let start = StartParams {
             number: gateway as u32,
             zone: place.zone,
             seed: chance::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
             settings: &self.settings,
             zones: &self.zones,
             services: self.scenario.services as u32,
-            agreed: agreed.map(|(file, terms)| Agreed { file, terms, fresh: first }),
+            agreement: agreement.map(|(file, config)| AgreementStart { file, config, fresh: first }),
         };
         place.running = Some(HollowGateway::new(&start, now));
         let known = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
@@ -258,8 +259,8 @@
                 .ok()
                 .and_then(|list| gateway::list::parse(&list, &Services::default()));
             let read = |hollow: &mut HollowGateway| {
-                list.into_iter().for_each(|told| hollow.told(now, told));
-                hollow.ask_again_after(now)
+                list.into_iter().for_each(|told| hollow.apply_update(now, told));
+                hollow.watch_retry_delay(now)
             };
             let rest = self.enter(now, gateway, incarnation, Work::List, read).unwrap_or(0);
             self.lists_reached(now, gateway, &changes);
@@ -309,13 +310,13 @@
         self.control.discovery.add(now, self.machine(gateway), lines.bytes.len());
         let incarnation = self.nodes[gateway].incarnation;
         let begun = processor_now();
-        let came = |hollow: &mut HollowGateway| hollow.list_came(now, &lines.bytes);
+        let came = |hollow: &mut HollowGateway| hollow.receive_list_bytes(now, &lines.bytes);
         let Some(outcome) = self.enter(now, gateway, incarnation, Work::List, came) else { return };
         if outcome.entries > 0 && now >= self.measured.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
             self.processor.list_changes.saturating_record(processor_now() - begun);
         }
-        if outcome.broken.is_some() {
+        if outcome.error.is_some() {
             return self.retry_watch(now, gateway, incarnation);
         }
         self.lists_reached(now, gateway, &lines.changes);
@@ -341,7 +342,7 @@
     }
 
     fn ask_list(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let ask = |hollow: &mut HollowGateway| hollow.ask(now);
+        let ask = |hollow: &mut HollowGateway| hollow.request_watch(now);
         let Some(request) = self.enter(now, gateway, incarnation, Work::List, ask) else { return };
         self.counts.watch_requests += u64::from(now >= self.measured.from);
         let from = self.nodes[gateway].running.as_ref().map_or(0, |hollow| hollow.watch.index);
@@ -355,7 +356,7 @@
 
     /// The watch is over; it is asked for again after a rest.
     pub(super) fn retry_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let rests = |hollow: &mut HollowGateway| hollow.ask_again_after(now);
+        let rests = |hollow: &mut HollowGateway| hollow.watch_retry_delay(now);
         if let Some(rest) = self.enter(now, gateway, incarnation, Work::List, rests) {
             self.counts.watches_broken += u64::from(now >= self.measured.from);
             self.queue.after(rest, Event::WatchRequest { gateway, incarnation });
@@ -367,9 +368,9 @@
         let Some(outcome) = self.enter(now, gateway, incarnation, Work::Counter, look) else { return };
         self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, incarnation });
         for ping in outcome.pings {
-            self.ping(now, gateway, incarnation, ping.line, &ping.bytes);
+            self.ping(now, gateway, incarnation, ping.connection, &ping.bytes);
         }
-        if outcome.watch_is_silent {
+        if outcome.watch_is_unresponsive {
             self.retry_watch(now, gateway, incarnation);
         }
     }
@@ -410,7 +411,7 @@
         }
         let incarnation = place.incarnation;
         let take = |hollow: &mut HollowGateway| {
-            hollow.agreeing.as_mut().is_some_and(|agreeing| agreeing.take_file(now, &file))
+            hollow.agreement.as_mut().is_some_and(|agreement| agreement.offer_version(now, &file))
         };
         if self.enter(now, gateway, incarnation, Work::Agreement, take).is_some() {
             self.agree(now, gateway, incarnation);
@@ -419,7 +420,7 @@
 
     /// A gateway looks at what it may act on and tells others what there is to tell.
     fn agree(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let look = |hollow: &mut HollowGateway| hollow.agree(now);
+        let look = |hollow: &mut HollowGateway| hollow.evaluate_agreement(now);
         let Some(outcome) = self.enter(now, gateway, incarnation, Work::Agreement, look) else { return };
         for bytes in outcome.datagrams {
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Sent, bytes.len());
@@ -429,7 +430,7 @@
                 self.queue.after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
             }
         }
-        if let Some(next) = outcome.looks_next {
+        if let Some(next) = outcome.next_evaluation {
             self.queue.at(next, Event::EvaluateAgreement { gateway, incarnation });
         }
         if let Some(version) = outcome.in_force {
@@ -442,8 +443,8 @@
         let (before, started) = (place.version, place.started);
         place.version = before.max(version);
         for number in before + 1..=version {
-            let put_out = self.versions[number as usize - 1].put_out;
-            self.versions_in_force.reached(put_out, started, now);
+            let published_at = self.versions[number as usize - 1].published_at;
+            self.versions_in_force.reached(published_at, started, now);
         }
     }
 
@@ -460,7 +461,7 @@
             let incarnation = place.incarnation;
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
             self.control.datagrams.add(now, self.machine(gateway), bytes.len());
-            let hear = |hollow: &mut HollowGateway| hollow.hear(now, bytes);
+            let hear = |hollow: &mut HollowGateway| hollow.receive_datagram(now, bytes);
             self.enter(now, gateway, incarnation, Work::Agreement, hear);
             self.agree(now, gateway, incarnation);
         }
@@ -480,7 +481,8 @@
 
     /// Pairs of a measured version and a gateway where it never came into force.
     pub fn versions_not_in_force(&self) -> u64 {
-        let measured = self.versions.iter().filter(|file| file.put_out >= self.measured.from).count() as u64;
+        let measured =
+            self.versions.iter().filter(|file| file.published_at >= self.measured.from).count() as u64;
         (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.times.len())
     }
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -1,9 +1,11 @@
-//! One gateway without sockets: the program's decision module, its list watch, its lines to the counter and its part in the
-//! agreement, fed the bytes that the sockets would bring. What it has to say is handed back as bytes.
+//! One gateway without sockets: the product's admission controller, list watch, connections to the
+//! counter and part in the agreement on settings.
+//!
+//! It is fed the bytes that the sockets would receive, and returns the bytes that they would send.
 
 use super::Nanos;
 use super::discovery::number_of;
-use super::settings_agreement::{Agreeing, VersionFile};
+use super::settings_agreement::{AgreementHandler, VersionFile};
 use crate::replica::batches;
 use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, CounterConnection};
@@ -17,155 +19,161 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the program takes of its memory for the entries of one object of the list where it is told 128 MB.
-const ENTRIES_MEMORY: usize = (128 << 20) / 4;
+/// The memory that a gateway with 128 MB allows for the entries of one object of the list.
+const ENTRY_MEMORY_LIMIT: usize = (128 << 20) / 4;
 
-/// What a gateway is told at its start.
-pub struct Start<'a> {
+/// The parameters with which a gateway starts.
+pub struct StartParams<'a> {
     pub number: u32,
     pub zone: usize,
-    /// The seed of this incarnation.
+    /// The random seed of this incarnation.
     pub seed: u64,
     pub settings: &'a Settings,
     pub zones: &'a [String],
     pub services: u32,
-    /// What it agrees on with others, if the settings have a version.
-    pub agreed: Option<Agreed>,
+    /// Present if the settings have a version that the gateways agree on.
+    pub agreement: Option<AgreementStart>,
 }
 
-/// The file with a version that a gateway starts on, and the terms of the agreement.
-pub struct Agreed {
+/// The version file that a gateway starts with, and the configuration of the agreement.
+pub struct AgreementStart {
     pub file: Arc<VersionFile>,
-    pub terms: AgreementConfig,
-    /// Nothing has to be remembered: the fleet's first start.
+    pub config: AgreementConfig,
+    /// Skips recovery: at the fleet's first start there is no earlier state to recover.
     pub fresh: bool,
 }
 
-/// A call to the counter that was written on a line.
-pub struct WrittenCall {
-    pub line: usize,
+/// A call that was written to a connection to the counter.
+pub struct SentCall {
+    pub connection: usize,
     pub serial: u64,
     pub bytes: Vec<u8>,
 }
 
-/// A sign of incarnation that was written on a line to the counter.
+/// A PING that was written to a connection to the counter.
 pub struct Ping {
-    pub line: usize,
+    pub connection: usize,
     pub bytes: Vec<u8>,
 }
 
-/// What the regular look came to.
+/// The result of a periodic sweep.
 pub struct SweepOutcome {
     pub pings: Vec<Ping>,
-    /// The watch has said nothing for too long.
-    pub watch_is_silent: bool,
+    /// Nothing has been received on the watch for too long.
+    pub watch_is_unresponsive: bool,
 }
 
-/// What a look at the agreement came to.
+/// The result of evaluating the agreement.
 #[derive(Default)]
-pub struct AgreeOutcome {
-    /// For all other gateways.
+pub struct AgreementOutcome {
+    /// Datagrams to be sent to all other gateways.
     pub datagrams: Vec<Vec<u8>>,
-    /// When to look again, if a timer has to be set.
-    pub looks_next: Option<Nanos>,
-    /// The version that began to be acted on just now, or is again.
+    /// When to evaluate next, if a new timer has to be set.
+    pub next_evaluation: Option<Nanos>,
+    /// The version that came into force, or came back into force, in this evaluation.
     pub in_force: Option<u64>,
 }
 
-/// A call-out that is open.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
-pub struct CallOut {
+pub struct OpenAttempt {
+    /// The gateway's own number of the server.
     pub server: u32,
     pub sent: Nanos,
 }
 
-/// An RPC that has no final answer yet.
+/// An RPC without a final answer yet.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRpc {
     pub arrived: Nanos,
     pub deadline: Nanos,
-    pub call_outs: u16,
+    /// The number of attempts so far.
+    pub attempts: u16,
 }
 
-/// A gateway's state machines, and what its host has to remember for them.
+/// The state machines of a gateway, and the state that its host keeps for them.
 pub struct HollowGateway {
-    pub brain: AdmissionController,
+    pub controller: AdmissionController,
     pub watch: Watch,
-    /// A watch is open, or being asked for.
+    /// A watch is open or has been requested.
     pub is_watching: bool,
     pub wishes: Wishes,
     pub rpcs: BTreeMap<u32, OpenRpc>,
-    pub call_outs: BTreeMap<(u32, u16), CallOut>,
-    pub agreeing: Option<Agreeing>,
-    lines: [CounterConnection; counter::CONNECTIONS],
+    /// Open attempts, by RPC and number of the attempt.
+    pub attempts: BTreeMap<(u32, u16), OpenAttempt>,
+    pub agreement: Option<AgreementHandler>,
+    connections: [CounterConnection; counter::CONNECTIONS],
     servers: Servers,
-    names: BTreeMap<u32, u32>,
-    directory: NameIds,
+    /// The emulation's numbers of servers, by this gateway's own numbers.
+    emulated_servers: BTreeMap<u32, u32>,
+    name_ids: NameIds,
     /// The emulation's numbers of servers, by the keys of their names.
-    servers_by_key: BTreeMap<u64, u32>,
-    /// Services of the deployment: a server's is told by its name.
-    services: u32,
-    /// Bytes of the watch that the state machine has not used up.
+    emulated_servers_by_key: BTreeMap<u64, u32>,
+    /// The number of services in the deployment; a server's service follows from its number.
+    service_count: u32,
+    /// Bytes received on the watch that the state machine has not consumed.
     input: Vec<u8>,
-    chance: fastrand::Rng,
-    pushed: bool,
-    fleet: u32,
-    stop_within: Nanos,
-    last_call: u64,
+    rng: fastrand::Rng,
+    /// Whether discovery pushes its lists, so that a request costs it nothing.
+    lists_are_pushed: bool,
+    gateway_count: u32,
+    stop_sending_within: Nanos,
+    last_call_serial: u64,
 }
 
-/// What an agent's bytes came to at a gateway.
+/// The result of receiving an agent's bytes.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListOutcome {
-    /// The list was changed by this many entries.
+    /// The number of entries received, over all list updates.
     pub entries: usize,
-    /// The watch is broken.
-    pub broken: Option<&'static str>,
+    /// Why the watch failed, if it did.
+    pub error: Option<&'static str>,
 }
 
 impl HollowGateway {
-    pub fn new(start: &Start, now: Nanos) -> HollowGateway {
+    pub fn new(start: &StartParams, now: Nanos) -> HollowGateway {
         let mut settings = start.settings.clone();
         settings.insert("me".to_string(), start.number.to_string());
         settings.insert("zone".to_string(), start.zone.to_string());
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
-        let stop_within = number("rules.stopSendingWithin").map_or(list::DEFAULT_STOP_WITHIN, super::nanos);
-        let (pushed, fleet) = (
+        let stop_sending_within =
+            number("rules.stopSendingWithin").map_or(list::DEFAULT_STOP_WITHIN, super::nanos);
+        let (lists_are_pushed, gateway_count) = (
             settings.get("membershipMode").is_some_and(|mode| mode == "push"),
             number("balancers").map_or(1, |count| count as u32),
         );
-        let agreeing = start.agreed.as_ref().map(|agreed| {
+        let agreement = start.agreement.as_ref().map(|agreement| {
             let incarnation = fastrand::Rng::with_seed(start.seed).u32(..);
-            Agreeing::new(agreed, start.number, start.zone, incarnation, now)
+            AgreementHandler::new(agreement, start.number, start.zone, incarnation, now)
         });
-        let settings = agreeing.as_ref().map_or(settings, |agreeing| agreeing.settings());
+        let settings = agreement.as_ref().map_or(settings, |agreement| agreement.settings());
         HollowGateway {
-            brain: AdmissionController::new(start.seed, settings),
-            watch: Watch::new(0, ENTRIES_MEMORY),
+            controller: AdmissionController::new(start.seed, settings),
+            watch: Watch::new(0, ENTRY_MEMORY_LIMIT),
             is_watching: false,
             wishes: Wishes::default(),
             rpcs: BTreeMap::new(),
-            call_outs: BTreeMap::new(),
-            agreeing,
-            lines: Default::default(),
+            attempts: BTreeMap::new(),
+            agreement,
+            connections: Default::default(),
             servers: Servers::default(),
-            names: BTreeMap::new(),
-            directory: NameIds::new(start.zones.to_vec(), Vec::new()),
-            servers_by_key: BTreeMap::new(),
-            services: start.services,
+            emulated_servers: BTreeMap::new(),
+            name_ids: NameIds::new(start.zones.to_vec(), Vec::new()),
+            emulated_servers_by_key: BTreeMap::new(),
+            service_count: start.services,
             input: Vec::new(),
-            chance: fastrand::Rng::with_seed(start.seed.rotate_left(32)),
-            pushed,
-            fleet,
-            stop_within,
-            last_call: 0,
+            rng: fastrand::Rng::with_seed(start.seed.rotate_left(32)),
+            lists_are_pushed,
+            gateway_count,
+            stop_sending_within,
+            last_call_serial: 0,
         }
     }
 
     // ---- Discovery
 
-    /// The watch is asked for: the request's bytes.
-    pub fn ask(&mut self, now: Nanos) -> Vec<u8> {
+    /// Requests the watch and returns the bytes of the request.
+    pub fn request_watch(&mut self, now: Nanos) -> Vec<u8> {
         let mut request = Vec::new();
         self.watch.write_request(&mut request, now);
         self.is_watching = true;
@@ -173,175 +181,194 @@
         request
     }
 
-    /// How long to rest before the watch is asked for again.
-    pub fn ask_again_after(&mut self, now: Nanos) -> Nanos {
+    /// Marks the watch as closed and returns the delay before it is requested again.
+    pub fn watch_retry_delay(&mut self, now: Nanos) -> Nanos {
         self.is_watching = false;
-        self.watch.retry_delay(now, self.pushed, self.fleet, self.stop_within, &mut self.chance)
+        self.watch.retry_delay(
+            now,
+            self.lists_are_pushed,
+            self.gateway_count,
+            self.stop_sending_within,
+            &mut self.rng,
+        )
     }
 
-    /// Bytes of the watch came.
-    pub fn list_came(&mut self, now: Nanos, bytes: &[u8]) -> ListOutcome {
+    /// Receives bytes of the watch and applies the list updates in them.
+    pub fn receive_list_bytes(&mut self, now: Nanos, bytes: &[u8]) -> ListOutcome {
         self.input.extend_from_slice(bytes);
-        let mut told = Vec::new();
-        let fed = self.watch.feed(now, &self.input, &mut told);
-        self.input.drain(..fed.unwrap_or(0));
-        if !told.is_empty() {
+        let mut updates = Vec::new();
+        let consumed = self.watch.feed(now, &self.input, &mut updates);
+        self.input.drain(..consumed.unwrap_or(0));
+        if !updates.is_empty() {
             self.watch.failures = 0;
         }
-        let entries = told.iter().map(|told| told.entries.len()).sum();
-        told.into_iter().for_each(|told| self.told(now, told));
-        ListOutcome { entries, broken: fed.err() }
+        let entries = updates.iter().map(|update| update.entries.len()).sum();
+        updates.into_iter().for_each(|update| self.apply_update(now, update));
+        ListOutcome { entries, error: consumed.err() }
     }
 
-    /// A list told by discovery, or held from before.
-    pub fn told(&mut self, now: Nanos, mut told: ListUpdate) {
-        self.watch.index = told.index;
-        let more = match &mut self.agreeing {
-            Some(agreeing) => agreeing.judge(now, &mut told),
+    /// Applies a list update that came from discovery or was kept from before the start, after filtering it
+    /// through the agreement.
+    pub fn apply_update(&mut self, now: Nanos, mut update: ListUpdate) {
+        self.watch.index = update.index;
+        let released = match &mut self.agreement {
+            Some(agreement) => agreement.filter_list(now, &mut update),
             None => Some(Vec::new()),
         };
-        let Some(more) = more else { return };
-        let index = told.index;
-        self.list(now, told);
-        if !more.is_empty() {
-            self.list(now, ListUpdate { index, entries: more, ..ListUpdate::default() });
+        let Some(released) = released else { return };
+        let index = update.index;
+        self.apply_filtered(now, update);
+        if !released.is_empty() {
+            self.apply_filtered(now, ListUpdate { index, entries: released, ..ListUpdate::default() });
         }
     }
 
-    /// As the program does, but all in one turn: servers get numbers, zones places, and the module hears it.
-    fn list(&mut self, now: Nanos, told: ListUpdate) {
-        let named = told.entries.iter();
-        self.servers_by_key.extend(named.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
-        for mut list in batches(told, &mut self.servers, &mut self.directory) {
+    /// Assigns numbers to servers and zones and reports the list to the admission controller, as the product
+    /// does, but all batches at once.
+    fn apply_filtered(&mut self, now: Nanos, update: ListUpdate) {
+        let entries = update.entries.iter();
+        self.emulated_servers_by_key
+            .extend(entries.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
+        for mut list in batches(update, &mut self.servers, &mut self.name_ids) {
             for listed in &mut list {
-                let server = self.servers_by_key.get(&listed.key).copied().unwrap_or(u32::MAX);
-                listed.service = server % self.services;
-                self.names.insert(listed.server, server);
+                let server = self.emulated_servers_by_key.get(&listed.key).copied().unwrap_or(u32::MAX);
+                listed.service = server % self.service_count;
+                self.emulated_servers.insert(listed.server, server);
             }
-            self.brain.on_server_list(now, false, &list);
+            self.controller.on_server_list(now, false, &list);
         }
         self.servers.remove_unused();
-        let left = &self.servers.by_number;
-        self.names.retain(|number, _| left.contains_key(number));
+        let remaining = &self.servers.by_number;
+        self.emulated_servers.retain(|number, _| remaining.contains_key(number));
         let servers = &self.servers;
-        self.servers_by_key.retain(|key, _| servers.by_key(*key).is_some());
+        self.emulated_servers_by_key.retain(|key, _| servers.by_key(*key).is_some());
     }
 
-    /// The emulation's number of a server that this gateway calls by a number of its own.
-    pub fn server(&self, number: u32) -> Option<u32> {
-        self.names.get(&number).copied()
+    /// Translates this gateway's own number of a server to the emulation's number.
+    pub fn emulated_server(&self, number: u32) -> Option<u32> {
+        self.emulated_servers.get(&number).copied()
     }
 
     // ---- RPCs
 
-    pub fn rpc(&mut self, now: Nanos, arrival: &Arrival) {
-        self.rpcs.insert(arrival.id, OpenRpc { arrived: now, deadline: arrival.deadline, call_outs: 0 });
-        self.brain.on_arrival(&mut self.wishes, now, arrival);
+    pub fn on_arrival(&mut self, now: Nanos, arrival: &Arrival) {
+        self.rpcs.insert(arrival.id, OpenRpc { arrived: now, deadline: arrival.deadline, attempts: 0 });
+        self.controller.on_arrival(&mut self.wishes, now, arrival);
     }
 
-    pub fn woke(&mut self, now: Nanos, token: u32) {
-        self.brain.on_timer(&mut self.wishes, now, token);
+    pub fn on_timer(&mut self, now: Nanos, token: u32) {
+        self.controller.on_timer(&mut self.wishes, now, token);
     }
 
-    /// A call-out that is still open ended. The RPC, if its answer went to the client with it.
-    pub fn call_out_ended(&mut self, now: Nanos, rpc: u32, nth: u16, how: CallOutcome) -> Option<OpenRpc> {
-        let open = self.call_outs.remove(&(rpc, nth))?;
-        let answered = if how == CallOutcome::Ok { self.rpcs.remove(&rpc) } else { None };
-        let closed = answered.is_some();
-        let gone = !closed && !self.rpcs.contains_key(&rpc);
-        let took = now - open.sent;
+    /// Ends an attempt, if it is still open. Returns the RPC if this attempt answered it.
+    pub fn on_attempt_end(
+        &mut self,
+        now: Nanos,
+        rpc: u32,
+        attempt: u16,
+        outcome: CallOutcome,
+    ) -> Option<OpenRpc> {
+        let open = self.attempts.remove(&(rpc, attempt))?;
+        let answered = if outcome == CallOutcome::Ok { self.rpcs.remove(&rpc) } else { None };
+        let is_answered = answered.is_some();
+        let is_closed = !is_answered && !self.rpcs.contains_key(&rpc);
+        let duration = now - open.sent;
         let ended = AttemptResult {
             rpc,
             server: open.server,
-            attempt: nth,
-            outcome: how,
-            duration: took,
-            rpc_answered: closed || gone,
+            attempt,
+            outcome,
+            duration,
+            rpc_answered: is_answered || is_closed,
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.brain.on_attempt_end(&mut self.wishes, now, &ended);
+        self.controller.on_attempt_end(&mut self.wishes, now, &ended);
         answered
     }
 
     // ---- The counter
 
-    /// Writes a call on the line that the program would take.
-    pub fn count(&mut self, now: Nanos, name: u64, add: f64, forget: Nanos) -> WrittenCall {
-        self.last_call += 1;
-        let call = Call { serial: self.last_call, name, add, ttl: forget };
-        let carries = self.lines.iter().position(|line| line.has_call_for(name));
-        let least = |line: &usize| self.lines[*line].in_flight.len() + self.lines[*line].waiting.len();
-        let line = carries.or_else(|| (0..counter::CONNECTIONS).min_by_key(least)).unwrap_or(0);
+    /// Writes a call on the connection that the product would use: the one that has a call for this name
+    /// outstanding, else the one with the fewest calls.
+    pub fn call_counter(&mut self, now: Nanos, name: u64, add: f64, ttl: Nanos) -> SentCall {
+        self.last_call_serial += 1;
+        let call = Call { serial: self.last_call_serial, name, add, ttl };
+        let same_name = self.connections.iter().position(|connection| connection.has_call_for(name));
+        let load = |connection: &usize| {
+            self.connections[*connection].in_flight.len() + self.connections[*connection].waiting.len()
+        };
+        let connection = same_name.or_else(|| (0..counter::CONNECTIONS).min_by_key(load)).unwrap_or(0);
         let mut bytes = Vec::new();
-        if !self.lines[line].is_connected {
-            self.lines[line].connected(&mut bytes, now);
+        if !self.connections[connection].is_connected {
+            self.connections[connection].connected(&mut bytes, now);
         }
-        self.lines[line].send_call(&mut bytes, now, call);
-        WrittenCall { line, serial: call.serial, bytes }
+        self.connections[connection].send_call(&mut bytes, now, call);
+        SentCall { connection, serial: call.serial, bytes }
     }
 
-    /// Bytes of the counter came on a line.
-    pub fn counter_came(&mut self, now: Nanos, line: usize, bytes: &[u8]) {
+    /// Receives bytes from the counter; a protocol error ends the connection.
+    pub fn receive_counter_bytes(&mut self, now: Nanos, connection: usize, bytes: &[u8]) {
         let mut ended = Vec::new();
-        if self.lines[line].feed(now, bytes, &mut ended).is_err() {
-            let broke = self.lines[line].disconnect();
-            ended.extend(broke.into_iter().map(|(call, how)| (call, how, 0.0)));
+        if self.connections[connection].feed(now, bytes, &mut ended).is_err() {
+            let lost = self.connections[connection].disconnect();
+            ended.extend(lost.into_iter().map(|(call, outcome)| (call, outcome, 0.0)));
         }
-        for (call, how, total) in ended {
-            self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, total);
+        for (call, outcome, total) in ended {
+            self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, total);
         }
     }
 
-    /// The time of a call is over.
-    pub fn count_timed_out(&mut self, now: Nanos, line: usize, serial: u64) {
-        if let Some((call, how)) = self.lines[line].time_out_call(serial) {
-            self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, 0.0);
+    /// Ends a call to the counter that has reached its timeout.
+    pub fn on_counter_timeout(&mut self, now: Nanos, connection: usize, serial: u64) {
+        if let Some((call, outcome)) = self.connections[connection].time_out_call(serial) {
+            self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, 0.0);
         }
     }
 
-    /// The regular look: pings that are due by line, and whether the watch has been silent for too long. A line without an
-    /// answer for too long is given up and opened again.
+    /// Periodic sweep: closes connections to the counter on which a reply is overdue, sends due PINGs on the
+    /// others, and reports whether the watch is unresponsive. A closed connection is opened again for the next
+    /// call.
     pub fn sweep(&mut self, now: Nanos) -> SweepOutcome {
         let mut pings = Vec::new();
-        for line in 0..self.lines.len() {
-            if self.lines[line].is_unresponsive(now) {
-                for (call, how) in self.lines[line].disconnect() {
-                    self.brain.on_counter_reply(&mut self.wishes, now, call.name, how, 0.0);
+        for connection in 0..self.connections.len() {
+            if self.connections[connection].is_unresponsive(now) {
+                for (call, outcome) in self.connections[connection].disconnect() {
+                    self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, 0.0);
                 }
-            } else if self.lines[line].is_connected
-                && now > self.lines[line].last_write + counter::PING_INTERVAL
+            } else if self.connections[connection].is_connected
+                && now > self.connections[connection].last_write + counter::PING_INTERVAL
             {
                 let mut bytes = Vec::new();
-                self.lines[line].send_ping(&mut bytes, now);
-                pings.push(Ping { line, bytes });
+                self.connections[connection].send_ping(&mut bytes, now);
+                pings.push(Ping { connection, bytes });
             }
         }
-        SweepOutcome { pings, watch_is_silent: self.is_watching && self.watch.is_unresponsive(now) }
+        SweepOutcome { pings, watch_is_unresponsive: self.is_watching && self.watch.is_unresponsive(now) }
     }
 
     // ---- The agreement
 
-    /// Looks at what may be acted on by now, and gives the module other settings where that has changed.
-    pub fn agree(&mut self, now: Nanos) -> AgreeOutcome {
-        let Some(agreeing) = &mut self.agreeing else { return AgreeOutcome::default() };
-        let datagrams = agreeing.tell(now);
-        let settings = agreeing.look(now);
-        let in_force = settings.as_ref().and_then(|_| agreeing.in_force());
-        let looks_next = agreeing.looks_next(now);
+    /// Evaluates the agreement and gives the admission controller the new settings if they have changed.
+    pub fn evaluate_agreement(&mut self, now: Nanos) -> AgreementOutcome {
+        let Some(agreement) = &mut self.agreement else { return AgreementOutcome::default() };
+        let datagrams = agreement.poll_datagrams(now);
+        let settings = agreement.evaluate(now);
+        let in_force = settings.as_ref().and_then(|_| agreement.in_force());
+        let next_evaluation = agreement.next_evaluation(now);
         if let Some(settings) = settings {
-            self.brain.update_settings(now, settings);
+            self.controller.update_settings(now, settings);
         }
-        AgreeOutcome { datagrams, looks_next, in_force }
+        AgreementOutcome { datagrams, next_evaluation, in_force }
     }
 
-    /// Another gateway's datagram came.
-    pub fn hear(&mut self, now: Nanos, bytes: &[u8]) {
-        let Some(agreeing) = &mut self.agreeing else { return };
-        let held_back = agreeing.hear(now, bytes);
+    /// Receives another gateway's datagram. Servers that it announces as removed get no new RPCs.
+    pub fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
+        let Some(agreement) = &mut self.agreement else { return };
+        let held_back = agreement.receive_datagram(now, bytes);
         if !held_back.is_empty() {
             let index = self.watch.index;
-            self.list(now, ListUpdate { index, entries: held_back, ..ListUpdate::default() });
+            self.apply_filtered(now, ListUpdate { index, entries: held_back, ..ListUpdate::default() });
         }
     }
 }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -2,7 +2,7 @@
 
 use super::figures::{Counts, Work};
 use super::fleet::{Event, Fleet};
-use super::gateway::{CallOut, OpenRpc, WrittenCall};
+use super::gateway::{OpenAttempt, OpenRpc, SentCall};
 use super::scenario::Scenario;
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
@@ -24,12 +24,12 @@
 /// Visits to servers are kept for the spread of the load where no more than so many are to be expected.
 const MAX_SERVED_ATTEMPTS: f64 = 20e6;
 
-/// A call on its way to the counter, by the line that it was written on.
+/// A call on its way to the counter, by the connection that it was written on.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
     pub gateway: usize,
     pub incarnation: u32,
-    pub line: usize,
+    pub connection: usize,
     pub name: u64,
     pub add: f64,
     pub forget: Nanos,
@@ -138,7 +138,7 @@
         };
         self.count(now, |counts| counts.rpcs += 1);
         let incarnation = self.nodes[gateway].incarnation;
-        self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.rpc(now, &arrival));
+        self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_arrival(now, &arrival));
     }
 
     /// Counts something in the measured part of the run.
@@ -196,13 +196,13 @@
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let Some(open) = hollow.rpcs.get_mut(&rpc) else { return };
         let until = if limit == 0 { open.deadline } else { (now + limit).min(open.deadline) };
-        let nth = open.call_outs;
-        open.call_outs += 1;
-        hollow.call_outs.insert((rpc, nth), CallOut { server, sent: now });
+        let nth = open.attempts;
+        open.attempts += 1;
+        hollow.attempts.insert((rpc, nth), OpenAttempt { server, sent: now });
         let call = AttemptRef { gateway: gateway as u32, incarnation: incarnation, rpc, nth };
-        let Some(to) = hollow.server(server).filter(|_| until > now) else {
+        let Some(to) = hollow.emulated_server(server).filter(|_| until > now) else {
             self.enter(now, gateway, incarnation, work, |hollow| {
-                hollow.call_out_ended(now, rpc, nth, CallOutcome::NotSent)
+                hollow.on_attempt_end(now, rpc, nth, CallOutcome::NotSent)
             });
             return;
         };
@@ -251,13 +251,13 @@
         let (gateway, incarnation) = (call.gateway as usize, call.incarnation);
         let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| {
             self.nodes[gateway].incarnation == incarnation
-                && hollow.call_outs.contains_key(&(call.rpc, call.nth))
+                && hollow.attempts.contains_key(&(call.rpc, call.nth))
         });
         if !open {
             return; // its time was over, or it had ended before its time
         }
         let ended = self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| {
-            hollow.call_out_ended(now, call.rpc, call.nth, how)
+            hollow.on_attempt_end(now, call.rpc, call.nth, how)
         });
         self.answered(ended.flatten(), |counts| &mut counts.ok);
     }
@@ -268,15 +268,16 @@
         let incarnation = self.nodes[gateway].incarnation;
         let region = self.nodes[gateway].region;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
-        let WrittenCall { line, serial, bytes } = hollow.count(now, name, add, forget);
+        let SentCall { connection, serial, bytes } = hollow.call_counter(now, name, add, forget);
         self.count(now, |counts| counts.count_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.queue.after(self.load.count_wait, Event::CounterTimeout { gateway, incarnation, line, serial });
+        self.queue
+            .after(self.load.count_wait, Event::CounterTimeout { gateway, incarnation, connection, serial });
         if !self.is_partitioned(region, HOME_REGION) {
             let after = self.network_delay(region, HOME_REGION);
-            let call = CounterCall { gateway, incarnation, line, name, add, forget };
+            let call = CounterCall { gateway, incarnation, connection, name, add, forget };
             self.queue.after(after, Event::CounterRequest(call));
         }
     }
@@ -287,19 +288,19 @@
     }
 
     pub(super) fn count_at(&mut self, now: Nanos, call: CounterCall) {
-        let CounterCall { gateway, incarnation, line, name, add, forget } = call;
+        let CounterCall { gateway, incarnation, connection, name, add, forget } = call;
         let Some(total) = self.counter.add(now, gateway as u32, name, add, forget) else { return };
         let text = total.to_string();
         let bytes = format!("${}\r\n{text}\r\n", text.len()).into_bytes();
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.answer_later(gateway, incarnation, line, bytes);
+        self.answer_later(gateway, incarnation, connection, bytes);
     }
 
-    fn answer_later(&mut self, gateway: usize, incarnation: u32, line: usize, bytes: Vec<u8>) {
+    fn answer_later(&mut self, gateway: usize, incarnation: u32, connection: usize, bytes: Vec<u8>) {
         let after = nanos(self.scenario.counter.latency_ms / 1e3)
             + self.network_delay(self.nodes[gateway].region, HOME_REGION);
-        self.queue.after(after, Event::CounterReply { gateway, incarnation, line, bytes });
+        self.queue.after(after, Event::CounterReply { gateway, incarnation, connection, bytes });
     }
 
     pub(super) fn count_back(
@@ -307,7 +308,7 @@
         now: Nanos,
         gateway: usize,
         incarnation: u32,
-        line: usize,
+        connection: usize,
         bytes: &[u8],
     ) {
         if self.nodes[gateway].incarnation != incarnation
@@ -316,14 +317,23 @@
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.enter(now, gateway, incarnation, Work::Counter, |hollow| hollow.counter_came(now, line, bytes));
+        self.enter(now, gateway, incarnation, Work::Counter, |hollow| {
+            hollow.receive_counter_bytes(now, connection, bytes)
+        });
     }
 
-    /// A line's sign of incarnation, and its answer.
-    pub(super) fn ping(&mut self, now: Nanos, gateway: usize, incarnation: u32, line: usize, bytes: &[u8]) {
+    /// A connection's sign of incarnation, and its answer.
+    pub(super) fn ping(
+        &mut self,
+        now: Nanos,
+        gateway: usize,
+        incarnation: u32,
+        connection: usize,
+        bytes: &[u8],
+    ) {
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         if !self.counter.stalled && !self.is_partitioned(self.nodes[gateway].region, HOME_REGION) {
-            self.answer_later(gateway, incarnation, line, b"+PONG\r\n".to_vec());
+            self.answer_later(gateway, incarnation, connection, b"+PONG\r\n".to_vec());
         }
     }
 }
