--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -1,4 +1,5 @@
-//! A hollow fleet on one emulated clock: gateways, their agents, the servers and the counter, and every event between them.
+//! The emulated fleet: runs hollow gateways, their discovery agents, the servers and the counter on one
+//! emulated clock.
 
 use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
 use super::figures::{Counts, InForce, Processor, Work, processor_now};
@@ -23,62 +24,80 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The emulation's clock starts here, so that no start time is nought.
+/// Start of the emulated clock. It is above 0 because a start time of 0 means "long ago".
 const EPOCH: Nanos = 1_000_000 * SEC;
-/// The program looks for what is idle or silent so often.
-const SWEEP_EVERY: Nanos = 250_000_000;
+/// How often a gateway sweeps its connections, as in the product.
+const SWEEP_INTERVAL: Nanos = 250_000_000;
 
-/// What happens at a time.
+/// An event on the emulated clock. Events of an earlier incarnation of a gateway or server are ignored.
 pub enum Event {
+    /// An RPC arrives from a client.
     RpcArrival,
+    /// A timer of the admission controller is due.
     Timer { gateway: usize, incarnation: u32, token: u32 },
-    AttemptAtServer { call: AttemptRef, server: u32, server_incarnation: u32 },
-    AttemptEnd { call: AttemptRef, how: CallOutcome },
+    /// An attempt reaches its server.
+    AttemptAtServer { attempt: AttemptRef, server: u32, server_incarnation: u32 },
+    /// The result of an attempt reaches the gateway, or its time limit is over.
+    AttemptEnd { attempt: AttemptRef, outcome: CallOutcome },
+    /// A server has finished an attempt.
     SlotFreed { server: u32, server_incarnation: u32 },
+    /// A call reaches the counter.
     CounterRequest(CounterCall),
+    /// A reply of the counter reaches the gateway.
     CounterReply { gateway: usize, incarnation: u32, connection: usize, bytes: Vec<u8> },
+    /// The time limit of a call to the counter is over.
     CounterTimeout { gateway: usize, incarnation: u32, connection: usize, serial: u64 },
+    /// A discovery agent writes the changes that it has not sent.
     AgentWrite { agent: usize },
+    /// All agents write a heartbeat to their open watches.
     Heartbeat,
+    /// A gateway requests its watch.
     WatchRequest { gateway: usize, incarnation: u32 },
+    /// A gateway's periodic sweep is due.
     Sweep { gateway: usize, incarnation: u32 },
+    /// A gateway's timer for the agreement on settings is due.
     EvaluateAgreement { gateway: usize, incarnation: u32 },
+    /// A datagram reaches the gateways of a region.
     Datagram { from: usize, region: usize, bytes: Rc<Vec<u8>> },
+    /// A version file reaches a gateway's machine.
     VersionFileArrival { gateway: usize, version: usize },
+    /// A step of the scenario's events is due.
     Step(Step),
 }
 
-/// A place for a gateway: who is there now, and since when.
+/// A machine that runs a gateway, across restarts of the gateway.
 pub struct GatewayNode {
+    /// The running gateway; `None` while it is down.
     pub running: Option<HollowGateway>,
     pub incarnation: u32,
     pub zone: usize,
     pub region: usize,
-    pub started: Nanos,
-    /// The newest file on this machine.
+    /// When the current incarnation started.
+    pub started_at: Nanos,
+    /// The newest version file on this machine.
     file: Option<Arc<VersionFile>>,
-    /// The version that was in force here last.
-    version: u64,
+    /// The highest version that has been in force here.
+    version_in_force: u64,
 }
 
-/// Bytes held by the whole emulation, over what was held before it; nought where no counting allocator is installed.
+/// Bytes allocated by the whole emulation, above those allocated before it; 0 without the counting allocator.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Memory {
     before: u64,
-    /// When all gateways had started.
+    /// After all gateways had started.
     pub after_start: u64,
     pub at_end: u64,
     pub peak: u64,
 }
 
-/// What control machines carry, by what it is for.
-pub struct Control {
+/// The load on control machines, by kind of traffic.
+pub struct ControlTraffic {
     pub discovery: ControlLoad,
     pub counter: ControlLoad,
     pub datagrams: ControlLoad,
 }
 
-/// The whole emulation.
+/// The state of an emulation.
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub measured: MeasuredPeriod,
@@ -89,7 +108,7 @@
     pub counter: Counter,
     pub(super) load: Load,
     pub traffic: Traffic,
-    pub control: Control,
+    pub control: ControlTraffic,
     pub processor: Processor,
     pub lists_in_force: InForce,
     pub versions_in_force: InForce,
@@ -100,19 +119,20 @@
     zones: Vec<String>,
     agreement_config: Option<AgreementConfig>,
     versions: Vec<Arc<VersionFile>>,
-    /// The region that is cut off from all others.
+    /// The region that is partitioned from all others.
     pub(super) isolated_region: Option<usize>,
     end: Nanos,
 }
 
 impl<'a> Fleet<'a> {
-    /// All gateways start at once, on the list that they held if the scenario says so.
+    /// Creates the fleet and starts all gateways at once. If the scenario says so, they start with the current
+    /// list instead of requesting it.
     pub fn new(scenario: &'a Scenario) -> Fleet<'a> {
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
         let measured = MeasuredPeriod { from, seconds: scenario.seconds.ceil() as usize };
         let played = scenario.played();
-        let machines = || ControlLoad::new(measured, scenario.control_machines);
+        let control_load = || ControlLoad::new(measured, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
             scenario,
@@ -120,11 +140,15 @@
             queue: Queue::default(),
             nodes: Vec::with_capacity(played),
             discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
-            servers: servers(scenario),
+            servers: build_servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
             traffic: Traffic::new(measured, played),
-            control: Control { discovery: machines(), counter: machines(), datagrams: machines() },
+            control: ControlTraffic {
+                discovery: control_load(),
+                counter: control_load(),
+                datagrams: control_load(),
+            },
             processor: Processor::new(measured, played),
             lists_in_force: InForce::new(from),
             versions_in_force: InForce::new(from),
@@ -133,10 +157,10 @@
             rng: chance::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
-            agreement_config: scenario.agreement.as_ref().map(|terms| AgreementConfig {
-                voters: (0..terms.voters as u32).collect(),
-                lease_duration: nanos(terms.lease),
-                max_clock_error: nanos(terms.clock),
+            agreement_config: scenario.agreement.as_ref().map(|agreement| AgreementConfig {
+                voters: (0..agreement.voters as u32).collect(),
+                lease_duration: nanos(agreement.lease),
+                max_clock_error: nanos(agreement.clock),
             }),
             versions: Vec::new(),
             isolated_region: None,
@@ -145,7 +169,7 @@
         fleet.queue.at(EPOCH, Event::RpcArrival);
         fleet.queue.at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
         if fleet.agreement_config.is_some() {
-            fleet.versions.push(Arc::new(VersionFile::new(fleet.version(1, 0), 0)));
+            fleet.versions.push(Arc::new(VersionFile::new(fleet.make_version(1, 0), 0)));
         }
         for number in 0..played {
             fleet.add_node(number);
@@ -158,23 +182,23 @@
 
     fn add_node(&mut self, number: usize) {
         let zone = number % self.scenario.zones;
-        let met =
+        let services =
             (0..self.scenario.services_each()).map(|nth| self.scenario.service_met(number, nth)).collect();
         let delays = &self.scenario.discovery;
         let delay = self.rng.random_range(delays.delay_ms_least..=delays.delay_ms_most);
-        self.discovery.add_agent(met, nanos(delay / 1e3));
+        self.discovery.add_agent(services, nanos(delay / 1e3));
         self.nodes.push(GatewayNode {
             running: None,
             incarnation: 0,
             zone,
             region: zone % self.scenario.regions,
-            started: 0,
+            started_at: 0,
             file: self.versions.first().cloned(),
-            version: 0,
+            version_in_force: 0,
         });
     }
 
-    /// Plays until the scenario's end.
+    /// Runs until the scenario's end.
     pub fn run(&mut self) {
         while let Some((now, event)) = self.queue.next(self.end - 1) {
             self.handle(now, event);
@@ -186,147 +210,149 @@
 
     fn handle(&mut self, now: Nanos, event: Event) {
         match event {
-            Event::RpcArrival => self.arrive(now),
+            Event::RpcArrival => self.on_rpc_arrival(now),
             Event::Timer { gateway, incarnation, token } => {
-                self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_timer(now, token));
+                self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_timer(now, token));
             }
-            Event::AttemptAtServer { call, server, server_incarnation } => {
-                self.at_server(now, call, server, server_incarnation)
+            Event::AttemptAtServer { attempt, server, server_incarnation } => {
+                self.on_attempt_at_server(now, attempt, server, server_incarnation)
             }
-            Event::AttemptEnd { call, how } => self.call_ended(now, call, how),
+            Event::AttemptEnd { attempt, outcome } => self.on_attempt_end(now, attempt, outcome),
             Event::SlotFreed { server, server_incarnation } => self.servers.free(server, server_incarnation),
-            Event::CounterRequest(call) => self.count_at(now, call),
+            Event::CounterRequest(call) => self.on_counter_request(now, call),
             Event::CounterReply { gateway, incarnation, connection, bytes } => {
-                self.count_back(now, gateway, incarnation, connection, &bytes)
+                self.on_counter_reply(now, gateway, incarnation, connection, &bytes)
             }
             Event::CounterTimeout { gateway, incarnation, connection, serial } => {
                 let timed_out =
                     |hollow: &mut HollowGateway| hollow.on_counter_timeout(now, connection, serial);
-                self.enter(now, gateway, incarnation, Work::Counter, timed_out);
+                self.run_gateway(now, gateway, incarnation, Work::Counter, timed_out);
             }
-            Event::AgentWrite { agent } => self.agent_writes(now, agent),
+            Event::AgentWrite { agent } => self.on_agent_write(now, agent),
             Event::Heartbeat => self.heartbeat(now),
-            Event::WatchRequest { gateway, incarnation } => self.ask_list(now, gateway, incarnation),
+            Event::WatchRequest { gateway, incarnation } => self.request_watch(now, gateway, incarnation),
             Event::Sweep { gateway, incarnation } => self.sweep(now, gateway, incarnation),
-            Event::EvaluateAgreement { gateway, incarnation } => self.agree(now, gateway, incarnation),
-            Event::Datagram { from, region, bytes } => self.datagram(now, from, region, &bytes),
-            Event::VersionFileArrival { gateway, version } => self.file_came(now, gateway, version),
+            Event::EvaluateAgreement { gateway, incarnation } => {
+                self.evaluate_agreement(now, gateway, incarnation)
+            }
+            Event::Datagram { from, region, bytes } => self.deliver_datagram(now, from, region, &bytes),
+            Event::VersionFileArrival { gateway, version } => self.on_version_file(now, gateway, version),
             Event::Step(step) => self.carry_out(now, step),
         }
     }
 
-    /// Lets a gateway's state machines work, takes the processor time, and carries out what they ask for. Nothing if this
-    /// incarnation of the gateway is over.
-    pub(super) fn enter<T>(
+    /// Runs a gateway's state machines, records the processor time, and performs the actions that they request.
+    /// Returns `None` without running anything if this incarnation of the gateway has ended.
+    pub(super) fn run_gateway<T>(
         &mut self,
         now: Nanos,
         gateway: usize,
         incarnation: u32,
         work: Work,
-        does: impl FnOnce(&mut HollowGateway) -> T,
+        action: impl FnOnce(&mut HollowGateway) -> T,
     ) -> Option<T> {
-        let place = &mut self.nodes[gateway];
-        let hollow = place.running.as_mut().filter(|_| place.incarnation == incarnation)?;
-        let begun = processor_now();
-        let result = does(hollow);
-        self.processor.add(now, gateway, work, processor_now() - begun);
-        self.carry_wishes(now, gateway, work);
+        let node = &mut self.nodes[gateway];
+        let hollow = node.running.as_mut().filter(|_| node.incarnation == incarnation)?;
+        let started = processor_now();
+        let result = action(hollow);
+        self.processor.add(now, gateway, work, processor_now() - started);
+        self.perform_actions(now, gateway, work);
         Some(result)
     }
 
-    // ---- Lives
+    // ---- Starting and stopping gateways
 
-    /// A gateway starts, on the list that it held before where it held one.
+    /// Starts a new incarnation of a gateway. Except at the first start, it begins with the current list.
     pub(super) fn start_gateway(&mut self, now: Nanos, gateway: usize, first: bool) {
-        let place = &mut self.nodes[gateway];
-        place.incarnation += 1;
-        place.started = now;
-        let incarnation = place.incarnation;
-        let agreement = place.file.clone().zip(self.agreement_config.clone());
+        let node = &mut self.nodes[gateway];
+        node.incarnation += 1;
+        node.started_at = now;
+        let incarnation = node.incarnation;
+        let agreement = node.file.clone().zip(self.agreement_config.clone());
         let start = StartParams {
             number: gateway as u32,
-            zone: place.zone,
+            zone: node.zone,
             seed: chance::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
             settings: &self.settings,
             zones: &self.zones,
             services: self.scenario.services as u32,
             agreement: agreement.map(|(file, config)| AgreementStart { file, config, fresh: first }),
         };
-        place.running = Some(HollowGateway::new(&start, now));
-        let known = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
-        if let Some((list, changes)) = known {
+        node.running = Some(HollowGateway::new(&start, now));
+        let initial_list = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
+        if let Some((list, changes)) = initial_list {
             let list = serde_json::from_str(&list)
                 .ok()
                 .and_then(|list| gateway::list::parse(&list, &Services::default()));
-            let read = |hollow: &mut HollowGateway| {
-                list.into_iter().for_each(|told| hollow.apply_update(now, told));
+            let read_list = |hollow: &mut HollowGateway| {
+                list.into_iter().for_each(|update| hollow.apply_update(now, update));
                 hollow.watch_retry_delay(now)
             };
-            let rest = self.enter(now, gateway, incarnation, Work::List, read).unwrap_or(0);
-            self.lists_reached(now, gateway, &changes);
-            self.queue.after(rest, Event::WatchRequest { gateway, incarnation });
+            let delay = self.run_gateway(now, gateway, incarnation, Work::List, read_list).unwrap_or(0);
+            self.record_lists_in_force(now, gateway, &changes);
+            self.queue.after(delay, Event::WatchRequest { gateway, incarnation });
         } else {
             self.queue.at(now, Event::WatchRequest { gateway, incarnation });
         }
-        let phase = self.rng.random_range(0..SWEEP_EVERY);
-        self.queue.at(now + phase, Event::Sweep { gateway, incarnation });
-        self.agree(now, gateway, incarnation);
+        let first_sweep = self.rng.random_range(0..SWEEP_INTERVAL);
+        self.queue.at(now + first_sweep, Event::Sweep { gateway, incarnation });
+        self.evaluate_agreement(now, gateway, incarnation);
     }
 
-    /// A gateway is killed: all that it held is cut.
+    /// Kills a gateway. Its open RPCs are counted as cut.
     pub(super) fn kill_gateway(&mut self, gateway: usize) {
-        let place = &mut self.nodes[gateway];
-        if let Some(hollow) = place.running.take() {
+        let node = &mut self.nodes[gateway];
+        if let Some(hollow) = node.running.take() {
             let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.measured.from);
             self.counts.cut += measured.count() as u64;
         }
     }
 
-    // ---- The list
+    // ---- Discovery
 
-    fn machine(&self, gateway: usize) -> usize {
+    fn control_machine(&self, gateway: usize) -> usize {
         gateway % self.scenario.control_machines
     }
 
-    fn agent_writes(&mut self, now: Nanos, agent: usize) {
-        let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if let Some(lines) = self.discovery.write(now, agent, open) {
-            self.list_came(now, agent, &lines);
+    fn on_agent_write(&mut self, now: Nanos, agent: usize) {
+        let is_watching = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
+        if let Some(lines) = self.discovery.write(now, agent, is_watching) {
+            self.deliver_list(now, agent, &lines);
         }
         self.schedule_agent_write(now, agent);
     }
 
-    /// Sets when an agent writes next, if it holds something back.
+    /// Schedules an agent's next write, if it has changes to send and its gateway has an open watch.
     pub(super) fn schedule_agent_write(&mut self, now: Nanos, agent: usize) {
-        let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if open && let Some(at) = self.discovery.writes_next(now, agent) {
+        let is_watching = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
+        if is_watching && let Some(at) = self.discovery.writes_next(now, agent) {
             self.queue.at(at, Event::AgentWrite { agent });
         }
     }
 
-    /// An agent's bytes come to its gateway.
-    fn list_came(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
+    /// Delivers an agent's bytes to its gateway.
+    fn deliver_list(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Received, lines.bytes.len());
-        self.control.discovery.add(now, self.machine(gateway), lines.bytes.len());
+        self.control.discovery.add(now, self.control_machine(gateway), lines.bytes.len());
         let incarnation = self.nodes[gateway].incarnation;
-        let begun = processor_now();
-        let came = |hollow: &mut HollowGateway| hollow.receive_list_bytes(now, &lines.bytes);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::List, came) else { return };
+        let started = processor_now();
+        let receive = |hollow: &mut HollowGateway| hollow.receive_list_bytes(now, &lines.bytes);
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::List, receive) else { return };
         if outcome.entries > 0 && now >= self.measured.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
-            self.processor.list_changes.saturating_record(processor_now() - begun);
+            self.processor.list_changes.saturating_record(processor_now() - started);
         }
         if outcome.error.is_some() {
             return self.retry_watch(now, gateway, incarnation);
         }
-        self.lists_reached(now, gateway, &lines.changes);
+        self.record_lists_in_force(now, gateway, &lines.changes);
     }
 
-    fn lists_reached(&mut self, now: Nanos, gateway: usize, changes: &[u32]) {
-        let started = self.nodes[gateway].started;
-        for place in changes {
-            let at = self.discovery.changes[*place as usize].at;
-            self.lists_in_force.reached(at, started, now);
+    fn record_lists_in_force(&mut self, now: Nanos, gateway: usize, changes: &[u32]) {
+        let started_at = self.nodes[gateway].started_at;
+        for change in changes {
+            let at = self.discovery.changes[*change as usize].at;
+            self.lists_in_force.reached(at, started_at, now);
         }
     }
 
@@ -334,41 +360,43 @@
         self.queue.at(now + HEARTBEAT_EVERY, Event::Heartbeat);
         let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
         for gateway in 0..self.nodes.len() {
-            let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-            if open && self.discovery.is_up(gateway) {
-                self.list_came(now, gateway, &lines);
+            let is_watching = self.nodes[gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
+            if is_watching && self.discovery.is_up(gateway) {
+                self.deliver_list(now, gateway, &lines);
             }
         }
     }
 
-    fn ask_list(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let ask = |hollow: &mut HollowGateway| hollow.request_watch(now);
-        let Some(request) = self.enter(now, gateway, incarnation, Work::List, ask) else { return };
+    fn request_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
+        let request_watch = |hollow: &mut HollowGateway| hollow.request_watch(now);
+        let Some(request) = self.run_gateway(now, gateway, incarnation, Work::List, request_watch) else {
+            return;
+        };
         self.counts.watch_requests += u64::from(now >= self.measured.from);
         let from = self.nodes[gateway].running.as_ref().map_or(0, |hollow| hollow.watch.index);
         let Some(lines) = self.discovery.answer(gateway, from) else {
-            return self.retry_watch(now, gateway, incarnation); // refused
+            return self.retry_watch(now, gateway, incarnation); // the agent is down
         };
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Sent, request.len());
-        self.control.discovery.add(now, self.machine(gateway), request.len());
-        self.list_came(now, gateway, &lines);
+        self.control.discovery.add(now, self.control_machine(gateway), request.len());
+        self.deliver_list(now, gateway, &lines);
     }
 
-    /// The watch is over; it is asked for again after a rest.
+    /// Handles the end of a watch: schedules the next request after the retry delay.
     pub(super) fn retry_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let rests = |hollow: &mut HollowGateway| hollow.watch_retry_delay(now);
-        if let Some(rest) = self.enter(now, gateway, incarnation, Work::List, rests) {
+        let schedule_retry = |hollow: &mut HollowGateway| hollow.watch_retry_delay(now);
+        if let Some(delay) = self.run_gateway(now, gateway, incarnation, Work::List, schedule_retry) {
             self.counts.watches_broken += u64::from(now >= self.measured.from);
-            self.queue.after(rest, Event::WatchRequest { gateway, incarnation });
+            self.queue.after(delay, Event::WatchRequest { gateway, incarnation });
         }
     }
 
     fn sweep(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let look = |hollow: &mut HollowGateway| hollow.sweep(now);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Counter, look) else { return };
-        self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, incarnation });
+        let sweep = |hollow: &mut HollowGateway| hollow.sweep(now);
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::Counter, sweep) else { return };
+        self.queue.after(SWEEP_INTERVAL, Event::Sweep { gateway, incarnation });
         for ping in outcome.pings {
-            self.ping(now, gateway, incarnation, ping.connection, &ping.bytes);
+            self.send_ping(now, gateway, incarnation, ping.connection, &ping.bytes);
         }
         if outcome.watch_is_unresponsive {
             self.retry_watch(now, gateway, incarnation);
@@ -377,8 +405,8 @@
 
     // ---- The agreement
 
-    /// The settings of a version: each lets a little more in than the one before.
-    fn version(&self, number: u64, start: Nanos) -> Version {
+    /// Builds a version of the settings. Each allows a slightly higher rate than the one before.
+    fn make_version(&self, number: u64, start: Nanos) -> Version {
         let mut settings = self.settings.clone();
         let name = format!("tariffs.{}.perSecond", self.load.plan);
         let rate = settings.get(&name).and_then(|text| text.parse::<f64>().ok()).unwrap_or(1.0);
@@ -386,13 +414,13 @@
         Version { number, start, fallback: Fallback::default_for(&self.settings), settings }
     }
 
-    /// A new version is put out; it starts two leases after the last machine has it.
+    /// Publishes a new version. It starts two lease durations after the last machine has received the file.
     pub(super) fn publish_version(&mut self, now: Nanos) {
         let Some(agreement) = &self.scenario.agreement else { return };
         let spread = nanos(agreement.file_seconds);
         let start = now + spread + 2 * nanos(agreement.lease);
         let number = self.versions.len() as u64 + 1;
-        let file = VersionFile::new(self.version(number, start), now);
+        let file = VersionFile::new(self.make_version(number, start), now);
         self.versions.push(Arc::new(file));
         self.counts.versions += 1;
         let version = self.versions.len() - 1;
@@ -402,26 +430,28 @@
         }
     }
 
-    fn file_came(&mut self, now: Nanos, gateway: usize, version: usize) {
+    fn on_version_file(&mut self, now: Nanos, gateway: usize, version: usize) {
         let file = self.versions[version].clone();
-        let place = &mut self.nodes[gateway];
-        let newer = place.file.as_ref().is_none_or(|held| held.version.number < file.version.number);
-        if newer {
-            place.file = Some(file.clone());
+        let node = &mut self.nodes[gateway];
+        let is_newer = node.file.as_ref().is_none_or(|held| held.version.number < file.version.number);
+        if is_newer {
+            node.file = Some(file.clone());
         }
-        let incarnation = place.incarnation;
-        let take = |hollow: &mut HollowGateway| {
+        let incarnation = node.incarnation;
+        let offer = |hollow: &mut HollowGateway| {
             hollow.agreement.as_mut().is_some_and(|agreement| agreement.offer_version(now, &file))
         };
-        if self.enter(now, gateway, incarnation, Work::Agreement, take).is_some() {
-            self.agree(now, gateway, incarnation);
+        if self.run_gateway(now, gateway, incarnation, Work::Agreement, offer).is_some() {
+            self.evaluate_agreement(now, gateway, incarnation);
         }
     }
 
-    /// A gateway looks at what it may act on and tells others what there is to tell.
-    fn agree(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
-        let look = |hollow: &mut HollowGateway| hollow.evaluate_agreement(now);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Agreement, look) else { return };
+    /// Evaluates a gateway's agreement and sends its due datagrams to all regions.
+    fn evaluate_agreement(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
+        let evaluate = |hollow: &mut HollowGateway| hollow.evaluate_agreement(now);
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::Agreement, evaluate) else {
+            return;
+        };
         for bytes in outcome.datagrams {
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Sent, bytes.len());
             let bytes = Rc::new(bytes);
@@ -434,52 +464,53 @@
             self.queue.at(next, Event::EvaluateAgreement { gateway, incarnation });
         }
         if let Some(version) = outcome.in_force {
-            self.version_in_force(now, gateway, version);
+            self.record_version_in_force(now, gateway, version);
         }
     }
 
-    fn version_in_force(&mut self, now: Nanos, gateway: usize, version: u64) {
-        let place = &mut self.nodes[gateway];
-        let (before, started) = (place.version, place.started);
-        place.version = before.max(version);
-        for number in before + 1..=version {
+    fn record_version_in_force(&mut self, now: Nanos, gateway: usize, version: u64) {
+        let node = &mut self.nodes[gateway];
+        let (previous, started_at) = (node.version_in_force, node.started_at);
+        node.version_in_force = previous.max(version);
+        for number in previous + 1..=version {
             let published_at = self.versions[number as usize - 1].published_at;
-            self.versions_in_force.reached(published_at, started, now);
+            self.versions_in_force.reached(published_at, started_at, now);
         }
     }
 
-    /// A datagram reaches all gateways of a region.
-    fn datagram(&mut self, now: Nanos, from: usize, region: usize, bytes: &[u8]) {
+    /// Delivers a datagram to all gateways of a region, unless the sender is partitioned from it.
+    fn deliver_datagram(&mut self, now: Nanos, from: usize, region: usize, bytes: &[u8]) {
         if self.is_partitioned(self.nodes[from].region, region) {
             return;
         }
         for gateway in 0..self.nodes.len() {
-            let place = &self.nodes[gateway];
-            if gateway == from || place.region != region || place.running.is_none() {
+            let node = &self.nodes[gateway];
+            if gateway == from || node.region != region || node.running.is_none() {
                 continue;
             }
-            let incarnation = place.incarnation;
+            let incarnation = node.incarnation;
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
-            self.control.datagrams.add(now, self.machine(gateway), bytes.len());
-            let hear = |hollow: &mut HollowGateway| hollow.receive_datagram(now, bytes);
-            self.enter(now, gateway, incarnation, Work::Agreement, hear);
-            self.agree(now, gateway, incarnation);
+            self.control.datagrams.add(now, self.control_machine(gateway), bytes.len());
+            let receive = |hollow: &mut HollowGateway| hollow.receive_datagram(now, bytes);
+            self.run_gateway(now, gateway, incarnation, Work::Agreement, receive);
+            self.evaluate_agreement(now, gateway, incarnation);
         }
     }
 
     // ---- The network
 
-    pub(super) fn is_partitioned(&self, one: usize, two: usize) -> bool {
-        one != two && self.isolated_region.is_some_and(|region| region == one || region == two)
+    /// Whether messages between two regions are lost.
+    pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && self.isolated_region.is_some_and(|region| region == a || region == b)
     }
 
-    /// How long a message takes one way.
-    pub(super) fn network_delay(&self, one: usize, two: usize) -> Nanos {
+    /// The one-way network delay between two regions.
+    pub(super) fn network_delay(&self, a: usize, b: usize) -> Nanos {
         let network = &self.scenario.network;
-        nanos(if one == two { network.delay_ms } else { network.far_delay_ms } / 1e3)
+        nanos(if a == b { network.delay_ms } else { network.far_delay_ms } / 1e3)
     }
 
-    /// Pairs of a measured version and a gateway where it never came into force.
+    /// The number of pairs of a measured version and a gateway at which it never came into force.
     pub fn versions_not_in_force(&self) -> u64 {
         let measured =
             self.versions.iter().filter(|file| file.published_at >= self.measured.from).count() as u64;
@@ -487,7 +518,7 @@
     }
 }
 
-fn servers(scenario: &Scenario) -> Servers {
+fn build_servers(scenario: &Scenario) -> Servers {
     let model = lab::scenario::Servers {
         count: scenario.servers_in_all() as u32,
         zones: scenario.zones as u32,
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -1,4 +1,4 @@
-//! The load on a hollow fleet: arrivals of RPCs, their call-outs to servers, and calls to the counter.
+//! The load on a hollow fleet: arrivals of RPCs, their attempts at servers, and calls to the counter.
 
 use super::figures::{Counts, Work};
 use super::fleet::{Event, Fleet};
@@ -17,14 +17,15 @@
 use rig::measure::ServerRpc;
 
 const MS: Nanos = 1_000_000;
-/// What the program takes off a client's deadline.
-const MARGIN: Nanos = 5 * MS;
-/// The region that the counter and discovery's source are in.
+/// The margin that the product subtracts from a client's deadline.
+const DEADLINE_MARGIN: Nanos = 5 * MS;
+/// The region of the counter and of discovery's source.
 pub const HOME_REGION: usize = 0;
-/// Visits to servers are kept for the spread of the load where no more than so many are to be expected.
-const MAX_SERVED_ATTEMPTS: f64 = 20e6;
+/// Served attempts, which give the spread of the load over servers, are recorded only if fewer RPCs are
+/// expected.
+const MAX_RECORDED_RPCS: f64 = 20e6;
 
-/// A call on its way to the counter, by the connection that it was written on.
+/// A call on its way to the counter, and the connection that it was written to.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterCall {
     pub gateway: usize,
@@ -32,12 +33,12 @@
     pub connection: usize,
     pub name: u64,
     pub add: f64,
-    pub forget: Nanos,
+    pub ttl: Nanos,
 }
 
-/// A tenant: the gateways through which its RPCs come in.
+/// A tenant. Its RPCs arrive at `load.width` gateways from `first_gateway` on.
 struct Tenant {
-    first: u32,
+    first_gateway: u32,
 }
 
 struct Method {
@@ -46,117 +47,123 @@
     units: f64,
 }
 
-/// Open-loop arrivals over all played gateways.
+/// Open-loop arrivals at all emulated gateways.
 pub struct Load {
     pub plan: usize,
     methods: Vec<Method>,
     tenants: Vec<Tenant>,
-    by_tenant: WeightedIndex<f64>,
-    by_method: WeightedIndex<f64>,
+    tenant_distribution: WeightedIndex<f64>,
+    method_distribution: WeightedIndex<f64>,
+    /// RPCs per second, at all emulated gateways.
     rate: f64,
-    draws: ChaCha8Rng,
+    rng: ChaCha8Rng,
     last_rpc: u32,
-    count_wait: Nanos,
-    dial: Nanos,
-    /// Call-outs that servers took, where they are kept.
+    counter_timeout: Nanos,
+    connect_timeout: Nanos,
+    /// Attempts that servers took into service. Recorded only if the whole fleet is emulated and the expected
+    /// number of RPCs is below `MAX_RECORDED_RPCS`.
     pub served_attempts: Option<Vec<ServerRpc>>,
 }
 
 impl Load {
-    /// The scenario is checked: its shares are above nought.
+    /// Requires a validated scenario: all shares are above 0.
     pub fn new(scenario: &Scenario) -> Load {
-        let mut draws = chance::stream(scenario.seed, Stream::Arrivals);
-        let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is checked");
-        let count = scenario.tenants_played();
-        let shares: Vec<f64> = (0..count).map(|_| shares.sample(&mut draws)).collect();
+        let mut rng = chance::stream(scenario.seed, Stream::Arrivals);
+        let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is validated");
+        let tenant_count = scenario.tenants_played();
+        let shares: Vec<f64> = (0..tenant_count).map(|_| shares.sample(&mut rng)).collect();
         let played = scenario.played() as u32;
-        let tenants = (0..count).map(|_| Tenant { first: draws.random_range(0..played) }).collect();
+        let tenants =
+            (0..tenant_count).map(|_| Tenant { first_gateway: rng.random_range(0..played) }).collect();
         let methods = scenario.load.methods.iter().map(|method| {
             let class = scenario.class(&method.name).unwrap_or(0);
             Method { class: class as u16, deadline: nanos(scenario.deadline(class)), units: method.units }
         });
         let settings = scenario.settings();
-        let time = |name: &str, default: Nanos| {
+        let duration = |name: &str, default: Nanos| {
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
         let rate = scenario.rate * f64::from(played);
-        let whole_fleet =
-            scenario.played() == scenario.gateways && rate * scenario.seconds < MAX_SERVED_ATTEMPTS;
+        let is_recorded =
+            scenario.played() == scenario.gateways && rate * scenario.seconds < MAX_RECORDED_RPCS;
         Load {
             plan: scenario.plan().unwrap_or(0),
             methods: methods.collect(),
             tenants,
-            by_tenant: WeightedIndex::new(shares).expect("there are tenants"),
-            by_method: WeightedIndex::new(scenario.load.methods.iter().map(|method| method.share))
-                .expect("shares are checked"),
+            tenant_distribution: WeightedIndex::new(shares).expect("there are tenants with positive weights"),
+            method_distribution: WeightedIndex::new(scenario.load.methods.iter().map(|method| method.share))
+                .expect("shares are validated"),
             rate,
-            draws,
+            rng,
             last_rpc: 0,
-            count_wait: time("extra.countWait", gateway::counter::DEFAULT_CALL_TIMEOUT),
-            dial: time("ceilings.dialTimeout", gateway::servers::DEFAULT_CONNECT_TIMEOUT),
-            served_attempts: whole_fleet.then(Vec::new),
+            counter_timeout: duration("extra.countWait", gateway::counter::DEFAULT_CALL_TIMEOUT),
+            connect_timeout: duration("ceilings.dialTimeout", gateway::servers::DEFAULT_CONNECT_TIMEOUT),
+            served_attempts: is_recorded.then(Vec::new),
         }
     }
 
-    fn gap(&mut self) -> Nanos {
-        let wait: f64 = Exp1.sample(&mut self.draws);
-        (wait / self.rate * SEC as f64).max(1.0) as Nanos
+    /// Draws the time until the next arrival of a Poisson process.
+    fn next_interarrival(&mut self) -> Nanos {
+        let mean_intervals: f64 = Exp1.sample(&mut self.rng);
+        (mean_intervals / self.rate * SEC as f64).max(1.0) as Nanos
     }
 }
 
 impl Fleet<'_> {
-    pub(super) fn arrive(&mut self, now: Nanos) {
+    /// Schedules the next arrival and sends this RPC to a gateway that is up; counts it as cut if there is none.
+    pub(super) fn on_rpc_arrival(&mut self, now: Nanos) {
         if self.scenario.rate <= 0.0 {
             return;
         }
-        let gap = self.load.gap();
-        self.queue.after(gap, Event::RpcArrival);
+        let interarrival = self.load.next_interarrival();
+        self.queue.after(interarrival, Event::RpcArrival);
         let load = &mut self.load;
-        let tenant = load.by_tenant.sample(&mut load.draws);
-        let number = load.by_method.sample(&mut load.draws);
-        let (width, first) = (self.scenario.load.width, load.tenants[tenant].first as usize);
-        let start = load.draws.random_range(0..width);
-        let set = (0..width).map(|at| (first + (start + at) % width) % self.nodes.len());
-        let Some(gateway) = set.into_iter().find(|at| self.nodes[*at].running.is_some()) else {
+        let tenant = load.tenant_distribution.sample(&mut load.rng);
+        let method_index = load.method_distribution.sample(&mut load.rng);
+        let (width, first_gateway) = (self.scenario.load.width, load.tenants[tenant].first_gateway as usize);
+        let start = load.rng.random_range(0..width);
+        let gateways = (0..width).map(|offset| (first_gateway + (start + offset) % width) % self.nodes.len());
+        let Some(gateway) = gateways.into_iter().find(|gateway| self.nodes[*gateway].running.is_some())
+        else {
             self.count(now, |counts| (counts.rpcs, counts.cut) = (counts.rpcs + 1, counts.cut + 1));
             return;
         };
         let load = &mut self.load;
         load.last_rpc = load.last_rpc.wrapping_add(1);
-        let method = &load.methods[number];
-        let nth = load.draws.random_range(0..self.scenario.services_each());
+        let method = &load.methods[method_index];
+        let service_index = load.rng.random_range(0..self.scenario.services_each());
         let arrival = Arrival {
             id: load.last_rpc,
             method: method.class,
             plan: load.plan as u16,
             customer: tenant as u64 + 1,
-            service: self.scenario.service_met(gateway, nth),
-            deadline: now + method.deadline - MARGIN,
+            service: self.scenario.service_met(gateway, service_index),
+            deadline: now + method.deadline - DEADLINE_MARGIN,
             units: method.units,
             gateway_count: width as u32,
-            first_gateway: first as u32,
+            first_gateway: first_gateway as u32,
         };
         self.count(now, |counts| counts.rpcs += 1);
         let incarnation = self.nodes[gateway].incarnation;
-        self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_arrival(now, &arrival));
+        self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_arrival(now, &arrival));
     }
 
-    /// Counts something in the measured part of the run.
+    /// Updates the counts, if `now` is in the measured part of the run.
     pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut Counts)) {
         if now >= self.measured.from {
             counts(&mut self.counts);
         }
     }
 
-    /// An RPC has its final answer: it counts if it came in the measured part of the run.
-    fn answered(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut Counts) -> &mut u64) {
+    /// Counts the end of an RPC, if the RPC arrived in the measured part of the run.
+    fn count_rpc_end(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut Counts) -> &mut u64) {
         if let Some(rpc) = rpc {
             self.count(rpc.arrived, |counts| *counter(counts) += 1);
         }
     }
 
-    /// Carries out what a gateway asked of its host; `work` is what it was doing.
-    pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: Work) {
+    /// Performs the actions that a gateway requested of its host. Their processor time is attributed to `work`.
+    pub(super) fn perform_actions(&mut self, now: Nanos, gateway: usize, work: Work) {
         loop {
             let Some(hollow) = &mut self.nodes[gateway].running else { return };
             let wishes = std::mem::take(&mut hollow.wishes.0);
@@ -164,12 +171,12 @@
                 return;
             }
             for wish in wishes {
-                self.carry_wish(now, gateway, work, wish);
+                self.perform_action(now, gateway, work, wish);
             }
         }
     }
 
-    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
+    fn perform_action(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         match wish {
@@ -177,31 +184,33 @@
                 self.queue.after(after, Event::Timer { gateway, incarnation, token })
             }
             Wish::PushBack { rpc, .. } => {
-                let answered = hollow.rpcs.remove(&rpc);
-                self.answered(answered, |counts| &mut counts.pushed_back);
+                let ended = hollow.rpcs.remove(&rpc);
+                self.count_rpc_end(ended, |counts| &mut counts.pushed_back);
             }
             Wish::Abort { rpc } => {
-                let answered = hollow.rpcs.remove(&rpc);
-                self.answered(answered, |counts| &mut counts.aborted);
+                let ended = hollow.rpcs.remove(&rpc);
+                self.count_rpc_end(ended, |counts| &mut counts.aborted);
+            }
+            Wish::CallOut { rpc, server, limit } => {
+                self.start_attempt(now, gateway, work, rpc, server, limit)
             }
-            Wish::CallOut { rpc, server, limit } => self.call_out(now, gateway, work, rpc, server, limit),
             Wish::Count { name, add, forget } => self.call_counter(now, gateway, name, add, forget),
         }
     }
 
-    // ---- Call-outs
+    // ---- Attempts
 
-    fn call_out(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
+    fn start_attempt(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
-        let Some(open) = hollow.rpcs.get_mut(&rpc) else { return };
-        let until = if limit == 0 { open.deadline } else { (now + limit).min(open.deadline) };
-        let nth = open.attempts;
-        open.attempts += 1;
+        let Some(open_rpc) = hollow.rpcs.get_mut(&rpc) else { return };
+        let ends_at = if limit == 0 { open_rpc.deadline } else { (now + limit).min(open_rpc.deadline) };
+        let nth = open_rpc.attempts;
+        open_rpc.attempts += 1;
         hollow.attempts.insert((rpc, nth), OpenAttempt { server, sent: now });
-        let call = AttemptRef { gateway: gateway as u32, incarnation: incarnation, rpc, nth };
-        let Some(to) = hollow.emulated_server(server).filter(|_| until > now) else {
-            self.enter(now, gateway, incarnation, work, |hollow| {
+        let attempt = AttemptRef { gateway: gateway as u32, incarnation, rpc, nth };
+        let Some(to) = hollow.emulated_server(server).filter(|_| ends_at > now) else {
+            self.run_gateway(now, gateway, incarnation, work, |hollow| {
                 hollow.on_attempt_end(now, rpc, nth, CallOutcome::NotSent)
             });
             return;
@@ -209,26 +218,33 @@
         self.count(now, |counts| counts.call_outs += 1);
         let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(to));
         if self.is_partitioned(region, server_region) {
-            return self
-                .queue
-                .after(self.load.dial, Event::AttemptEnd { call, how: CallOutcome::NoConnection });
+            return self.queue.after(
+                self.load.connect_timeout,
+                Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
+            );
         }
         let server_incarnation = self.servers.all[to as usize].incarnation;
         let after = self.network_delay(region, server_region);
-        self.queue.after(after, Event::AttemptAtServer { call, server: to, server_incarnation });
-        self.queue.at(until, Event::AttemptEnd { call, how: CallOutcome::TimedOut });
+        self.queue.after(after, Event::AttemptAtServer { attempt, server: to, server_incarnation });
+        self.queue.at(ends_at, Event::AttemptEnd { attempt, outcome: CallOutcome::TimedOut });
     }
 
     fn region_of_server(&self, server: u32) -> usize {
         server as usize % self.scenario.zones % self.scenario.regions
     }
 
-    pub(super) fn at_server(&mut self, now: Nanos, call: AttemptRef, server: u32, server_incarnation: u32) {
-        let region = self.nodes[call.gateway as usize].region;
-        let back = self.network_delay(region, self.region_of_server(server));
-        let (after, how) = match self.servers.accept(now, server, server_incarnation, call) {
-            Disposition::Refused => (back, CallOutcome::NoConnection),
-            Disposition::Full => (back, CallOutcome::Full),
+    pub(super) fn on_attempt_at_server(
+        &mut self,
+        now: Nanos,
+        attempt: AttemptRef,
+        server: u32,
+        server_incarnation: u32,
+    ) {
+        let region = self.nodes[attempt.gateway as usize].region;
+        let reply_delay = self.network_delay(region, self.region_of_server(server));
+        let (after, outcome) = match self.servers.accept(now, server, server_incarnation, attempt) {
+            Disposition::Refused => (reply_delay, CallOutcome::NoConnection),
+            Disposition::Full => (reply_delay, CallOutcome::Full),
             Disposition::Held => return,
             Disposition::Serving { after, ok } => {
                 if let Some(served_attempts) =
@@ -241,69 +257,77 @@
                     });
                 }
                 self.queue.after(after, Event::SlotFreed { server, server_incarnation });
-                (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
+                (after + reply_delay, if ok { CallOutcome::Ok } else { CallOutcome::Error })
             }
         };
-        self.queue.after(after, Event::AttemptEnd { call, how });
+        self.queue.after(after, Event::AttemptEnd { attempt, outcome });
     }
 
-    pub(super) fn call_ended(&mut self, now: Nanos, call: AttemptRef, how: CallOutcome) {
-        let (gateway, incarnation) = (call.gateway as usize, call.incarnation);
-        let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| {
+    pub(super) fn on_attempt_end(&mut self, now: Nanos, attempt: AttemptRef, outcome: CallOutcome) {
+        let (gateway, incarnation) = (attempt.gateway as usize, attempt.incarnation);
+        let is_open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| {
             self.nodes[gateway].incarnation == incarnation
-                && hollow.attempts.contains_key(&(call.rpc, call.nth))
+                && hollow.attempts.contains_key(&(attempt.rpc, attempt.nth))
         });
-        if !open {
-            return; // its time was over, or it had ended before its time
+        if !is_open {
+            return; // it has timed out, or this is its time limit and it ended before
         }
-        let ended = self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| {
-            hollow.on_attempt_end(now, call.rpc, call.nth, how)
+        let ended = self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| {
+            hollow.on_attempt_end(now, attempt.rpc, attempt.nth, outcome)
         });
-        self.answered(ended.flatten(), |counts| &mut counts.ok);
+        self.count_rpc_end(ended.flatten(), |counts| &mut counts.ok);
     }
 
     // ---- The counter
 
-    fn call_counter(&mut self, now: Nanos, gateway: usize, name: u64, add: f64, forget: Nanos) {
+    fn call_counter(&mut self, now: Nanos, gateway: usize, name: u64, add: f64, ttl: Nanos) {
         let incarnation = self.nodes[gateway].incarnation;
         let region = self.nodes[gateway].region;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
-        let SentCall { connection, serial, bytes } = hollow.call_counter(now, name, add, forget);
+        let SentCall { connection, serial, bytes } = hollow.call_counter(now, name, add, ttl);
         self.count(now, |counts| counts.count_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
-        let machine = self.machine_of_name(name);
+        let machine = self.counter_machine(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.queue
-            .after(self.load.count_wait, Event::CounterTimeout { gateway, incarnation, connection, serial });
+        self.queue.after(
+            self.load.counter_timeout,
+            Event::CounterTimeout { gateway, incarnation, connection, serial },
+        );
         if !self.is_partitioned(region, HOME_REGION) {
             let after = self.network_delay(region, HOME_REGION);
-            let call = CounterCall { gateway, incarnation, connection, name, add, forget };
+            let call = CounterCall { gateway, incarnation, connection, name, add, ttl };
             self.queue.after(after, Event::CounterRequest(call));
         }
     }
 
-    /// Names are spread over the control machines by customer.
-    fn machine_of_name(&self, name: u64) -> usize {
+    /// The control machine that holds a name. Names are spread over the machines by customer.
+    fn counter_machine(&self, name: u64) -> usize {
         (name >> 31) as usize % self.scenario.control_machines
     }
 
-    pub(super) fn count_at(&mut self, now: Nanos, call: CounterCall) {
-        let CounterCall { gateway, incarnation, connection, name, add, forget } = call;
-        let Some(total) = self.counter.add(now, gateway as u32, name, add, forget) else { return };
+    pub(super) fn on_counter_request(&mut self, now: Nanos, call: CounterCall) {
+        let CounterCall { gateway, incarnation, connection, name, add, ttl } = call;
+        let Some(total) = self.counter.add(now, gateway as u32, name, add, ttl) else { return };
         let text = total.to_string();
         let bytes = format!("${}\r\n{text}\r\n", text.len()).into_bytes();
-        let machine = self.machine_of_name(name);
+        let machine = self.counter_machine(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.answer_later(gateway, incarnation, connection, bytes);
+        self.schedule_counter_reply(gateway, incarnation, connection, bytes);
     }
 
-    fn answer_later(&mut self, gateway: usize, incarnation: u32, connection: usize, bytes: Vec<u8>) {
+    fn schedule_counter_reply(
+        &mut self,
+        gateway: usize,
+        incarnation: u32,
+        connection: usize,
+        bytes: Vec<u8>,
+    ) {
         let after = nanos(self.scenario.counter.latency_ms / 1e3)
             + self.network_delay(self.nodes[gateway].region, HOME_REGION);
         self.queue.after(after, Event::CounterReply { gateway, incarnation, connection, bytes });
     }
 
-    pub(super) fn count_back(
+    pub(super) fn on_counter_reply(
         &mut self,
         now: Nanos,
         gateway: usize,
@@ -317,13 +341,13 @@
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.enter(now, gateway, incarnation, Work::Counter, |hollow| {
+        self.run_gateway(now, gateway, incarnation, Work::Counter, |hollow| {
             hollow.receive_counter_bytes(now, connection, bytes)
         });
     }
 
-    /// A connection's sign of incarnation, and its answer.
-    pub(super) fn ping(
+    /// Sends a PING to the counter, which replies unless it is stalled or partitioned from the gateway.
+    pub(super) fn send_ping(
         &mut self,
         now: Nanos,
         gateway: usize,
@@ -333,7 +357,7 @@
     ) {
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         if !self.counter.stalled && !self.is_partitioned(self.nodes[gateway].region, HOME_REGION) {
-            self.answer_later(gateway, incarnation, connection, b"+PONG\r\n".to_vec());
+            self.schedule_counter_reply(gateway, incarnation, connection, b"+PONG\r\n".to_vec());
         }
     }
 }
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! The hollow fleet: deterministic by seed, changes reach those whom they concern, and bad scenarios are refused whole.
+//! Tests of the hollow fleet: runs are deterministic by seed, changes reach the gateways that they concern,
+//! and invalid scenarios are rejected as a whole.
 
 use scale::hollow::{Scenario, Tables, play};
 use std::path::Path;
@@ -40,10 +41,10 @@
 
 const AGREEMENT: &str = "[agreement]\nlease = 1.0\nclock = 0.1\nvoters = 3\nfile_seconds = 0.5\n";
 
-/// The small scenario with more behind it.
-fn scenario(more: &str) -> Scenario {
-    let text = format!("{SMALL}{more}");
-    Scenario::from_toml(Path::new("small.toml"), &text).unwrap_or_else(|why| panic!("{why}"))
+/// The small scenario with extra text appended.
+fn scenario(extra: &str) -> Scenario {
+    let text = format!("{SMALL}{extra}");
+    Scenario::from_toml(Path::new("small.toml"), &text).unwrap_or_else(|error| panic!("{error}"))
 }
 
 fn event(text: &str) -> String {
@@ -54,8 +55,8 @@
     event("kind = 'churn'\nat = 1.0\nseconds = 10.0\nevery = 0.5\nfail_share = 0.3\ndrain = 0.5\ndown = 2.0")
 }
 
-/// Everything that a scenario can hold at once.
-fn everything() -> String {
+/// The agreement and one event of every kind.
+fn all_features() -> String {
     let events = [
         churn(),
         event("kind = 'rack'\nat = 3.0\nservers = 5\ntold_after = 0.5\ndown = 4.0"),
@@ -71,24 +72,25 @@
     format!("{AGREEMENT}{}", events.concat())
 }
 
-fn tables(more: &str) -> Tables {
-    play(&scenario(more))
+fn tables(extra: &str) -> Tables {
+    play(&scenario(extra))
 }
 
 #[test]
-fn the_same_seed_gives_the_same_tables_byte_for_byte_and_another_gives_others() {
-    let first = tables(&everything()).emulated().unwrap();
-    let again = tables(&everything()).emulated().unwrap();
-    assert_eq!(first, again);
-    let mut other = scenario(&everything());
+fn same_seed_gives_identical_tables_and_another_seed_different_ones() {
+    let first = tables(&all_features()).emulated().unwrap();
+    let repeated = tables(&all_features()).emulated().unwrap();
+    assert_eq!(first, repeated);
+    let mut other = scenario(&all_features());
     other.seed = 8;
     assert_ne!(first, play(&other).emulated().unwrap());
 }
 
 #[test]
-fn every_change_of_the_list_comes_to_all_gateways_that_meet_its_service_and_to_no_other() {
+fn list_changes_reach_exactly_the_gateways_that_use_the_service() {
     let tables = tables(&event("kind = 'replace'\nat = 1.0\nshare = 0.5\nseconds = 10.0\ndrain = 1.0"));
-    // 30 servers replaced: draining, the new one, gone; 12 gateways meet 2 of 6 services each, so 4 meet each service.
+    // Each of 30 replacements is 3 changes: the old server drains, the new one is ready, the old one is gone. 12
+    // gateways use 2 of 6 services each, so 4 gateways use each service.
     assert_eq!(tables.run.list_changes, 90);
     let lists = &tables.in_force[0];
     assert_eq!((lists.what, lists.reached, lists.missing), ("list", 90 * 4, 0));
@@ -97,70 +99,70 @@
 }
 
 #[test]
-fn most_rpcs_of_a_healthy_fleet_are_answered_and_the_counter_is_asked() {
+fn healthy_fleet_answers_rpcs_and_calls_the_counter() {
     let tables = tables("");
     let run = &tables.run;
     assert!(run.rpcs > 900 && run.rpcs < 1500, "{run:?}");
     assert!(run.ok <= run.rpcs && run.ok + 5 >= run.rpcs, "{run:?}");
     assert!(run.count_calls > 0 && run.server_peak > 1.0, "{run:?}");
-    let of_counter = tables.traffic.iter().filter(|row| row.peer == "counter");
-    assert!(of_counter.map(|row| row.bytes_per_s).sum::<f64>() > 0.0);
+    let counter_rows = tables.traffic.iter().filter(|row| row.peer == "counter");
+    assert!(counter_rows.map(|row| row.bytes_per_s).sum::<f64>() > 0.0);
 }
 
 #[test]
-fn versions_come_into_force_everywhere_two_leases_after_the_last_machine_has_them() {
+fn versions_come_into_force_two_leases_after_the_last_machine_has_the_file() {
     let versions = event("kind = 'versions'\nat = 1.0\nseconds = 10.0\nevery = 5.0");
     let tables = tables(&format!("{AGREEMENT}{versions}"));
     let row = &tables.in_force[1];
     assert_eq!((row.what, row.reached, row.missing), ("version", 2 * 12, 0));
     assert!(row.p50_ms >= 2500.0 && row.most_ms < 3500.0, "{row:?}");
-    let is_heard = |peer, direction| (peer, direction) == ("gateways", "received");
-    let heard = tables.traffic.iter().find(|row| is_heard(row.peer, row.direction)).unwrap();
-    // Three voters speak every quarter of a lease of 1 s, and more while a version waits.
-    assert!(heard.messages_per_s > 10.0 && heard.messages_per_s < 16.0, "{heard:?}");
+    let is_received = |peer, direction| (peer, direction) == ("gateways", "received");
+    let received = tables.traffic.iter().find(|row| is_received(row.peer, row.direction)).unwrap();
+    // Three voters send every quarter of the 1 s lease, and more often while a version is scheduled.
+    assert!(received.messages_per_s > 10.0 && received.messages_per_s < 16.0, "{received:?}");
 }
 
 #[test]
-fn a_lost_zone_is_told_in_one_line_to_each_gateway_and_its_return_in_another() {
+fn zone_loss_and_return_take_one_list_object_each_per_gateway() {
     let tables = tables(&event("kind = 'zone_down'\nat = 2.0\nzone = 'c'\ntold_after = 1.0\nseconds = 8.0"));
     assert_eq!(tables.run.list_changes, 2 * 15, "{:?}", tables.run);
     assert_eq!(tables.in_force[0].missing, 0);
-    let heartbeats_of_all = 12 * 6;
-    let more = tables.seconds.iter().filter(|second| second.list_bytes > heartbeats_of_all);
-    assert_eq!(more.count(), 2, "lines beside heartbeats in two seconds only");
+    let heartbeat_bytes = 12 * 6;
+    let seconds_with_updates = tables.seconds.iter().filter(|second| second.list_bytes > heartbeat_bytes);
+    assert_eq!(seconds_with_updates.count(), 2, "list updates in two seconds only");
 }
 
 #[test]
-fn gateways_that_start_again_ask_for_the_list_once_each_and_go_on() {
+fn restarted_gateways_request_the_watch_once_and_continue() {
     let tables = tables(&event("kind = 'restart_gateways'\nat = 5.0\nshare = 0.5\ndown = 1.0"));
     assert_eq!(tables.run.watch_requests, 6, "{:?}", tables.run);
     assert!(tables.run.ok + tables.run.cut + 5 >= tables.run.rpcs, "{:?}", tables.run);
 }
 
 #[test]
-fn a_region_that_was_apart_hears_all_that_it_missed() {
-    let apart = event("kind = 'region_apart'\nat = 2.0\nregion = 1\nseconds = 8.0");
-    let tables = tables(&format!("{}{apart}", churn()));
+fn region_receives_missed_list_changes_after_a_partition() {
+    let partition = event("kind = 'region_apart'\nat = 2.0\nregion = 1\nseconds = 8.0");
+    let tables = tables(&format!("{}{partition}", churn()));
     let lists = &tables.in_force[0];
     assert_eq!(lists.missing, 0, "{lists:?}");
     assert!(lists.most_ms > 3000.0, "{lists:?}");
 }
 
 #[test]
-fn lost_agents_are_asked_again_until_they_are_back() {
-    let lost = event("kind = 'agents_lost'\nat = 2.0\nshare = 0.34\nseconds = 6.0");
-    let tables = tables(&format!("{}{lost}", churn()));
+fn watches_to_lost_agents_are_retried_until_they_return() {
+    let agents_lost = event("kind = 'agents_lost'\nat = 2.0\nshare = 0.34\nseconds = 6.0");
+    let tables = tables(&format!("{}{agents_lost}", churn()));
     assert!(tables.run.watches_broken > 4, "{:?}", tables.run);
     assert_eq!(tables.in_force[0].missing, 0, "{:?}", tables.in_force[0]);
 }
 
 #[test]
-fn what_is_wrong_is_named_in_one_line() {
+fn invalid_scenarios_are_rejected_with_a_one_line_error_that_names_the_key() {
     let versions = event("kind = 'versions'\nat = 1.0\nseconds = 9.0\nevery = 4.5");
     let bad_event = event("kind = 'rack'\nat = 3.0\nservers = 5\ntold_after = 0.5\ndown = 4.0\nwhat = 1");
-    let zone = event("kind = 'zone_down'\nat = 6.0\nzone = 'z'\ntold_after = 0.5\nseconds = 5.0");
-    let late = event("kind = 'counter_stalled'\nat = 19.0\nseconds = 9.0");
-    for (was, is, named) in [
+    let unknown_zone = event("kind = 'zone_down'\nat = 6.0\nzone = 'z'\ntold_after = 0.5\nseconds = 5.0");
+    let ends_late = event("kind = 'counter_stalled'\nat = 19.0\nseconds = 9.0");
+    for (original, replacement, expected) in [
         ("gateways = 12", "gateways = 0", "'gateways'"),
         ("gateways = 12", "gateways = 12\nsample = 13", "'sample'"),
         ("servers = 60", "servers = 2000000", "'servers'"),
@@ -179,46 +181,46 @@
         ("[server]", "[[events]]\n[server]", "kind"),
         ("[server]\n", &format!("{versions}[server]\n"), "'events[0]'"),
         ("[server]\n", &format!("{bad_event}[server]\n"), "what"),
-        ("[server]\n", &format!("{zone}[server]\n"), "'events[0].zone'"),
-        ("[server]\n", &format!("{late}[server]\n"), "'events[0].seconds'"),
+        ("[server]\n", &format!("{unknown_zone}[server]\n"), "'events[0].zone'"),
+        ("[server]\n", &format!("{ends_late}[server]\n"), "'events[0].seconds'"),
         ("[server]\n", "[agreement]\nlease = 0.1\n[server]\n", "'agreement.lease'"),
     ] {
-        let text = SMALL.replacen(was, is, 1);
-        assert_ne!(text, SMALL, "{was}");
-        let why = Scenario::from_toml(Path::new("small.toml"), &text).expect_err(is).to_string();
-        assert!(why.contains(named) && !why.contains('\n'), "{is}: {why}");
+        let text = SMALL.replacen(original, replacement, 1);
+        assert_ne!(text, SMALL, "{original}");
+        let error = Scenario::from_toml(Path::new("small.toml"), &text).expect_err(replacement).to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{replacement}: {error}");
     }
 }
 
 #[test]
-fn a_fleet_that_does_not_fit_the_memory_is_refused_with_what_it_would_take() {
+fn fleet_that_exceeds_the_memory_limit_is_rejected_with_its_size() {
     let text = SMALL.replace("servers = 60", "servers = 170000").replace("gateways = 12", "gateways = 5800");
     let text = text.replace("services = 6\nservices_met = 2", "services = 1");
-    let why = Scenario::from_toml(Path::new("small.toml"), &text).unwrap_err().to_string();
-    assert!(why.starts_with("'sample': 5800 gateways that are each told 170000 servers"), "{why}");
+    let error = Scenario::from_toml(Path::new("small.toml"), &text).unwrap_err().to_string();
+    assert!(error.starts_with("'sample': 5800 gateways that are each told 170000 servers"), "{error}");
 }
 
 #[test]
-fn the_command_takes_nothing_of_a_bad_scenario() {
-    let folder = std::env::temp_dir().join(format!("martenramp-hollow-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let (file, out) = (folder.join("bad.toml"), folder.join("out"));
+fn command_writes_nothing_for_an_invalid_scenario() {
+    let directory = std::env::temp_dir().join(format!("martenramp-hollow-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let (file, out) = (directory.join("bad.toml"), directory.join("out"));
     std::fs::write(&file, SMALL.replace("rate = 5.0", "rate = 5.0\nspeed = 3")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenramp-scale"));
-    let ended = command.arg("hollow").arg(&file).arg("--out").arg(&out).output().unwrap();
-    let said = String::from_utf8(ended.stderr).unwrap();
-    assert!(!ended.status.success() && said.contains("speed"), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+    let output = command.arg("hollow").arg(&file).arg("--out").arg(&out).output().unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && stderr.contains("speed"), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
     assert!(!out.exists());
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
-fn shipped_scenarios_read() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/hollow");
-    let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
-    let scenarios = files.filter(|file| file.extension().is_some_and(|kind| kind == "toml"));
-    let read: Vec<Scenario> =
-        scenarios.map(|file| Scenario::read(&file).unwrap_or_else(|why| panic!("{why}"))).collect();
-    assert!(!read.is_empty());
+fn shipped_scenarios_load() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/hollow");
+    let files = std::fs::read_dir(directory).unwrap().map(|entry| entry.unwrap().path());
+    let scenarios = files.filter(|file| file.extension().is_some_and(|extension| extension == "toml"));
+    let loaded: Vec<Scenario> =
+        scenarios.map(|file| Scenario::read(&file).unwrap_or_else(|error| panic!("{error}"))).collect();
+    assert!(!loaded.is_empty());
 }
