--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -24,9 +24,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Start of the emulated clock. It is above 0 because a start time of 0 means "long ago".
+/// Start of the emulated clock. It is above 0 so that no start time is 0, which would mean "long ago".
 const EPOCH: Nanos = 1_000_000 * SEC;
-/// How often a gateway sweeps its connections, as in the product.
+/// How often a gateway checks for idle and unresponsive connections, as in the product.
 const SWEEP_INTERVAL: Nanos = 250_000_000;
 
 /// An event on the emulated clock. Events of an earlier incarnation of a gateway or server are ignored.
@@ -224,9 +224,9 @@
                 self.on_counter_reply(now, gateway, incarnation, connection, &bytes)
             }
             Event::CounterTimeout { gateway, incarnation, connection, serial } => {
-                let timed_out =
+                let time_out =
                     |hollow: &mut HollowGateway| hollow.on_counter_timeout(now, connection, serial);
-                self.run_gateway(now, gateway, incarnation, Work::Counter, timed_out);
+                self.run_gateway(now, gateway, incarnation, Work::Counter, time_out);
             }
             Event::AgentWrite { agent } => self.on_agent_write(now, agent),
             Event::Heartbeat => self.heartbeat(now),
@@ -262,14 +262,15 @@
 
     // ---- Starting and stopping gateways
 
-    /// Starts a new incarnation of a gateway. Except at the first start, it begins with the current list.
+    /// Starts a new incarnation of a gateway. On a restart, and on the first start if the scenario says so, it
+    /// begins with a list as if it had held one before; otherwise it requests the list.
     pub(super) fn start_gateway(&mut self, now: Nanos, gateway: usize, first: bool) {
         let node = &mut self.nodes[gateway];
         node.incarnation += 1;
         node.started_at = now;
         let incarnation = node.incarnation;
         let agreement = node.file.clone().zip(self.agreement_config.clone());
-        let start = StartParams {
+        let params = StartParams {
             number: gateway as u32,
             zone: node.zone,
             seed: chance::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
@@ -278,7 +279,7 @@
             services: self.scenario.services as u32,
             agreement: agreement.map(|(file, config)| AgreementStart { file, config, fresh: first }),
         };
-        node.running = Some(HollowGateway::new(&start, now));
+        node.running = Some(HollowGateway::new(&params, now));
         let initial_list = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
         if let Some((list, changes)) = initial_list {
             let list = serde_json::from_str(&list)
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -131,10 +131,10 @@
 }
 
 impl HollowGateway {
-    pub fn new(start: &StartParams, now: Nanos) -> HollowGateway {
-        let mut settings = start.settings.clone();
-        settings.insert("me".to_string(), start.number.to_string());
-        settings.insert("zone".to_string(), start.zone.to_string());
+    pub fn new(params: &StartParams, now: Nanos) -> HollowGateway {
+        let mut settings = params.settings.clone();
+        settings.insert("me".to_string(), params.number.to_string());
+        settings.insert("zone".to_string(), params.zone.to_string());
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
         let stop_sending_within =
             number("rules.stopSendingWithin").map_or(list::DEFAULT_STOP_WITHIN, super::nanos);
@@ -142,13 +142,13 @@
             settings.get("membershipMode").is_some_and(|mode| mode == "push"),
             number("balancers").map_or(1, |count| count as u32),
         );
-        let agreement = start.agreement.as_ref().map(|agreement| {
-            let incarnation = fastrand::Rng::with_seed(start.seed).u32(..);
-            AgreementHandler::new(agreement, start.number, start.zone, incarnation, now)
+        let agreement = params.agreement.as_ref().map(|agreement| {
+            let incarnation = fastrand::Rng::with_seed(params.seed).u32(..);
+            AgreementHandler::new(agreement, params.number, params.zone, incarnation, now)
         });
         let settings = agreement.as_ref().map_or(settings, |agreement| agreement.settings());
         HollowGateway {
-            controller: AdmissionController::new(start.seed, settings),
+            controller: AdmissionController::new(params.seed, settings),
             watch: Watch::new(0, ENTRY_MEMORY_LIMIT),
             is_watching: false,
             wishes: Wishes::default(),
@@ -158,11 +158,11 @@
             connections: Default::default(),
             servers: Servers::default(),
             emulated_servers: BTreeMap::new(),
-            name_ids: NameIds::new(start.zones.to_vec(), Vec::new()),
+            name_ids: NameIds::new(params.zones.to_vec(), Vec::new()),
             emulated_servers_by_key: BTreeMap::new(),
-            service_count: start.services,
+            service_count: params.services,
             input: Vec::new(),
-            rng: fastrand::Rng::with_seed(start.seed.rotate_left(32)),
+            rng: fastrand::Rng::with_seed(params.seed.rotate_left(32)),
             lists_are_pushed,
             gateway_count,
             stop_sending_within,
