--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -104,13 +104,14 @@
 
     /// Draws the time until the next arrival of a Poisson process.
     fn next_interarrival(&mut self) -> Nanos {
-        let mean_intervals: f64 = Exp1.sample(&mut self.rng);
-        (mean_intervals / self.rate * SEC as f64).max(1.0) as Nanos
+        let exponential: f64 = Exp1.sample(&mut self.rng);
+        (exponential / self.rate * SEC as f64).max(1.0) as Nanos
     }
 }
 
 impl Fleet<'_> {
-    /// Schedules the next arrival and sends this RPC to a gateway that is up; counts it as cut if there is none.
+    /// Schedules the next arrival and sends this RPC to one of its tenant's gateways that is up. If none is, the
+    /// RPC is counted as cut.
     pub(super) fn on_rpc_arrival(&mut self, now: Nanos) {
         if self.scenario.rate <= 0.0 {
             return;
@@ -191,16 +192,14 @@
                 let ended = hollow.rpcs.remove(&rpc);
                 self.count_rpc_end(ended, |counts| &mut counts.aborted);
             }
-            Wish::CallOut { rpc, server, limit } => {
-                self.start_attempt(now, gateway, work, rpc, server, limit)
-            }
+            Wish::CallOut { rpc, server, limit } => self.send_attempt(now, gateway, work, rpc, server, limit),
             Wish::Count { name, add, forget } => self.call_counter(now, gateway, name, add, forget),
         }
     }
 
     // ---- Attempts
 
-    fn start_attempt(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
+    fn send_attempt(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let Some(open_rpc) = hollow.rpcs.get_mut(&rpc) else { return };
@@ -209,23 +208,24 @@
         open_rpc.attempts += 1;
         hollow.attempts.insert((rpc, nth), OpenAttempt { server, sent: now });
         let attempt = AttemptRef { gateway: gateway as u32, incarnation, rpc, nth };
-        let Some(to) = hollow.emulated_server(server).filter(|_| ends_at > now) else {
+        let Some(emulated_server) = hollow.emulated_server(server).filter(|_| ends_at > now) else {
             self.run_gateway(now, gateway, incarnation, work, |hollow| {
                 hollow.on_attempt_end(now, rpc, nth, CallOutcome::NotSent)
             });
             return;
         };
         self.count(now, |counts| counts.call_outs += 1);
-        let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(to));
+        let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(emulated_server));
         if self.is_partitioned(region, server_region) {
             return self.queue.after(
                 self.load.connect_timeout,
                 Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
             );
         }
-        let server_incarnation = self.servers.all[to as usize].incarnation;
+        let server_incarnation = self.servers.all[emulated_server as usize].incarnation;
         let after = self.network_delay(region, server_region);
-        self.queue.after(after, Event::AttemptAtServer { attempt, server: to, server_incarnation });
+        self.queue
+            .after(after, Event::AttemptAtServer { attempt, server: emulated_server, server_incarnation });
         self.queue.at(ends_at, Event::AttemptEnd { attempt, outcome: CallOutcome::TimedOut });
     }
 
@@ -270,7 +270,7 @@
                 && hollow.attempts.contains_key(&(attempt.rpc, attempt.nth))
         });
         if !is_open {
-            return; // it has timed out, or this is its time limit and it ended before
+            return; // it timed out before, or had already ended when its time limit passed
         }
         let ended = self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| {
             hollow.on_attempt_end(now, attempt.rpc, attempt.nth, outcome)
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -89,8 +89,8 @@
 #[test]
 fn list_changes_reach_exactly_the_gateways_that_use_the_service() {
     let tables = tables(&event("kind = 'replace'\nat = 1.0\nshare = 0.5\nseconds = 10.0\ndrain = 1.0"));
-    // Each of 30 replacements is 3 changes: the old server drains, the new one is ready, the old one is gone. 12
-    // gateways use 2 of 6 services each, so 4 gateways use each service.
+    // Each of the 30 replacements is 3 changes: the old server drains, the new one is ready, the old one is
+    // gone. 12 gateways use 2 of 6 services each, so 4 gateways use each service.
     assert_eq!(tables.run.list_changes, 90);
     let lists = &tables.in_force[0];
     assert_eq!((lists.what, lists.reached, lists.missing), ("list", 90 * 4, 0));
