--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -1,6 +1,6 @@
 //! The calls that fail. Each has the name and form of the C library's, and goes on to that one unless it is drawn to fail.
 
-use crate::chance::{draw, draw_wake, one_of};
+use crate::random::{draw, draw_wake, one_of};
 use crate::report::count;
 use libc::{c_char, c_int, c_void, epoll_event, mode_t, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -11,6 +11,6 @@
 #![deny(missing_docs)]
 
 mod calls;
-mod chance;
+mod random;
 mod report;
-mod wall;
+mod wall_clock;
