--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -1,38 +1,40 @@
-//! The calls that fail. Each has the name and form of the C library's, and goes on to that one unless it is drawn to fail.
+//! Wrappers around C library calls that inject faults. Each exports the name and signature of the original and forwards to
+//! it, unless this call is drawn to fail.
 
-use crate::random::{draw, draw_wake, one_of};
+use crate::random::{choose, draw, draw_wakeup};
 use crate::report::count;
 use libc::{c_char, c_int, c_void, epoll_event, mode_t, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Descriptors up to this are remembered as connections that the process made itself.
-const DESCRIPTORS: usize = 65_536;
-static CONNECTED: [AtomicU64; DESCRIPTORS / 64] = [const { AtomicU64::new(0) }; DESCRIPTORS / 64];
-/// Of a hundred faults on a connection that the process made, so many break it.
-const BREAKS: u64 = 20;
+/// Descriptors below this limit are tracked: whether each is a connection that the process opened itself, by `connect`.
+const TRACKED_DESCRIPTORS: usize = 65_536;
+static OUTGOING: [AtomicU64; TRACKED_DESCRIPTORS / 64] =
+    [const { AtomicU64::new(0) }; TRACKED_DESCRIPTORS / 64];
+/// The share of faults on an outgoing connection that break it for good, in percent.
+const BREAK_PERCENT: u64 = 20;
 
-fn set_connected(fd: c_int, connected: bool) {
-    let Some(word) = CONNECTED.get(fd as usize / 64) else { return };
+fn set_outgoing(fd: c_int, outgoing: bool) {
+    let Some(word) = OUTGOING.get(fd as usize / 64) else { return };
     let bit = 1 << (fd as usize % 64);
-    if connected {
+    if outgoing {
         word.fetch_or(bit, Ordering::Relaxed);
     } else {
         word.fetch_and(!bit, Ordering::Relaxed);
     }
 }
 
-fn is_connected(fd: c_int) -> bool {
-    let word = CONNECTED.get(fd as usize / 64);
+fn is_outgoing(fd: c_int) -> bool {
+    let word = OUTGOING.get(fd as usize / 64);
     word.is_some_and(|word| word.load(Ordering::Relaxed) & (1 << (fd as usize % 64)) != 0)
 }
 
 fn fail(call: &str, error: c_int) {
-    count(call, name(error));
-    // SAFETY: `errno` is the calling thread's own.
+    count(call, errno_name(error));
+    // SAFETY: `errno` is thread-local, and its address is valid for as long as the thread runs.
     unsafe { *libc::__errno_location() = error };
 }
 
-fn name(error: c_int) -> &'static str {
+fn errno_name(error: c_int) -> &'static str {
     match error {
         libc::EINTR => "EINTR",
         libc::EAGAIN => "EAGAIN",
@@ -56,38 +58,40 @@
     }
 }
 
-/// The C library's own function of this name.
+/// Looks up the C library's own function of this name, once for each place of use.
 macro_rules! real {
-    ($name:literal as $form:ty) => {{
+    ($name:literal as $signature:ty) => {{
         static FOUND: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
         let found = *FOUND.get_or_init(|| {
-            // SAFETY: the name is a C string; the C library, loaded after this one, has the function.
+            // SAFETY: the name is NUL-terminated, and the C library, loaded after this one, defines the function.
             unsafe {
                 libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast::<libc::c_char>()) as usize
             }
         });
-        // SAFETY: the C library's function has this form.
-        unsafe { std::mem::transmute::<usize, $form>(found) }
+        // SAFETY: the C library's function has this signature, and `found` is its address.
+        unsafe { std::mem::transmute::<usize, $signature>(found) }
     }};
 }
 
 pub(crate) use real;
 
-/// What becomes of a transfer that is drawn to fail: an error, or so many bytes at most.
+/// The fault injected into a `recv` or `send`: an error, or a length to cut the transfer to.
 enum Transfer {
-    Fails(c_int),
+    Fail(c_int),
     Short(size_t),
 }
 
-fn transfer(call: &str, fd: c_int, length: size_t, breaks: &[c_int]) -> Option<Transfer> {
+/// Draws the fault of one `recv` or `send`, or none. An outgoing connection may be broken with one of `break_errors`; any
+/// other call is interrupted or shortened.
+fn transfer(call: &str, fd: c_int, length: size_t, break_errors: &[c_int]) -> Option<Transfer> {
     let draw = draw()?;
-    if is_connected(fd) && draw % 100 < BREAKS {
-        // SAFETY: shutting down a descriptor touches no memory; the other side sees the connection end.
+    if is_outgoing(fd) && draw % 100 < BREAK_PERCENT {
+        // SAFETY: shutting down a descriptor touches no memory. The peer sees the connection end.
         unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
-        return Some(Transfer::Fails(one_of(draw / 100, breaks)));
+        return Some(Transfer::Fail(choose(draw / 100, break_errors)));
     }
     if draw % 2 == 0 || length < 2 {
-        return Some(Transfer::Fails(libc::EINTR));
+        return Some(Transfer::Fail(libc::EINTR));
     }
     count(call, "short");
     Some(Transfer::Short(1 + (draw / 100) as usize % (length - 1)))
@@ -100,7 +104,7 @@
     let real = real!("recv" as unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
     let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
     let length = match transfer("recv", fd, length, &errors) {
-        Some(Transfer::Fails(error)) => {
+        Some(Transfer::Fail(error)) => {
             fail("recv", error);
             return -1;
         }
@@ -116,18 +120,18 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     let real = real!("send" as unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    // A signal handler wakes its process by one byte that is not waited for.
+    // A signal handler wakes the event loop by a non-blocking send of one byte.
     if length == 1 && flags & libc::MSG_DONTWAIT != 0 {
-        if draw_wake().is_some() {
+        if draw_wakeup().is_some() {
             fail("send", libc::ENOBUFS);
             return -1;
         }
-        // SAFETY: the caller's buffer holds a byte.
+        // SAFETY: the caller's buffer holds one byte.
         return unsafe { real(fd, from, length, flags) };
     }
     let errors = [libc::EPIPE, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
     let length = match transfer("send", fd, length, &errors) {
-        Some(Transfer::Fails(error)) => {
+        Some(Transfer::Fail(error)) => {
             fail("send", error);
             return -1;
         }
@@ -147,8 +151,8 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    type Form = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
-    let real = real!("accept4" as Form);
+    type Signature = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
+    let real = real!("accept4" as Signature);
     let errors = [
         libc::ECONNABORTED,
         libc::ENFILE,
@@ -161,13 +165,13 @@
         libc::EINTR,
     ];
     if let Some(draw) = draw() {
-        fail("accept4", one_of(draw, &errors));
+        fail("accept4", choose(draw, &errors));
         return -1;
     }
     // SAFETY: the caller's arguments are passed on.
     let accepted = unsafe { real(fd, address, length, flags) };
     if accepted >= 0 {
-        set_connected(accepted, false);
+        set_outgoing(accepted, false);
     }
     accepted
 }
@@ -177,11 +181,11 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let real = real!("socket" as unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
-    // The first one is the listener: without it the process rightly ends.
-    static LATER: AtomicBool = AtomicBool::new(false);
-    let is_later = LATER.swap(true, Ordering::Relaxed);
-    if let Some(draw) = draw().filter(|_| is_later) {
-        fail("socket", one_of(draw, &[libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]));
+    // The first socket is the listener, without which the process is right to exit.
+    static CALLED_BEFORE: AtomicBool = AtomicBool::new(false);
+    let is_later_call = CALLED_BEFORE.swap(true, Ordering::Relaxed);
+    if let Some(draw) = draw().filter(|_| is_later_call) {
+        fail("socket", choose(draw, &[libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]));
         return -1;
     }
     // SAFETY: no memory is involved.
@@ -193,7 +197,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     let real = real!("connect" as unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    set_connected(fd, true);
+    set_outgoing(fd, true);
     let errors = [
         libc::EADDRNOTAVAIL,
         libc::ENETUNREACH,
@@ -203,7 +207,7 @@
         libc::EINTR,
     ];
     if let Some(draw) = draw() {
-        fail("connect", one_of(draw, &errors));
+        fail("connect", choose(draw, &errors));
         return -1;
     }
     // SAFETY: the caller's arguments are passed on.
@@ -213,14 +217,19 @@
 /// # Safety
 /// As for the C library's `epoll_wait`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(fd: c_int, events: *mut epoll_event, most: c_int, wait: c_int) -> c_int {
+pub unsafe extern "C" fn epoll_wait(
+    fd: c_int,
+    events: *mut epoll_event,
+    max_events: c_int,
+    timeout_ms: c_int,
+) -> c_int {
     let real = real!("epoll_wait" as unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
     if draw().is_some() {
         fail("epoll_wait", libc::EINTR);
         return -1;
     }
     // SAFETY: the caller's arguments are passed on.
-    unsafe { real(fd, events, most, wait) }
+    unsafe { real(fd, events, max_events, timeout_ms) }
 }
 
 /// # Safety
@@ -233,11 +242,11 @@
     value: *const c_void,
     length: socklen_t,
 ) -> c_int {
-    type Form = unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int;
-    let real = real!("setsockopt" as Form);
-    // What is set before the process listens is the listener's.
+    type Signature = unsafe extern "C" fn(c_int, c_int, c_int, *const c_void, socklen_t) -> c_int;
+    let real = real!("setsockopt" as Signature);
+    // Only `TCP_NODELAY` fails: the options set before the process listens belong to the listener.
     if let Some(draw) = draw().filter(|_| option == libc::TCP_NODELAY && level == libc::IPPROTO_TCP) {
-        fail("setsockopt", one_of(draw, &[libc::ENOBUFS, libc::ENOMEM]));
+        fail("setsockopt", choose(draw, &[libc::ENOBUFS, libc::ENOMEM]));
         return -1;
     }
     // SAFETY: the caller's arguments are passed on.
@@ -245,11 +254,11 @@
 }
 
 /// # Safety
-/// As for the C library's `open64`; the mode is passed on whether or not it is looked at.
+/// As for the C library's `open64`. The mode is always passed on; the C library reads it only if `flags` asks for it.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let real = real!("open64" as unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int);
-    // The first time it is read the configuration has to be there: without it the process rightly ends.
+    // The first read of the configuration never fails: without it the process is right to exit.
     static READ: AtomicBool = AtomicBool::new(false);
     // SAFETY: the caller's path is a C string.
     let is_configuration = unsafe { std::ffi::CStr::from_ptr(path) }.to_bytes().ends_with(b".json");
@@ -257,7 +266,7 @@
         && READ.swap(true, Ordering::Relaxed)
         && let Some(draw) = draw()
     {
-        fail("open", one_of(draw, &[libc::EMFILE, libc::ENFILE, libc::EIO, libc::ENOMEM]));
+        fail("open", choose(draw, &[libc::EMFILE, libc::ENFILE, libc::EIO, libc::ENOMEM]));
         return -1;
     }
     // SAFETY: the caller's arguments are passed on.
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -1,53 +1,54 @@
-//! Which call fails, and how: drawn from the seed and the number of the call.
+//! Decides which call fails and how, as a function of the seed and the number of the call.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The variable that holds the seed and the rate.
-const VARIABLE: &str = "MARTENRAMP_FAULTS";
+/// The environment variable that holds the seed and the rate of faults.
+const FAULTS_VARIABLE: &str = "MARTENRAMP_FAULTS";
 
 struct Settings {
     seed: u64,
     rate: f64,
-    /// Only bytes that wake the process of a signal are lost.
-    only_wakes: bool,
+    /// Inject faults only into the byte by which a signal handler wakes the event loop.
+    only_wakeups: bool,
 }
 
 static SETTINGS: OnceLock<Option<Settings>> = OnceLock::new();
-static CALLS: AtomicU64 = AtomicU64::new(0);
+static CALL_COUNT: AtomicU64 = AtomicU64::new(0);
 
 fn settings() -> Option<&'static Settings> {
-    SETTINGS.get_or_init(|| read(&std::env::var(VARIABLE).ok()?)).as_ref()
+    SETTINGS.get_or_init(|| read(&std::env::var(FAULTS_VARIABLE).ok()?)).as_ref()
 }
 
 fn read(text: &str) -> Option<Settings> {
-    let field = |name: &str| text.split(',').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    let field =
+        |name: &str| text.split(',').find_map(|setting| setting.strip_prefix(name)?.strip_prefix('='));
     Some(Settings {
         seed: field("seed")?.parse().ok()?,
         rate: field("rate")?.parse().ok()?,
-        only_wakes: field("only") == Some("wakes"),
+        only_wakeups: field("only") == Some("wakes"),
     })
 }
 
-/// The same for a byte that wakes the process of a signal.
-pub fn draw_wake() -> Option<u64> {
-    settings().and_then(drawn)
+/// Like [`draw`], for the byte by which a signal handler wakes the event loop.
+pub fn draw_wakeup() -> Option<u64> {
+    settings().and_then(draw_call)
 }
 
-/// The draw of one call: a number from which the fault is chosen, if the call is to fail.
+/// Draws whether a call fails. If so, returns the random number from which its fault is chosen.
 pub fn draw() -> Option<u64> {
-    settings().filter(|settings| !settings.only_wakes).and_then(drawn)
+    settings().filter(|settings| !settings.only_wakeups).and_then(draw_call)
 }
 
-fn drawn(settings: &Settings) -> Option<u64> {
-    let number = CALLS.fetch_add(1, Ordering::Relaxed);
+fn draw_call(settings: &Settings) -> Option<u64> {
+    let number = CALL_COUNT.fetch_add(1, Ordering::Relaxed);
     let mixed = mix(settings.seed ^ mix(number));
-    let share = (mixed >> 11) as f64 / (1_u64 << 53) as f64;
-    (share < settings.rate).then(|| mix(mixed))
+    let uniform = (mixed >> 11) as f64 / (1_u64 << 53) as f64;
+    (uniform < settings.rate).then(|| mix(mixed))
 }
 
-/// One of these, by a draw.
-pub fn one_of<T: Copy>(draw: u64, choices: &[T]) -> T {
+/// Picks one of the choices by a drawn number.
+pub fn choose<T: Copy>(draw: u64, choices: &[T]) -> T {
     choices[(draw % choices.len() as u64) as usize]
 }
 
--- a/crates/faults/src/report.rs
+++ b/crates/faults/src/report.rs
@@ -1,30 +1,30 @@
-//! Counts of the faults that really happened, written as the process exits.
+//! Counts the injected faults and writes the counts to a file when the process exits.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, Once};
 
-/// The variable that names the file.
-const VARIABLE: &str = "MARTENRAMP_FAULTS_REPORT";
+/// The environment variable that names the report file.
+const REPORT_VARIABLE: &str = "MARTENRAMP_FAULTS_REPORT";
 
 static COUNTS: Mutex<BTreeMap<String, u64>> = Mutex::new(BTreeMap::new());
-static AT_EXIT: Once = Once::new();
+static REGISTER_EXIT_HANDLER: Once = Once::new();
 
-/// Notes one fault of a call.
+/// Counts one injected fault of a call.
 pub fn count(call: &str, fault: &str) {
-    AT_EXIT.call_once(|| {
-        // SAFETY: `write` takes no arguments, unwinds nowhere, and stays loaded until the process ends.
-        unsafe { libc::atexit(write) };
+    REGISTER_EXIT_HANDLER.call_once(|| {
+        // SAFETY: `write_report` takes no arguments, never unwinds, and stays loaded until the process ends.
+        unsafe { libc::atexit(write_report) };
     });
     if let Ok(mut counts) = COUNTS.lock() {
         *counts.entry(format!("{call} {fault}")).or_default() += 1;
     }
 }
 
-extern "C" fn write() {
-    let Ok(path) = std::env::var(VARIABLE) else { return };
+extern "C" fn write_report() {
+    let Ok(path) = std::env::var(REPORT_VARIABLE) else { return };
     let Ok(counts) = COUNTS.lock() else { return };
     let lines: Vec<String> = counts.iter().map(|(fault, count)| format!("{fault}: {count}\n")).collect();
     drop(counts);
-    // A report that can't be written is missed by the test that reads it.
+    // If the report can't be written, the test that reads it fails.
     let _ = std::fs::write(path, lines.concat());
 }
