--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts of settings with versions over many real processes, with faults between them, and from the gateways' own
-//! records the time during which any two of them acted on settings that contradict each other.
+//! Rolls out versioned settings over many real processes under faults, and measures from the gateways' own records for how
+//! long any two of them acted on contradicting settings.
 
 mod contradictions;
 mod fleet;
@@ -10,271 +10,287 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
-use standins::relay::Path as Way;
+use standins::relay::Path as NetworkPath;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What is told to the whole fleet.
+/// Configuration of the whole fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// How many processes.
+    /// The number of gateway processes.
     pub gateways: usize,
-    /// Seconds.
+    /// The lease of the agreement, seconds.
     pub lease: f64,
-    /// The bound that the gateways are told for their clocks, seconds.
+    /// The configured bound on how far any gateway's clock is off, seconds.
     pub clock: f64,
-    /// The seed of all chance.
+    /// The seed of all randomness.
     pub seed: u64,
-    /// Each gateway's clock is off by up to so much, drawn by the seed.
+    /// Each gateway's clock is off by an amount drawn from `-skew_ms..=skew_ms`.
     pub skew_ms: u64,
 }
 
-/// What a gateway said that it acts on, from a time on.
+/// A gateway's log record of a change of the settings that it acts on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// From then on, Unix time.
+    /// When the change took effect, Unix time.
     pub at: Nanos,
-    /// The version's number.
+    /// The number of the version.
     pub version: u64,
-    /// Its digest.
+    /// The digest of the version.
     pub digest: String,
-    /// The version itself, or only its ground.
+    /// Whether the gateway acts on the version itself; otherwise it acts on the version's fallback.
     pub acts_on_version: bool,
-    /// Why that changed.
+    /// The reason code of the change.
     pub why: String,
 }
 
-/// Unix time, as the gateways' records have it.
+/// The current Unix time in nanoseconds, as in the gateways' records.
 pub fn unix_now() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as Nanos)
 }
 
-/// A fault that a rollout is played under.
+/// The fault injected during a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum RolloutFault {
     /// No fault.
     None,
-    /// A third of the gateways does not get the file until all is over.
-    ThirdNeverTold,
-    /// Two halves of the fleet don't hear each other.
-    HalvesCut,
-    /// A half of the fleet is not heard by the other.
-    OneWay,
-    /// A third of the gateways stands still over the version's start.
+    /// A third of the gateways gets the new file only once the rollout is over.
+    ThirdWithoutFile,
+    /// The network is partitioned into two halves.
+    Partitioned,
+    /// Datagrams from one half of the fleet to the other are lost; the opposite direction works.
+    CutOneWay,
+    /// A third of the gateways is stopped (SIGSTOP) while the version starts.
     Paused,
-    /// A third of the gateways is killed and comes back with the older file.
-    KilledOlder,
-    /// Datagrams are lost, doubled, reordered and spoilt.
+    /// A third of the gateways is killed and restarted with the older file.
+    KilledWithOlderFile,
+    /// Datagrams are lost, duplicated, reordered and corrupted.
     Noise,
-    /// Four of the voters are killed and come back with the older file.
+    /// Four of the voters are killed and restarted with the older file.
     VotersKilled,
 }
 
-/// So many voters are killed by [`Trouble::VotersKilled`].
-const KILLED_VOTERS: usize = 4;
-/// A file comes to the gateways in so many groups, one after the other.
-const GROUPS: usize = 3;
+/// The number of voters killed by [`RolloutFault::VotersKilled`].
+const KILLED_VOTER_COUNT: usize = 4;
+/// A new file reaches the gateways in this number of groups, one after the other.
+const GROUP_COUNT: usize = 3;
 
-impl Trouble {
-    /// All of them, in the order in which rollouts are played under them by turns.
-    pub const ALL: [Trouble; 8] = [
-        Trouble::None,
-        Trouble::ThirdNeverTold,
-        Trouble::HalvesCut,
-        Trouble::OneWay,
-        Trouble::Paused,
-        Trouble::KilledOlder,
-        Trouble::Noise,
-        Trouble::VotersKilled,
+impl RolloutFault {
+    /// All faults, in the order in which successive rollouts use them.
+    pub const ALL: [RolloutFault; 8] = [
+        RolloutFault::None,
+        RolloutFault::ThirdWithoutFile,
+        RolloutFault::Partitioned,
+        RolloutFault::CutOneWay,
+        RolloutFault::Paused,
+        RolloutFault::KilledWithOlderFile,
+        RolloutFault::Noise,
+        RolloutFault::VotersKilled,
     ];
 
-    /// Its name in the figures shown.
+    /// The name in the printed figures.
     pub fn name(self) -> &'static str {
         match self {
-            Trouble::None => "none",
-            Trouble::ThirdNeverTold => "third-never",
-            Trouble::HalvesCut => "halves-cut",
-            Trouble::OneWay => "one-way",
-            Trouble::Paused => "paused",
-            Trouble::KilledOlder => "killed-older",
-            Trouble::Noise => "noise",
-            Trouble::VotersKilled => "voters-killed",
+            RolloutFault::None => "none",
+            RolloutFault::ThirdWithoutFile => "third-never",
+            RolloutFault::Partitioned => "halves-cut",
+            RolloutFault::CutOneWay => "one-way",
+            RolloutFault::Paused => "paused",
+            RolloutFault::KilledWithOlderFile => "killed-older",
+            RolloutFault::Noise => "noise",
+            RolloutFault::VotersKilled => "voters-killed",
         }
     }
 }
 
-/// Plays rollouts and shows what came of them, by the fault they were played under.
-pub fn run(plan: &FleetConfig, count: usize, program: &Path) -> Result<String, String> {
-    let mut fleet = Fleet::start(plan.clone(), program)?;
-    let played = play(&mut fleet, count)?;
-    let mut shown = format!(
+/// Runs `count` rollouts and returns a table of the results, a row for each fault.
+pub fn run(config: &FleetConfig, count: usize, program: &Path) -> Result<String, String> {
+    let mut fleet = Fleet::start(config.clone(), program)?;
+    let results = run_rollouts(&mut fleet, count)?;
+    let mut table = format!(
         "{} gateways, {count} rollouts, lease {} s, bound {} ms, clocks off by up to {} ms\n{:14} rollouts | contradicted ms p50, p99, max | gateway-seconds on ground, mean | settled ms p50, max\n",
-        plan.gateways,
-        plan.lease,
-        2000.0 * plan.clock,
-        plan.skew_ms,
+        config.gateways,
+        config.lease,
+        2000.0 * config.clock,
+        config.skew_ms,
         "fault"
     );
-    for trouble in Trouble::ALL {
-        let under: Vec<&Played> = played.iter().filter(|one| one.trouble == trouble).collect();
-        shown += &figures(trouble.name(), &under);
+    for fault in RolloutFault::ALL {
+        let of_fault: Vec<&RolloutResult> = results.iter().filter(|result| result.fault == fault).collect();
+        table += &table_row(fault.name(), &of_fault);
     }
-    shown += &figures("all", &played.iter().collect::<Vec<_>>());
+    table += &table_row("all", &results.iter().collect::<Vec<_>>());
     let seconds = fleet.age() as f64 / SEC as f64;
-    shown += &format!(
+    table += &format!(
         "{:.1} datagrams a second in all, over {seconds:.0} s\n",
         fleet.datagram_count() as f64 / seconds
     );
-    Ok(shown)
+    Ok(table)
 }
 
-/// A line of figures over some rollouts.
-fn figures(name: &str, played: &[&Played]) -> String {
-    let sorted_ms = |value: fn(&Played) -> Nanos| {
-        let mut values: Vec<f64> = played.iter().map(|one| value(one) as f64 / MS as f64).collect();
+/// One row of the table: the figures over a set of rollouts.
+fn table_row(name: &str, results: &[&RolloutResult]) -> String {
+    let sorted_ms = |value: fn(&RolloutResult) -> Nanos| {
+        let mut values: Vec<f64> = results.iter().map(|result| value(result) as f64 / MS as f64).collect();
         values.sort_by(f64::total_cmp);
         values
     };
-    let (contradicted, settled) = (sorted_ms(|one| one.contradicted), sorted_ms(|one| one.settled));
-    let fallback = played.iter().map(|one| one.fallback_seconds).sum::<f64>() / played.len().max(1) as f64;
+    let (contradictions, settling_times) =
+        (sorted_ms(|result| result.longest_contradiction), sorted_ms(|result| result.settling_time));
+    let mean_fallback =
+        results.iter().map(|result| result.fallback_seconds).sum::<f64>() / results.len().max(1) as f64;
     format!(
-        "{name:14} {:8} | {:.1}, {:.1}, {:.1} | {fallback:.2} | {:.0}, {:.0}\n",
-        played.len(),
-        quantile(&contradicted, 0.5),
-        quantile(&contradicted, 0.99),
-        quantile(&contradicted, 1.0),
-        quantile(&settled, 0.5),
-        quantile(&settled, 1.0)
+        "{name:14} {:8} | {:.1}, {:.1}, {:.1} | {mean_fallback:.2} | {:.0}, {:.0}\n",
+        results.len(),
+        quantile(&contradictions, 0.5),
+        quantile(&contradictions, 0.99),
+        quantile(&contradictions, 1.0),
+        quantile(&settling_times, 0.5),
+        quantile(&settling_times, 1.0)
     )
 }
 
-/// The quantile of sorted values by nearest rank; 0 of none.
+/// The quantile of sorted values by nearest rank; 0 for an empty slice.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1));
     sorted.get(rank - 1).copied().unwrap_or(0.0)
 }
 
-/// A rollout and what it did.
+/// The result of one rollout.
 #[derive(Clone, Debug)]
-pub struct Played {
-    /// The fault that it was played under.
-    pub trouble: Trouble,
-    /// The longest that two gateways contradicted each other.
-    pub contradicted: Nanos,
-    /// How long gateways were on a fallback, summed.
+pub struct RolloutResult {
+    /// The injected fault.
+    pub fault: RolloutFault,
+    /// The longest time for which any two gateways acted on contradicting settings.
+    pub longest_contradiction: Nanos,
+    /// The time for which gateways acted on a fallback, seconds summed over all gateways.
     pub fallback_seconds: f64,
-    /// From the end of the faults until every gateway acted on the new version.
-    pub settled: Nanos,
+    /// The time from the end of the fault until every gateway acted on the new version.
+    pub settling_time: Nanos,
 }
 
-/// Plays so many rollouts one after another, each under a fault drawn by turns; every fault is over before the next.
-pub fn play(fleet: &mut Fleet, count: usize) -> Result<Vec<Played>, String> {
-    let mut draws = chance(fleet.plan.seed, Stream::Script);
-    let (mut played, mut last_start) = (Vec::new(), 0);
-    for at in 0..count {
-        let rollout = Rollout::draw(fleet, at, last_start, &mut draws);
+/// Runs `count` rollouts in sequence, with the faults in rotation. Each fault ends before the next rollout begins.
+pub fn run_rollouts(fleet: &mut Fleet, count: usize) -> Result<Vec<RolloutResult>, String> {
+    let mut rng = chance(fleet.config.seed, Stream::Script);
+    let (mut results, mut last_start) = (Vec::new(), 0);
+    for index in 0..count {
+        let rollout = Rollout::draw(fleet, index, last_start, &mut rng);
         last_start = rollout.start;
-        played.push(rollout.play(fleet, &mut draws)?);
+        results.push(rollout.run(fleet, &mut rng)?);
     }
-    Ok(played)
+    Ok(results)
 }
 
-/// One rollout as it is planned.
+/// The parameters of one rollout.
 struct Rollout {
-    trouble: Trouble,
+    fault: RolloutFault,
     version: u64,
+    /// When the rollout began, Unix time.
     began: Nanos,
+    /// When the version starts, Unix time.
     start: Nanos,
-    /// When the version before it started.
+    /// When the previous version started, Unix time.
     last_start: Nanos,
     lease: Nanos,
-    /// All gateways, in a drawn order.
+    /// All gateways, in random order.
     order: Vec<usize>,
 }
 
 impl Rollout {
-    fn draw(fleet: &Fleet, at: usize, last_start: Nanos, draws: &mut ChaCha8Rng) -> Rollout {
-        let lease = (fleet.plan.lease * SEC as f64) as Nanos;
+    /// Draws the parameters of the rollout with this index. Version numbers begin at 2, since the fleet starts on version 1.
+    fn draw(fleet: &Fleet, index: usize, last_start: Nanos, rng: &mut ChaCha8Rng) -> Rollout {
+        let lease = (fleet.config.lease * SEC as f64) as Nanos;
         let began = unix_now();
-        let start = began + 2 * lease + draws.random_range(0..lease);
+        let start = began + 2 * lease + rng.random_range(0..lease);
         let mut order: Vec<usize> = (0..fleet.count()).collect();
-        order.shuffle(draws);
-        let (trouble, version) = (Trouble::ALL[at % Trouble::ALL.len()], at as u64 + 2);
-        Rollout { trouble, version, began, start, last_start, lease, order }
+        order.shuffle(rng);
+        let (fault, version) = (RolloutFault::ALL[index % RolloutFault::ALL.len()], index as u64 + 2);
+        Rollout { fault, version, began, start, last_start, lease, order }
     }
 
+    /// The third of the gateways that a fault affects.
     fn third(&self) -> &[usize] {
         &self.order[..self.order.len() / 3]
     }
 
+    /// The two halves of a partition.
     fn halves(&self) -> (&[usize], &[usize]) {
         self.order.split_at(self.order.len() / 2)
     }
 
-    fn play(&self, fleet: &mut Fleet, draws: &mut ChaCha8Rng) -> Result<Played, String> {
-        self.disturb_links(fleet);
-        self.hand_out(fleet, draws);
-        let killed = self.disturb_processes(fleet, draws)?;
+    /// Runs the rollout and waits until every gateway acts on its version.
+    fn run(&self, fleet: &mut Fleet, rng: &mut ChaCha8Rng) -> Result<RolloutResult, String> {
+        self.inject_network_fault(fleet);
+        self.deliver_files(fleet, rng);
+        let killed = self.inject_process_fault(fleet, rng)?;
         fleet.sleep_until(self.start + 2 * self.lease);
-        // All is well again, and who did not get the file gets it now.
+        // The fault ends. Gateways that lack the new file get it now.
         fleet.clear_path_faults();
-        let late: &[usize] = if self.trouble == Trouble::ThirdNeverTold { self.third() } else { &killed };
-        fleet.roll_out(late, self.version, self.version, self.start);
-        let healed = unix_now();
+        let without_file: &[usize] =
+            if self.fault == RolloutFault::ThirdWithoutFile { self.third() } else { &killed };
+        fleet.roll_out(without_file, self.version, self.version, self.start);
+        let fault_ended = unix_now();
         let all: Vec<usize> = (0..fleet.count()).collect();
         fleet.wait_for_records(&all, |record| record.version == self.version && record.acts_on_version)?;
-        let (contradicted, who) = fleet.longest_contradiction(self.began);
-        if contradicted > 0 {
-            let (name, version) = (self.trouble.name(), self.version);
-            println!("{name}, version {version}: {:.1} ms, {who}", contradicted as f64 / MS as f64);
+        let (longest_contradiction, pair) = fleet.longest_contradiction(self.began);
+        if longest_contradiction > 0 {
+            let (name, version) = (self.fault.name(), self.version);
+            println!("{name}, version {version}: {:.1} ms, {pair}", longest_contradiction as f64 / MS as f64);
         }
         let fallback_seconds = fleet.fallback_seconds(self.began);
-        let settled = unix_now() - healed;
-        Ok(Played { trouble: self.trouble, contradicted, fallback_seconds, settled })
+        let settling_time = unix_now() - fault_ended;
+        Ok(RolloutResult { fault: self.fault, longest_contradiction, fallback_seconds, settling_time })
     }
 
-    fn disturb_links(&self, fleet: &mut Fleet) {
+    /// Sets the network faults of this rollout.
+    fn inject_network_fault(&self, fleet: &mut Fleet) {
         let (half, rest) = self.halves();
-        let cut = Way { cut: true, ..Way::default() };
-        match self.trouble {
-            Trouble::HalvesCut => {
+        let cut = NetworkPath { cut: true, ..NetworkPath::default() };
+        match self.fault {
+            RolloutFault::Partitioned => {
                 fleet.set_paths(half, rest, cut);
                 fleet.set_paths(rest, half, cut);
             }
-            Trouble::OneWay => fleet.set_paths(half, rest, cut),
-            Trouble::Noise => {
-                let noise = Way { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.1, ..Way::default() };
+            RolloutFault::CutOneWay => fleet.set_paths(half, rest, cut),
+            RolloutFault::Noise => {
+                let noise = NetworkPath {
+                    lose: 0.3,
+                    double: 0.3,
+                    reorder: 0.3,
+                    spoil: 0.1,
+                    ..NetworkPath::default()
+                };
                 fleet.set_paths(&self.order, &self.order, noise);
             }
             _ => {}
         }
     }
 
-    /// Files come to the gateways over a while, not at once.
-    fn hand_out(&self, fleet: &mut Fleet, draws: &mut ChaCha8Rng) {
-        let skipped = if self.trouble == Trouble::ThirdNeverTold { self.third().len() } else { 0 };
-        let told = &self.order[skipped..];
-        for group in told.chunks(told.len().div_ceil(GROUPS).max(1)) {
+    /// Delivers the new file to the gateways in groups, with random delays in between.
+    fn deliver_files(&self, fleet: &mut Fleet, rng: &mut ChaCha8Rng) {
+        let skipped = if self.fault == RolloutFault::ThirdWithoutFile { self.third().len() } else { 0 };
+        let recipients = &self.order[skipped..];
+        for group in recipients.chunks(recipients.len().div_ceil(GROUP_COUNT).max(1)) {
             fleet.roll_out(group, self.version, self.version, self.start);
-            fleet.sleep(draws.random_range(0..self.lease / 4));
+            fleet.sleep(rng.random_range(0..self.lease / 4));
         }
     }
 
-    /// Pauses or kills gateways round the version's start; brings back those that were killed.
-    fn disturb_processes(&self, fleet: &mut Fleet, draws: &mut ChaCha8Rng) -> Result<Vec<usize>, String> {
-        let killed = match self.trouble {
-            Trouble::Paused => {
+    /// Pauses or kills gateways around the version's start. Returns the killed gateways, which run again with the older file.
+    fn inject_process_fault(&self, fleet: &mut Fleet, rng: &mut ChaCha8Rng) -> Result<Vec<usize>, String> {
+        let killed = match self.fault {
+            RolloutFault::Paused => {
                 fleet.sleep_until(self.start - self.lease / 2);
                 fleet.pause(self.third());
                 fleet.sleep_until(self.start + self.lease);
                 fleet.resume(self.third());
                 return Ok(Vec::new());
             }
-            Trouble::KilledOlder => self.third().to_vec(),
-            Trouble::VotersKilled => (0..fleet.count().min(KILLED_VOTERS)).collect(),
+            RolloutFault::KilledWithOlderFile => self.third().to_vec(),
+            RolloutFault::VotersKilled => (0..fleet.count().min(KILLED_VOTER_COUNT)).collect(),
             _ => return Ok(Vec::new()),
         };
-        fleet.sleep_until(self.start - draws.random_range(0..self.lease));
+        fleet.sleep_until(self.start - rng.random_range(0..self.lease));
         fleet.kill(&killed);
         fleet.write_files(&killed, self.version - 1, self.version - 1, self.last_start);
         fleet.restart(&killed)?;
--- a/crates/rig/src/rollouts/contradictions.rs
+++ b/crates/rig/src/rollouts/contradictions.rs
@@ -1,12 +1,12 @@
-//! For how long gateways contradicted each other or were on a fallback, from their own records.
+//! Computes from the gateways' records for how long they contradicted each other or acted on a fallback.
 
 use super::{Fleet, unix_now};
 use crate::{Nanos, SEC};
 
-/// The end of an interval that has not ended.
-pub(super) const OPEN_END: Nanos = Nanos::MAX;
+/// The `until` of an interval that has not ended yet.
+pub(super) const STILL_OPEN: Nanos = Nanos::MAX;
 
-/// From an instant until just before another, Unix time.
+/// A half-open interval of Unix time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Interval {
     pub(super) from: Nanos,
@@ -14,12 +14,12 @@
 }
 
 impl Interval {
-    /// How much of it lies in another.
+    /// The duration of the overlap with another interval; 0 if they are disjoint.
     fn overlap(self, other: Interval) -> Nanos {
         self.until.min(other.until).saturating_sub(self.from.max(other.from))
     }
 
-    /// What is left of it without another.
+    /// The parts of this interval outside another one, at most two.
     fn without(self, other: Interval) -> impl Iterator<Item = Interval> {
         let before = Interval { from: self.from, until: self.until.min(other.from) };
         let after = Interval { from: self.from.max(other.until), until: self.until };
@@ -27,9 +27,9 @@
     }
 }
 
-/// An interval in which a gateway acted on a version itself.
+/// An interval in which a gateway acted on a version itself, not on its fallback.
 #[derive(Clone, Debug)]
-struct Acted {
+struct ActedInterval {
     gateway: usize,
     interval: Interval,
     version: u64,
@@ -37,19 +37,20 @@
 }
 
 impl Fleet {
-    fn acted(&mut self) -> Vec<Acted> {
-        self.read();
+    /// The intervals in which gateways acted on a version, without the times in which they were stopped or not running.
+    fn acted_intervals(&mut self) -> Vec<ActedInterval> {
+        self.collect_lines();
         let mut acted = Vec::new();
         for (number, gateway) in self.gateways.iter().enumerate() {
-            for (at, record) in
+            for (index, record) in
                 gateway.records.iter().enumerate().filter(|(_, record)| record.acts_on_version)
             {
-                let until = gateway.records.get(at + 1).map_or(unix_now(), |next| next.at);
+                let until = gateway.records.get(index + 1).map_or(unix_now(), |next| next.at);
                 let mut pieces = vec![Interval { from: record.at, until }];
-                for away in &gateway.away {
-                    pieces = pieces.into_iter().flat_map(|piece| piece.without(*away)).collect();
+                for inactive in &gateway.inactive {
+                    pieces = pieces.into_iter().flat_map(|piece| piece.without(*inactive)).collect();
                 }
-                acted.extend(pieces.into_iter().map(|interval| Acted {
+                acted.extend(pieces.into_iter().map(|interval| ActedInterval {
                     gateway: number,
                     interval,
                     version: record.version,
@@ -60,34 +61,38 @@
         acted
     }
 
-    /// The longest that any two gateways acted on different contents at the same time since `from`, over all pairs; and
-    /// which two.
+    /// The longest time since `from` for which two gateways acted on different versions or contents at once, and a
+    /// description of the pair.
     pub fn longest_contradiction(&mut self, from: Nanos) -> (Nanos, String) {
-        let acted: Vec<Acted> = self.acted().into_iter().filter(|one| one.interval.until > from).collect();
+        let acted: Vec<ActedInterval> =
+            self.acted_intervals().into_iter().filter(|acted| acted.interval.until > from).collect();
         let mut worst = (0, String::new());
-        for (at, one) in acted.iter().enumerate() {
-            let differs = |two: &&Acted| (two.version, &two.digest) != (one.version, &one.digest);
-            for two in acted[at + 1..].iter().filter(differs) {
-                let one_since = Interval { from: one.interval.from.max(from), ..one.interval };
-                let both = one_since.overlap(two.interval);
-                if both > worst.0 {
-                    let name = |acted: &Acted| format!("n{} on version {}", acted.gateway, acted.version);
-                    worst = (both, format!("{} and {}", name(one), name(two)));
+        for (index, first) in acted.iter().enumerate() {
+            let differs =
+                |second: &&ActedInterval| (second.version, &second.digest) != (first.version, &first.digest);
+            for second in acted[index + 1..].iter().filter(differs) {
+                let first_since = Interval { from: first.interval.from.max(from), ..first.interval };
+                let overlap = first_since.overlap(second.interval);
+                if overlap > worst.0 {
+                    let describe =
+                        |acted: &ActedInterval| format!("n{} on version {}", acted.gateway, acted.version);
+                    worst = (overlap, format!("{} and {}", describe(first), describe(second)));
                 }
             }
         }
         worst
     }
 
-    /// For how long gateways were on a fallback since `from`, seconds summed over all that were there.
+    /// The time since `from` for which running gateways acted on a fallback, seconds summed over all gateways.
     pub fn fallback_seconds(&mut self, from: Nanos) -> f64 {
         let now = unix_now();
-        let since = Interval { from, until: OPEN_END };
-        let whole: Nanos = self.acted().iter().map(|one| one.interval.overlap(since)).sum();
-        let played = Interval { from, until: now };
-        let away = self.gateways.iter().flat_map(|gateway| &gateway.away);
-        let away: Nanos = away.map(|away| away.overlap(played)).sum();
-        let all = (now - from) * self.gateways.len() as Nanos;
-        all.saturating_sub(whole + away) as f64 / SEC as f64
+        let since = Interval { from, until: STILL_OPEN };
+        let on_version: Nanos =
+            self.acted_intervals().iter().map(|acted| acted.interval.overlap(since)).sum();
+        let measured = Interval { from, until: now };
+        let inactive = self.gateways.iter().flat_map(|gateway| &gateway.inactive);
+        let inactive: Nanos = inactive.map(|interval| interval.overlap(measured)).sum();
+        let total = (now - from) * self.gateways.len() as Nanos;
+        total.saturating_sub(on_version + inactive) as f64 / SEC as f64
     }
 }
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -1,6 +1,6 @@
-//! The processes of rollouts, the stand-in discovery and the links between the gateways.
+//! The fleet of a rollout test: gateway processes, a stand-in discovery service and relays between the gateways.
 
-use super::contradictions::{Interval, OPEN_END};
+use super::contradictions::{Interval, STILL_OPEN};
 use super::{FleetConfig, Record, unix_now};
 use crate::{MS, Nanos, SEC, Stream, chance, loopback};
 use rand::Rng;
@@ -9,61 +9,66 @@
 use standins::discovery::{Discovery, Entry, Mode};
 use standins::process::Program;
 use standins::reactor::{Clock, Handle};
-use standins::relay::{Path as Way, Relays};
+use standins::relay::{Path as NetworkPath, Relays};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
 
-/// How long anything that is waited for may take.
-const PATIENCE: Nanos = 30 * SEC;
+/// The time limit of each wait.
+const WAIT_TIMEOUT: Nanos = 30 * SEC;
 
 pub(super) struct Gateway {
     program: Option<Program>,
-    all: SocketAddr,
+    /// The address to which it sends datagrams for all other gateways.
+    fan_out: SocketAddr,
+    /// The address of its discovery agent.
     discovery: SocketAddr,
-    /// Its file as it stands.
+    /// The content of its configuration file.
     file: SettingsFile,
+    /// By how much its clock is ahead.
     clock_off_ms: i64,
-    /// The list that it is started on.
-    known: Value,
+    /// The server list that it is started with.
+    known_list: Value,
+    /// All records so far, in order.
     pub(super) records: Vec<Record>,
+    /// All log lines so far.
     lines: Vec<String>,
-    /// When it stood still or was gone, as it can't have acted then.
-    pub(super) away: Vec<Interval>,
+    /// The intervals in which it was stopped or not running and can't have acted.
+    pub(super) inactive: Vec<Interval>,
 }
 
-/// What a gateway's file says of its settings.
+/// The versioned settings in a gateway's configuration file.
 #[derive(Clone, Copy)]
 struct SettingsFile {
     version: u64,
-    /// Contents of the same number are alike.
+    /// Selects the content; equal numbers give equal settings.
     content: u64,
     /// When the version starts, Unix time in milliseconds.
     starts_ms: u64,
 }
 
 impl Gateway {
-    /// From now on it can't act.
-    fn went_away(&mut self) {
-        self.away.push(Interval { from: unix_now(), until: OPEN_END });
+    /// Begins an interval in which the gateway can't act.
+    fn mark_inactive(&mut self) {
+        self.inactive.push(Interval { from: unix_now(), until: STILL_OPEN });
     }
 
-    /// From now on it can act again.
-    fn came_back(&mut self) {
-        if let Some(open) = self.away.last_mut().filter(|away| away.until == OPEN_END) {
+    /// Ends the open inactive interval, if there is one.
+    fn mark_active(&mut self) {
+        if let Some(open) = self.inactive.last_mut().filter(|interval| interval.until == STILL_OPEN) {
             open.until = unix_now();
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.away.last().is_some_and(|away| away.until == OPEN_END)
+    fn is_inactive(&self) -> bool {
+        self.inactive.last().is_some_and(|interval| interval.until == STILL_OPEN)
     }
 }
 
-/// A fleet with a discovery, and links between any two of its gateways.
+/// A fleet of gateways with a discovery service, and a relay path between any two gateways.
 pub struct Fleet {
-    pub(super) plan: FleetConfig,
+    pub(super) config: FleetConfig,
     program: PathBuf,
     discovery: Handle<Discovery>,
     relays: Handle<Relays>,
@@ -72,23 +77,23 @@
 }
 
 impl Fleet {
-    /// Starts all gateways on version 1, and waits until each has it confirmed.
-    pub fn start(plan: FleetConfig, program: &Path) -> Result<Fleet, String> {
-        let fail = |e: std::io::Error| format!("can't set the stand-ins up: {e}");
+    /// Starts all gateways on version 1 and waits until each acts on it.
+    pub fn start(config: FleetConfig, program: &Path) -> Result<Fleet, String> {
+        let fail = |e: std::io::Error| format!("can't start the stand-ins: {e}");
         let clock = Clock::start();
-        let relays = Handle::start(Relays::new(chance(plan.seed, Stream::Links)), clock).map_err(fail)?;
+        let relays = Handle::start(Relays::new(chance(config.seed, Stream::Links)), clock).map_err(fail)?;
         let discovery = Handle::start(Discovery::default(), clock).map_err(fail)?;
         let mut fleet = Fleet {
-            plan,
+            config,
             program: program.to_path_buf(),
             discovery,
             relays,
             gateways: Vec::new(),
             started: unix_now(),
         };
-        let (mut clocks, skew) = (chance(fleet.plan.seed, Stream::Seeds), fleet.plan.skew_ms as i64);
-        for _ in 0..fleet.plan.gateways {
-            let (_, all) =
+        let (mut clock_rng, skew) = (chance(fleet.config.seed, Stream::Seeds), fleet.config.skew_ms as i64);
+        for _ in 0..fleet.config.gateways {
+            let (_, fan_out) =
                 fleet.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT)).map_err(fail)?;
             let agent = fleet
                 .discovery
@@ -96,36 +101,36 @@
             let discovery = agent.map_err(fail)?;
             fleet.gateways.push(Gateway {
                 program: None,
-                all,
+                fan_out,
                 discovery,
                 file: SettingsFile { version: 1, content: 1, starts_ms: 0 },
-                clock_off_ms: clocks.random_range(-skew..=skew),
-                known: Value::Null,
+                clock_off_ms: clock_rng.random_range(-skew..=skew),
+                known_list: Value::Null,
                 records: Vec::new(),
                 lines: Vec::new(),
-                away: Vec::new(),
+                inactive: Vec::new(),
             });
         }
-        let all: Vec<usize> = (0..fleet.plan.gateways).collect();
+        let all: Vec<usize> = (0..fleet.config.gateways).collect();
         fleet.spawn(&all)?;
         fleet.wait_for_records(&all, |record| record.version == 1 && record.acts_on_version)?;
         Ok(fleet)
     }
 
-    /// How many gateways there are.
+    /// The number of gateways.
     pub fn count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// The configuration of a gateway as its file stands. Contents differ in their quotas.
+    /// The configuration text of a gateway. Different `content` numbers give different quotas.
     fn configuration(&self, gateway: usize) -> String {
         let at = &self.gateways[gateway];
         let SettingsFile { version, content, starts_ms } = at.file;
         let quota = 100.0 + content as f64;
-        json!({"name": format!("n{gateway}"), "listen": loopback::GATEWAYS.to_string(), "discovery": at.discovery.to_string(), "known": at.known,
-            "seed": format!("{:016x}", self.plan.seed.wrapping_add(gateway as u64 * 7919)),
-            "peer_listen": loopback::PEERS.to_string(), "peers_all": at.all.to_string(),
-            "agreement": {"version": version, "starts_ms": starts_ms, "lease": self.plan.lease, "clock": self.plan.clock,
+        json!({"name": format!("n{gateway}"), "listen": loopback::GATEWAYS.to_string(), "discovery": at.discovery.to_string(), "known": at.known_list,
+            "seed": format!("{:016x}", self.config.seed.wrapping_add(gateway as u64 * 7919)),
+            "peer_listen": loopback::PEERS.to_string(), "peers_all": at.fan_out.to_string(),
+            "agreement": {"version": version, "starts_ms": starts_ms, "lease": self.config.lease, "clock": self.config.clock,
                 "clock_off_ms": at.clock_off_ms, "ground": {"quota": 100.0 / quota * 0.5}},
             "settings": {"balancers": self.gateways.len(), "me": gateway,
                 "classes": [{"name": "read", "credit": 1, "onTime": 1.5, "deadline": 3.0, "idempotency": "free"}],
@@ -134,63 +139,71 @@
         .to_string()
     }
 
+    /// Starts a process for each of these gateways and waits until all have started.
     fn spawn(&mut self, which: &[usize]) -> Result<(), String> {
         for gateway in which {
             let text = self.configuration(*gateway);
             let program = Program::spawn(&mut Command::new(&self.program), &text);
             let program = program.map_err(|e| format!("can't start {}: {e}", self.program.display()))?;
-            self.gateways[*gateway].came_back();
+            self.gateways[*gateway].mark_active();
             self.gateways[*gateway].program = Some(program);
         }
         for gateway in which {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             let lines = program.wait_started();
-            let hears = loopback::peer_address(&lines).ok_or("a gateway tells no address")?;
+            let peer_address = loopback::peer_address(&lines).ok_or("a gateway logged no peer address")?;
             let at = &mut self.gateways[*gateway];
-            at.records.extend(lines.iter().filter_map(|line| record(line)));
+            at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
             at.lines.extend(lines);
             let number = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(number, Some(hears)));
+            self.relays.with(move |relays, _| relays.hears_at(number, Some(peer_address)));
         }
         Ok(())
     }
 
-    /// Takes in what the gateways have written since.
-    pub(super) fn read(&mut self) {
+    /// Collects the log lines written since the last call.
+    pub(super) fn collect_lines(&mut self) {
         for gateway in &mut self.gateways {
             let lines = gateway.program.as_ref().map(|program| program.lines_now()).unwrap_or_default();
-            gateway.records.extend(lines.iter().filter_map(|line| record(line)));
+            gateway.records.extend(lines.iter().filter_map(|line| parse_record(line)));
             gateway.lines.extend(lines);
         }
     }
 
-    /// Waits until the last record of each of these is as wanted.
-    pub fn wait_for_records(&mut self, which: &[usize], is: impl Fn(&Record) -> bool) -> Result<(), String> {
-        let until = unix_now() + PATIENCE;
+    /// Waits until the last record of each of these gateways satisfies a condition.
+    pub fn wait_for_records(
+        &mut self,
+        which: &[usize],
+        is_expected: impl Fn(&Record) -> bool,
+    ) -> Result<(), String> {
+        let until = unix_now() + WAIT_TIMEOUT;
         loop {
-            self.read();
-            let not = |gateway: &&usize| !self.gateways[**gateway].records.last().is_some_and(&is);
-            let Some(missing) = which.iter().find(not) else { return Ok(()) };
+            self.collect_lines();
+            let is_pending =
+                |gateway: &&usize| !self.gateways[**gateway].records.last().is_some_and(&is_expected);
+            let Some(missing) = which.iter().find(is_pending) else { return Ok(()) };
             if unix_now() > until {
                 let last: Vec<String> =
                     self.gateways.iter().map(|at| format!("{:?}", at.records.last())).collect();
-                return Err(format!("gateway {missing} never got there: {last:#?}"));
+                return Err(format!(
+                    "gateway {missing} did not reach the expected state in time; last records: {last:#?}"
+                ));
             }
             self.sleep(5 * MS);
         }
     }
 
-    /// Waits until one of these has written a line that holds this, from the start of the fleet on.
-    pub fn wait_for_line(&mut self, gateway: usize, part: &str) -> Result<(), String> {
-        let until = unix_now() + PATIENCE;
+    /// Waits until a gateway has logged a line that contains `text`, counted from the start of the fleet.
+    pub fn wait_for_line(&mut self, gateway: usize, text: &str) -> Result<(), String> {
+        let until = unix_now() + WAIT_TIMEOUT;
         loop {
-            self.read();
-            if self.gateways[gateway].lines.iter().any(|line| line.contains(part)) {
+            self.collect_lines();
+            if self.gateways[gateway].lines.iter().any(|line| line.contains(text)) {
                 return Ok(());
             }
             if unix_now() > until {
                 return Err(format!(
-                    "gateway {gateway} never wrote {part}: {:#?}",
+                    "gateway {gateway} did not log {text} in time; its lines: {:#?}",
                     self.gateways[gateway].lines
                 ));
             }
@@ -198,17 +211,17 @@
         }
     }
 
-    /// Lets time pass.
-    pub fn sleep(&self, time: Nanos) {
-        std::thread::sleep(Duration::from_nanos(time));
+    /// Sleeps for a duration.
+    pub fn sleep(&self, duration: Nanos) {
+        std::thread::sleep(Duration::from_nanos(duration));
     }
 
-    /// Lets time pass until then, Unix time.
+    /// Sleeps until a Unix time.
     pub fn sleep_until(&self, at: Nanos) {
         self.sleep(at.saturating_sub(unix_now()));
     }
 
-    /// Writes a file without telling the process.
+    /// Rewrites the configuration files without a signal to the processes.
     pub fn write_files(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
         for gateway in which {
             self.gateways[*gateway].file = SettingsFile { version, content, starts_ms: start / MS };
@@ -219,40 +232,41 @@
         }
     }
 
-    /// Gives a version to these gateways; the same number with another `content` is another content.
+    /// Rolls out a version: rewrites the files and sends SIGHUP. The same version with another `content` has other settings.
     pub fn roll_out(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
         self.write_files(which, version, content, start);
         self.signal(which, Signal::HUP);
     }
 
-    /// The time at which a version starts, as it was given last.
+    /// The start time of a version, as last rolled out; 0 if no file has it.
     pub fn start_time_of(&self, version: u64) -> Nanos {
         let files = self.gateways.iter().filter(|gateway| gateway.file.version == version);
         files.map(|gateway| gateway.file.starts_ms * MS).max().unwrap_or(0)
     }
 
-    /// Where a gateway listens for clients.
+    /// The address at which a gateway listens for clients.
     pub fn address(&self, gateway: usize) -> Option<SocketAddr> {
         self.gateways[gateway].program.as_ref().map(|program| program.address)
     }
 
-    /// Gives a version with this quota and a ground of half of it.
+    /// Rolls out a version with this quota and a fallback of half of it.
     pub fn roll_out_quota(&mut self, which: &[usize], version: u64, quota: f64, start: Nanos) {
         for gateway in which {
-            let other = SettingsFile { version, content: 0, starts_ms: start / MS };
-            let file = std::mem::replace(&mut self.gateways[*gateway].file, other);
-            let mut told: Value = serde_json::from_str(&self.configuration(*gateway)).unwrap_or_default();
-            told["settings"]["tariffs"][0]["perSecond"] = json!(quota);
-            told["agreement"]["ground"]["quota"] = json!(0.5);
+            let temporary = SettingsFile { version, content: 0, starts_ms: start / MS };
+            let file = std::mem::replace(&mut self.gateways[*gateway].file, temporary);
+            let mut configuration: Value =
+                serde_json::from_str(&self.configuration(*gateway)).unwrap_or_default();
+            configuration["settings"]["tariffs"][0]["perSecond"] = json!(quota);
+            configuration["agreement"]["ground"]["quota"] = json!(0.5);
             self.gateways[*gateway].file = file;
             if let Some(program) = &self.gateways[*gateway].program {
-                program.rewrite(&told.to_string());
+                program.rewrite(&configuration.to_string());
             }
         }
         self.signal(which, Signal::HUP);
     }
 
-    /// Overwrites files with what is no configuration, and tells the processes.
+    /// Overwrites configuration files with invalid JSON and sends SIGHUP.
     pub fn corrupt_files(&mut self, which: &[usize]) {
         let programs = which.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
         programs.for_each(|program| program.rewrite("{\"agreement\": {\"version\": 2,"));
@@ -265,30 +279,30 @@
             if at.program.is_none() {
                 continue;
             }
-            // While it is away it can't act; the record after the stop tells what it did on waking.
+            // A stopped process can't act. Its next record shows what it did after it was resumed.
             if signal == Signal::CONT {
-                at.came_back();
+                at.mark_active();
             }
             let _ = at.program.as_ref().map(|program| program.send(signal));
             if signal == Signal::STOP {
-                at.went_away();
+                at.mark_inactive();
             }
         }
     }
 
-    /// Stops processes by SIGSTOP.
+    /// Stops processes with SIGSTOP.
     pub fn pause(&mut self, which: &[usize]) {
         self.signal(which, Signal::STOP);
     }
 
-    /// Lets them go on by SIGCONT.
+    /// Resumes stopped processes with SIGCONT.
     pub fn resume(&mut self, which: &[usize]) {
         self.signal(which, Signal::CONT);
     }
 
-    /// Ends processes by SIGKILL.
+    /// Kills processes with SIGKILL.
     pub fn kill(&mut self, which: &[usize]) {
-        self.read();
+        self.collect_lines();
         for gateway in which {
             let number = *gateway;
             self.relays.with(move |relays, _| relays.hears_at(number, None));
@@ -297,82 +311,83 @@
                 let _ = program.child.kill();
                 let _ = program.child.wait();
                 let lines = program.lines_now();
-                at.records.extend(lines.iter().filter_map(|line| record(line)));
+                at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
                 at.lines.extend(lines);
-                if !at.is_away() {
-                    at.went_away();
+                if !at.is_inactive() {
+                    at.mark_inactive();
                 }
             }
         }
     }
 
-    /// Starts gateways again that were killed, on the file as it stands.
+    /// Restarts killed gateways with their current files.
     pub fn restart(&mut self, which: &[usize]) -> Result<(), String> {
         self.spawn(which)
     }
 
-    /// From its next file or start on a gateway takes its clock to be so far ahead.
+    /// Sets the simulated offset of a gateway's clock (positive is ahead). It applies from its next configuration or start on.
     pub fn set_clock_offset(&mut self, gateway: usize, ms: i64) {
         self.gateways[gateway].clock_off_ms = ms;
     }
 
-    /// Lists a server, or changes it, at discovery.
+    /// Adds a server to the discovery list, or changes its entry.
     pub fn list_server(&mut self, name: &str, address: SocketAddr, status: &'static str) {
         let (name, zone) = (name.to_string(), "a".to_string());
         let entry = Entry { name, address, zone, status, weight: 1.0, since_ms: 0 };
         self.discovery.with(move |discovery, io| discovery.change(io, entry));
     }
 
-    /// What a gateway's agent of discovery does, and an older version it is thrown back to.
+    /// Sets the mode of a gateway's discovery agent, and optionally restores the agent to an older version of the list.
     pub fn set_agent_mode(&mut self, gateway: usize, mode: Mode, back_to: Option<u64>) -> Result<(), String> {
         let set = self.discovery.with(move |discovery, io| discovery.set(io, gateway, mode, back_to));
         set.map_err(|e| format!("can't set an agent: {e}"))
     }
 
-    /// The newest version of discovery's list.
+    /// The newest version of the discovery list.
     pub fn discovery_index(&self) -> u64 {
         self.discovery.with(|discovery, _| discovery.index())
     }
 
-    /// From its next start on a gateway begins with the list that its agent tells now.
+    /// Saves the list that a gateway's agent currently serves; the gateway starts with it from its next start on.
     pub fn save_known_list(&mut self, gateway: usize) {
         let known = self.discovery.with(move |discovery, _| discovery.known(gateway));
-        self.gateways[gateway].known = serde_json::from_str(&known).unwrap_or_default();
+        self.gateways[gateway].known_list = serde_json::from_str(&known).unwrap_or_default();
     }
 
-    /// Sets the ways from some gateways to others.
-    pub fn set_paths(&mut self, from: &[usize], to: &[usize], way: Way) {
+    /// Sets the faults of the network paths from some gateways to others.
+    pub fn set_paths(&mut self, from: &[usize], to: &[usize], path: NetworkPath) {
         for from in from.iter().copied() {
             for to in to.iter().copied().filter(|to| *to != from) {
-                self.relays.with(move |relays, _| relays.between(from, to, way));
+                self.relays.with(move |relays, _| relays.between(from, to, path));
             }
         }
     }
 
-    /// All ways whole again.
+    /// Removes the faults of all network paths.
     pub fn clear_path_faults(&mut self) {
         let all: Vec<usize> = (0..self.count()).collect();
-        self.set_paths(&all, &all, Way::default());
+        self.set_paths(&all, &all, NetworkPath::default());
     }
 
-    /// Datagrams that were sent so far, each once.
+    /// The number of datagrams sent so far; one to all others counts once.
     pub fn datagram_count(&self) -> u64 {
         self.relays.with(|relays, _| relays.came)
     }
 
-    /// What a gateway said that it acts on, in order.
+    /// A gateway's records, in order.
     pub fn records(&mut self, gateway: usize) -> Vec<Record> {
-        self.read();
+        self.collect_lines();
         self.gateways[gateway].records.clone()
     }
 
-    /// Since when this fleet runs.
+    /// The time since the fleet was started.
     pub fn age(&self) -> Nanos {
         unix_now() - self.started
     }
 }
 
-fn record(line: &str) -> Option<Record> {
+/// Parses a log line as a record; `None` for other lines.
+fn parse_record(line: &str) -> Option<Record> {
     let line: Value = serde_json::from_str(line).ok()?;
     Some(Record {
         at: line["at"].as_u64()?,
