--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -6,11 +6,11 @@
 
 pub use fleet::Fleet;
 
-use crate::{MS, Nanos, SEC, Stream, chance};
+use crate::{MS, Nanos, SEC, Stream, stream_rng};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
-use standins::relay::Path as NetworkPath;
+use standins::relay::PathFaults;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -171,7 +171,7 @@
 
 /// Runs `count` rollouts in sequence, with the faults in rotation. Each fault ends before the next rollout begins.
 pub fn run_rollouts(fleet: &mut Fleet, count: usize) -> Result<Vec<RolloutResult>, String> {
-    let mut rng = chance(fleet.config.seed, Stream::Script);
+    let mut rng = stream_rng(fleet.config.seed, Stream::Script);
     let (mut results, mut last_start) = (Vec::new(), 0);
     for index in 0..count {
         let rollout = Rollout::draw(fleet, index, last_start, &mut rng);
@@ -245,7 +245,7 @@
     /// Sets the network faults of this rollout.
     fn inject_network_fault(&self, fleet: &mut Fleet) {
         let (half, rest) = self.halves();
-        let cut = NetworkPath { cut: true, ..NetworkPath::default() };
+        let cut = PathFaults { cut: true, ..PathFaults::default() };
         match self.fault {
             RolloutFault::Partitioned => {
                 fleet.set_paths(half, rest, cut);
@@ -253,12 +253,12 @@
             }
             RolloutFault::CutOneWay => fleet.set_paths(half, rest, cut),
             RolloutFault::Noise => {
-                let noise = NetworkPath {
-                    lose: 0.3,
-                    double: 0.3,
+                let noise = PathFaults {
+                    loss: 0.3,
+                    duplicate: 0.3,
                     reorder: 0.3,
-                    spoil: 0.1,
-                    ..NetworkPath::default()
+                    corrupt: 0.1,
+                    ..PathFaults::default()
                 };
                 fleet.set_paths(&self.order, &self.order, noise);
             }
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -2,14 +2,14 @@
 
 use super::contradictions::{Interval, STILL_OPEN};
 use super::{FleetConfig, Record, unix_now};
-use crate::{MS, Nanos, SEC, Stream, chance, loopback};
+use crate::{MS, Nanos, SEC, Stream, loopback, stream_rng};
 use rand::Rng;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use standins::discovery::{Discovery, Entry, Mode};
 use standins::process::Program;
 use standins::reactor::{Clock, Handle};
-use standins::relay::{Path as NetworkPath, Relays};
+use standins::relay::{PathFaults, Relays};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -81,7 +81,8 @@
     pub fn start(config: FleetConfig, program: &Path) -> Result<Fleet, String> {
         let fail = |e: std::io::Error| format!("can't start the stand-ins: {e}");
         let clock = Clock::start();
-        let relays = Handle::start(Relays::new(chance(config.seed, Stream::Links)), clock).map_err(fail)?;
+        let relays =
+            Handle::start(Relays::new(stream_rng(config.seed, Stream::Links)), clock).map_err(fail)?;
         let discovery = Handle::start(Discovery::default(), clock).map_err(fail)?;
         let mut fleet = Fleet {
             config,
@@ -91,13 +92,16 @@
             gateways: Vec::new(),
             started: unix_now(),
         };
-        let (mut clock_rng, skew) = (chance(fleet.config.seed, Stream::Seeds), fleet.config.skew_ms as i64);
+        let (mut clock_rng, skew) =
+            (stream_rng(fleet.config.seed, Stream::Seeds), fleet.config.skew_ms as i64);
         for _ in 0..fleet.config.gateways {
-            let (_, fan_out) =
-                fleet.relays.with(|relays, io| relays.member(io, loopback::FAN_OUT)).map_err(fail)?;
+            let (_, fan_out) = fleet
+                .relays
+                .with(|relays, io| relays.add_member(io, loopback::BROADCAST_RELAY))
+                .map_err(fail)?;
             let agent = fleet
                 .discovery
-                .with(|discovery, io| discovery.agent(io, loopback::DISCOVERY, Default::default()));
+                .with(|discovery, io| discovery.add_agent(io, loopback::DISCOVERY, Default::default()));
             let discovery = agent.map_err(fail)?;
             fleet.gateways.push(Gateway {
                 program: None,
@@ -156,7 +160,7 @@
             at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
             at.lines.extend(lines);
             let number = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(number, Some(peer_address)));
+            self.relays.with(move |relays, _| relays.set_receiver(number, Some(peer_address)));
         }
         Ok(())
     }
@@ -164,7 +168,7 @@
     /// Collects the log lines written since the last call.
     pub(super) fn collect_lines(&mut self) {
         for gateway in &mut self.gateways {
-            let lines = gateway.program.as_ref().map(|program| program.lines_now()).unwrap_or_default();
+            let lines = gateway.program.as_ref().map(|program| program.new_lines()).unwrap_or_default();
             gateway.records.extend(lines.iter().filter_map(|line| parse_record(line)));
             gateway.lines.extend(lines);
         }
@@ -227,7 +231,7 @@
             self.gateways[*gateway].file = SettingsFile { version, content, starts_ms: start / MS };
             let text = self.configuration(*gateway);
             if let Some(program) = &self.gateways[*gateway].program {
-                program.rewrite(&text);
+                program.rewrite_config(&text);
             }
         }
     }
@@ -260,7 +264,7 @@
             configuration["agreement"]["ground"]["quota"] = json!(0.5);
             self.gateways[*gateway].file = file;
             if let Some(program) = &self.gateways[*gateway].program {
-                program.rewrite(&configuration.to_string());
+                program.rewrite_config(&configuration.to_string());
             }
         }
         self.signal(which, Signal::HUP);
@@ -269,7 +273,7 @@
     /// Overwrites configuration files with invalid JSON and sends SIGHUP.
     pub fn corrupt_files(&mut self, which: &[usize]) {
         let programs = which.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
-        programs.for_each(|program| program.rewrite("{\"agreement\": {\"version\": 2,"));
+        programs.for_each(|program| program.rewrite_config("{\"agreement\": {\"version\": 2,"));
         self.signal(which, Signal::HUP);
     }
 
@@ -283,7 +287,7 @@
             if signal == Signal::CONT {
                 at.mark_active();
             }
-            let _ = at.program.as_ref().map(|program| program.send(signal));
+            let _ = at.program.as_ref().map(|program| program.send_signal(signal));
             if signal == Signal::STOP {
                 at.mark_inactive();
             }
@@ -305,12 +309,12 @@
         self.collect_lines();
         for gateway in which {
             let number = *gateway;
-            self.relays.with(move |relays, _| relays.hears_at(number, None));
+            self.relays.with(move |relays, _| relays.set_receiver(number, None));
             let at = &mut self.gateways[number];
             if let Some(mut program) = at.program.take() {
                 let _ = program.child.kill();
                 let _ = program.child.wait();
-                let lines = program.lines_now();
+                let lines = program.new_lines();
                 at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
                 at.lines.extend(lines);
                 if !at.is_inactive() {
@@ -334,12 +338,12 @@
     pub fn list_server(&mut self, name: &str, address: SocketAddr, status: &'static str) {
         let (name, zone) = (name.to_string(), "a".to_string());
         let entry = Entry { name, address, zone, status, weight: 1.0, since_ms: 0 };
-        self.discovery.with(move |discovery, io| discovery.change(io, entry));
+        self.discovery.with(move |discovery, io| discovery.publish(io, entry));
     }
 
     /// Sets the mode of a gateway's discovery agent, and optionally restores the agent to an older version of the list.
     pub fn set_agent_mode(&mut self, gateway: usize, mode: Mode, back_to: Option<u64>) -> Result<(), String> {
-        let set = self.discovery.with(move |discovery, io| discovery.set(io, gateway, mode, back_to));
+        let set = self.discovery.with(move |discovery, io| discovery.set_mode(io, gateway, mode, back_to));
         set.map_err(|e| format!("can't set an agent: {e}"))
     }
 
@@ -350,15 +354,15 @@
 
     /// Saves the list that a gateway's agent currently serves; the gateway starts with it from its next start on.
     pub fn save_known_list(&mut self, gateway: usize) {
-        let known = self.discovery.with(move |discovery, _| discovery.known(gateway));
+        let known = self.discovery.with(move |discovery, _| discovery.snapshot(gateway));
         self.gateways[gateway].known_list = serde_json::from_str(&known).unwrap_or_default();
     }
 
     /// Sets the faults of the network paths from some gateways to others.
-    pub fn set_paths(&mut self, from: &[usize], to: &[usize], path: NetworkPath) {
+    pub fn set_paths(&mut self, from: &[usize], to: &[usize], faults: PathFaults) {
         for from in from.iter().copied() {
             for to in to.iter().copied().filter(|to| *to != from) {
-                self.relays.with(move |relays, _| relays.between(from, to, path));
+                self.relays.with(move |relays, _| relays.set_path_faults(from, to, faults));
             }
         }
     }
@@ -366,12 +370,12 @@
     /// Removes the faults of all network paths.
     pub fn clear_path_faults(&mut self) {
         let all: Vec<usize> = (0..self.count()).collect();
-        self.set_paths(&all, &all, NetworkPath::default());
+        self.set_paths(&all, &all, PathFaults::default());
     }
 
     /// The number of datagrams sent so far; one to all others counts once.
     pub fn datagram_count(&self) -> u64 {
-        self.relays.with(|relays, _| relays.came)
+        self.relays.with(|relays, _| relays.received)
     }
 
     /// A gateway's records, in order.
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -5,9 +5,9 @@
 pub mod draw;
 pub mod judge;
 
-use crate::fleet::{Outcome, play};
-use crate::front::Outcome as End;
-use crate::scenario::{Scenario, SystemCalls};
+use crate::fleet::{RunResult, run_scenario};
+use crate::load_generator::RpcOutcome as End;
+use crate::scenario::{Scenario, SystemCallFaults};
 use draw::{FaultKind, Size};
 use judge::Violation;
 use std::collections::BTreeMap;
@@ -38,26 +38,35 @@
     seed: u64,
     size: Size,
     without: &[FaultKind],
-    system_calls: Option<SystemCalls>,
+    system_calls: Option<SystemCallFaults>,
     program: &Path,
 ) -> Result<Run, String> {
     let scenario = Scenario { system_calls, ..draw::scenario(seed, size, without)? };
-    let outcome = play(&scenario, program)?;
+    let outcome = run_scenario(&scenario, program)?;
     let violations = judge::violations(&scenario, &outcome);
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
-    for call in &outcome.calls {
+    for call in &outcome.client_rpcs {
         *ends.entry(format!("{:?}", call.outcome)).or_default() += 1;
     }
-    let served = outcome.calls.iter().filter(|call| call.outcome == End::Ok).count();
-    let counts = judge::OwnCounts::of(&outcome.lines);
+    let served = outcome.client_rpcs.iter().filter(|call| call.outcome == End::Ok).count();
+    let counts = judge::OwnCounts::of(&outcome.log_lines);
     let event_counts = event_counts(&outcome, &ends);
-    Ok(Run { seed, sent: outcome.calls.len(), served, ends, event_counts, counts, violations, scenario })
+    Ok(Run {
+        seed,
+        sent: outcome.client_rpcs.len(),
+        served,
+        ends,
+        event_counts,
+        counts,
+        violations,
+        scenario,
+    })
 }
 
-fn event_counts(outcome: &Outcome, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
-    let mut event_counts = outcome.steps.clone();
+fn event_counts(outcome: &RunResult, ends: &BTreeMap<String, usize>) -> BTreeMap<String, usize> {
+    let mut event_counts = outcome.step_counts.clone();
     event_counts.insert("client left".into(), ends.get("Left").copied().unwrap_or(0));
-    event_counts.insert("crossed a close and sent again".into(), outcome.sent_again as usize);
+    event_counts.insert("crossed a close and sent again".into(), outcome.resent_rpcs as usize);
     event_counts
 }
 
