--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Looks up the C library's own function of this name, once for each place of use.
+/// Returns the C library's own function of this name. The address is looked up once for each place of use.
 macro_rules! real {
     ($name:literal as $signature:ty) => {{
         static FOUND: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
@@ -76,25 +76,30 @@
 pub(crate) use real;
 
 /// The fault injected into a `recv` or `send`: an error, or a length to cut the transfer to.
-enum Transfer {
+enum TransferFault {
     Fail(c_int),
     Short(size_t),
 }
 
 /// Draws the fault of one `recv` or `send`, or none. An outgoing connection may be broken with one of `break_errors`; any
 /// other call is interrupted or shortened.
-fn transfer(call: &str, fd: c_int, length: size_t, break_errors: &[c_int]) -> Option<Transfer> {
+fn draw_transfer_fault(
+    call: &str,
+    fd: c_int,
+    length: size_t,
+    break_errors: &[c_int],
+) -> Option<TransferFault> {
     let draw = draw()?;
     if is_outgoing(fd) && draw % 100 < BREAK_PERCENT {
         // SAFETY: shutting down a descriptor touches no memory. The peer sees the connection end.
         unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
-        return Some(Transfer::Fail(choose(draw / 100, break_errors)));
+        return Some(TransferFault::Fail(choose(draw / 100, break_errors)));
     }
     if draw % 2 == 0 || length < 2 {
-        return Some(Transfer::Fail(libc::EINTR));
+        return Some(TransferFault::Fail(libc::EINTR));
     }
     count(call, "short");
-    Some(Transfer::Short(1 + (draw / 100) as usize % (length - 1)))
+    Some(TransferFault::Short(1 + (draw / 100) as usize % (length - 1)))
 }
 
 /// # Safety
@@ -103,12 +108,12 @@
 pub unsafe extern "C" fn recv(fd: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
     let real = real!("recv" as unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
     let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
-    let length = match transfer("recv", fd, length, &errors) {
-        Some(Transfer::Fail(error)) => {
+    let length = match draw_transfer_fault("recv", fd, length, &errors) {
+        Some(TransferFault::Fail(error)) => {
             fail("recv", error);
             return -1;
         }
-        Some(Transfer::Short(length)) => length,
+        Some(TransferFault::Short(length)) => length,
         None => length,
     };
     // SAFETY: the caller's buffer holds at least `length` bytes.
@@ -130,12 +135,12 @@
         return unsafe { real(fd, from, length, flags) };
     }
     let errors = [libc::EPIPE, libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
-    let length = match transfer("send", fd, length, &errors) {
-        Some(Transfer::Fail(error)) => {
+    let length = match draw_transfer_fault("send", fd, length, &errors) {
+        Some(TransferFault::Fail(error)) => {
             fail("send", error);
             return -1;
         }
-        Some(Transfer::Short(length)) => length,
+        Some(TransferFault::Short(length)) => length,
         None => length,
     };
     // SAFETY: the caller's buffer holds at least `length` bytes.
--- a/crates/faults/src/random.rs
+++ b/crates/faults/src/random.rs
@@ -17,10 +17,10 @@
 static CALL_COUNT: AtomicU64 = AtomicU64::new(0);
 
 fn settings() -> Option<&'static Settings> {
-    SETTINGS.get_or_init(|| read(&std::env::var(FAULTS_VARIABLE).ok()?)).as_ref()
+    SETTINGS.get_or_init(|| parse_settings(&std::env::var(FAULTS_VARIABLE).ok()?)).as_ref()
 }
 
-fn read(text: &str) -> Option<Settings> {
+fn parse_settings(text: &str) -> Option<Settings> {
     let field =
         |name: &str| text.split(',').find_map(|setting| setting.strip_prefix(name)?.strip_prefix('='));
     Some(Settings {
--- a/crates/rig/src/rollouts.rs
+++ b/crates/rig/src/rollouts.rs
@@ -88,7 +88,7 @@
         RolloutFault::VotersKilled,
     ];
 
-    /// The name in the printed figures.
+    /// The name in the printed table.
     pub fn name(self) -> &'static str {
         match self {
             RolloutFault::None => "none",
--- a/crates/rig/src/rollouts/fleet.rs
+++ b/crates/rig/src/rollouts/fleet.rs
@@ -128,14 +128,14 @@
 
     /// The configuration text of a gateway. Different `content` numbers give different quotas.
     fn configuration(&self, gateway: usize) -> String {
-        let at = &self.gateways[gateway];
-        let SettingsFile { version, content, starts_ms } = at.file;
+        let state = &self.gateways[gateway];
+        let SettingsFile { version, content, starts_ms } = state.file;
         let quota = 100.0 + content as f64;
-        json!({"name": format!("n{gateway}"), "listen": loopback::GATEWAYS.to_string(), "discovery": at.discovery.to_string(), "known": at.known_list,
+        json!({"name": format!("n{gateway}"), "listen": loopback::GATEWAYS.to_string(), "discovery": state.discovery.to_string(), "known": state.known_list,
             "seed": format!("{:016x}", self.config.seed.wrapping_add(gateway as u64 * 7919)),
-            "peer_listen": loopback::PEERS.to_string(), "peers_all": at.fan_out.to_string(),
+            "peer_listen": loopback::PEERS.to_string(), "peers_all": state.fan_out.to_string(),
             "agreement": {"version": version, "starts_ms": starts_ms, "lease": self.config.lease, "clock": self.config.clock,
-                "clock_off_ms": at.clock_off_ms, "ground": {"quota": 100.0 / quota * 0.5}},
+                "clock_off_ms": state.clock_off_ms, "ground": {"quota": 100.0 / quota * 0.5}},
             "settings": {"balancers": self.gateways.len(), "me": gateway,
                 "classes": [{"name": "read", "credit": 1, "onTime": 1.5, "deadline": 3.0, "idempotency": "free"}],
                 "tariffs": [{"name": "team", "perSecond": quota, "depth": quota, "beyondCosts": 1.0}],
@@ -144,21 +144,21 @@
     }
 
     /// Starts a process for each of these gateways and waits until all have started.
-    fn spawn(&mut self, which: &[usize]) -> Result<(), String> {
-        for gateway in which {
+    fn spawn(&mut self, gateways: &[usize]) -> Result<(), String> {
+        for gateway in gateways {
             let text = self.configuration(*gateway);
             let program = Program::spawn(&mut Command::new(&self.program), &text);
             let program = program.map_err(|e| format!("can't start {}: {e}", self.program.display()))?;
             self.gateways[*gateway].mark_active();
             self.gateways[*gateway].program = Some(program);
         }
-        for gateway in which {
+        for gateway in gateways {
             let Some(program) = &mut self.gateways[*gateway].program else { continue };
             let lines = program.wait_started();
             let peer_address = loopback::peer_address(&lines).ok_or("a gateway logged no peer address")?;
-            let at = &mut self.gateways[*gateway];
-            at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
-            at.lines.extend(lines);
+            let state = &mut self.gateways[*gateway];
+            state.records.extend(lines.iter().filter_map(|line| parse_record(line)));
+            state.lines.extend(lines);
             let number = *gateway;
             self.relays.with(move |relays, _| relays.set_receiver(number, Some(peer_address)));
         }
@@ -177,7 +177,7 @@
     /// Waits until the last record of each of these gateways satisfies a condition.
     pub fn wait_for_records(
         &mut self,
-        which: &[usize],
+        gateways: &[usize],
         is_expected: impl Fn(&Record) -> bool,
     ) -> Result<(), String> {
         let until = unix_now() + WAIT_TIMEOUT;
@@ -185,10 +185,10 @@
             self.collect_lines();
             let is_pending =
                 |gateway: &&usize| !self.gateways[**gateway].records.last().is_some_and(&is_expected);
-            let Some(missing) = which.iter().find(is_pending) else { return Ok(()) };
+            let Some(missing) = gateways.iter().find(is_pending) else { return Ok(()) };
             if unix_now() > until {
                 let last: Vec<String> =
-                    self.gateways.iter().map(|at| format!("{:?}", at.records.last())).collect();
+                    self.gateways.iter().map(|gateway| format!("{:?}", gateway.records.last())).collect();
                 return Err(format!(
                     "gateway {missing} did not reach the expected state in time; last records: {last:#?}"
                 ));
@@ -221,13 +221,13 @@
     }
 
     /// Sleeps until a Unix time.
-    pub fn sleep_until(&self, at: Nanos) {
-        self.sleep(at.saturating_sub(unix_now()));
+    pub fn sleep_until(&self, deadline: Nanos) {
+        self.sleep(deadline.saturating_sub(unix_now()));
     }
 
     /// Rewrites the configuration files without a signal to the processes.
-    pub fn write_files(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
-        for gateway in which {
+    pub fn write_files(&mut self, gateways: &[usize], version: u64, content: u64, start: Nanos) {
+        for gateway in gateways {
             self.gateways[*gateway].file = SettingsFile { version, content, starts_ms: start / MS };
             let text = self.configuration(*gateway);
             if let Some(program) = &self.gateways[*gateway].program {
@@ -237,9 +237,9 @@
     }
 
     /// Rolls out a version: rewrites the files and sends SIGHUP. The same version with another `content` has other settings.
-    pub fn roll_out(&mut self, which: &[usize], version: u64, content: u64, start: Nanos) {
-        self.write_files(which, version, content, start);
-        self.signal(which, Signal::HUP);
+    pub fn roll_out(&mut self, gateways: &[usize], version: u64, content: u64, start: Nanos) {
+        self.write_files(gateways, version, content, start);
+        self.signal(gateways, Signal::HUP);
     }
 
     /// The start time of a version, as last rolled out; 0 if no file has it.
@@ -254,8 +254,8 @@
     }
 
     /// Rolls out a version with this quota and a fallback of half of it.
-    pub fn roll_out_quota(&mut self, which: &[usize], version: u64, quota: f64, start: Nanos) {
-        for gateway in which {
+    pub fn roll_out_quota(&mut self, gateways: &[usize], version: u64, quota: f64, start: Nanos) {
+        for gateway in gateways {
             let temporary = SettingsFile { version, content: 0, starts_ms: start / MS };
             let file = std::mem::replace(&mut self.gateways[*gateway].file, temporary);
             let mut configuration: Value =
@@ -267,66 +267,66 @@
                 program.rewrite_config(&configuration.to_string());
             }
         }
-        self.signal(which, Signal::HUP);
+        self.signal(gateways, Signal::HUP);
     }
 
     /// Overwrites configuration files with invalid JSON and sends SIGHUP.
-    pub fn corrupt_files(&mut self, which: &[usize]) {
-        let programs = which.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
+    pub fn corrupt_files(&mut self, gateways: &[usize]) {
+        let programs = gateways.iter().filter_map(|gateway| self.gateways[*gateway].program.as_ref());
         programs.for_each(|program| program.rewrite_config("{\"agreement\": {\"version\": 2,"));
-        self.signal(which, Signal::HUP);
+        self.signal(gateways, Signal::HUP);
     }
 
-    fn signal(&mut self, which: &[usize], signal: Signal) {
-        for gateway in which {
-            let at = &mut self.gateways[*gateway];
-            if at.program.is_none() {
+    fn signal(&mut self, gateways: &[usize], signal: Signal) {
+        for gateway in gateways {
+            let state = &mut self.gateways[*gateway];
+            if state.program.is_none() {
                 continue;
             }
             // A stopped process can't act. Its next record shows what it did after it was resumed.
             if signal == Signal::CONT {
-                at.mark_active();
+                state.mark_active();
             }
-            let _ = at.program.as_ref().map(|program| program.send_signal(signal));
+            let _ = state.program.as_ref().map(|program| program.send_signal(signal));
             if signal == Signal::STOP {
-                at.mark_inactive();
+                state.mark_inactive();
             }
         }
     }
 
     /// Stops processes with SIGSTOP.
-    pub fn pause(&mut self, which: &[usize]) {
-        self.signal(which, Signal::STOP);
+    pub fn pause(&mut self, gateways: &[usize]) {
+        self.signal(gateways, Signal::STOP);
     }
 
     /// Resumes stopped processes with SIGCONT.
-    pub fn resume(&mut self, which: &[usize]) {
-        self.signal(which, Signal::CONT);
+    pub fn resume(&mut self, gateways: &[usize]) {
+        self.signal(gateways, Signal::CONT);
     }
 
     /// Kills processes with SIGKILL.
-    pub fn kill(&mut self, which: &[usize]) {
+    pub fn kill(&mut self, gateways: &[usize]) {
         self.collect_lines();
-        for gateway in which {
+        for gateway in gateways {
             let number = *gateway;
             self.relays.with(move |relays, _| relays.set_receiver(number, None));
-            let at = &mut self.gateways[number];
-            if let Some(mut program) = at.program.take() {
+            let state = &mut self.gateways[number];
+            if let Some(mut program) = state.program.take() {
                 let _ = program.child.kill();
                 let _ = program.child.wait();
                 let lines = program.new_lines();
-                at.records.extend(lines.iter().filter_map(|line| parse_record(line)));
-                at.lines.extend(lines);
-                if !at.is_inactive() {
-                    at.mark_inactive();
+                state.records.extend(lines.iter().filter_map(|line| parse_record(line)));
+                state.lines.extend(lines);
+                if !state.is_inactive() {
+                    state.mark_inactive();
                 }
             }
         }
     }
 
     /// Restarts killed gateways with their current files.
-    pub fn restart(&mut self, which: &[usize]) -> Result<(), String> {
-        self.spawn(which)
+    pub fn restart(&mut self, gateways: &[usize]) -> Result<(), String> {
+        self.spawn(gateways)
     }
 
     /// Sets the simulated offset of a gateway's clock (positive is ahead). It applies from its next configuration or start on.
--- a/crates/rig/src/soak/draw.rs
+++ b/crates/rig/src/soak/draw.rs
@@ -41,7 +41,7 @@
     ZoneDown,
     /// Discovery is unreachable, or its changes arrive late.
     Discovery,
-    /// The counter is down, stalled or loses its data.
+    /// The counter is down, stalled or replaced by an empty one.
     Counter,
     /// The load rises for a while.
     Burst,
@@ -118,12 +118,12 @@
 /// Draws the scenario of a seed. Faults of the kinds in `without` are left out; all other draws stay the same.
 pub fn scenario(seed: u64, size: Size, without: &[FaultKind]) -> Result<Scenario, String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let text = settings(&mut rng, seed, size);
+    let text = scenario_toml(&mut rng, seed, size);
     let mut scenario = Scenario::from_toml(&text)?;
     crowd_some_runs(&mut scenario, size, without, &mut rng);
     for _ in 0..size.faults {
         let kind = draw_kind(&mut rng);
-        let drawn = faults(kind, size, &mut rng);
+        let drawn = draw_faults(kind, size, &mut rng);
         if !without.contains(&kind) {
             scenario.faults.extend(drawn);
         }
@@ -152,7 +152,7 @@
 }
 
 /// The scenario as TOML, without faults.
-fn settings(rng: &mut ChaCha8Rng, seed: u64, size: Size) -> String {
+fn scenario_toml(rng: &mut ChaCha8Rng, seed: u64, size: Size) -> String {
     let longest = [0.2, 0.5, 1.0, 2.5, 5.0, 6.0].choose(rng).copied().unwrap_or(2.5);
     let deadline_share = |share: f64| (longest * share).max(0.2);
     let service = rng.random_range(5.0..60.0_f64).min(longest * 100.0);
@@ -232,7 +232,7 @@
 }
 
 /// Draws the faults of one kind. The draws are the same for every kind, so that those of later faults don't depend on it.
-fn faults(kind: FaultKind, size: Size, rng: &mut ChaCha8Rng) -> Vec<Fault> {
+fn draw_faults(kind: FaultKind, size: Size, rng: &mut ChaCha8Rng) -> Vec<Fault> {
     let at = rng.random_range(0.0..size.seconds * 0.8);
     let seconds = rng.random_range(0.5..(size.seconds * 0.4).max(1.0));
     let share = rng.random_range(0.1..0.6);
