--- a/crates/gateway/tests/agreement.rs
+++ b/crates/gateway/tests/agreement.rs
@@ -1,215 +1,231 @@
-//! Rollouts of settings with versions over many processes of the program, a fault in each story. From the gateways' own
-//! records: no two acted on contradicting settings for longer than the bound, and all agree once the fault is over.
+//! Rollouts of versioned settings over a fleet of gateway processes, with one fault per test. The gateways' own log
+//! records show that no two of them acted on contradicting settings for longer than the bound, and that all agree once
+//! the fault is over.
 
 use rig::rollouts::{Fleet, Plan, unix};
 use standins::discovery::Mode;
-use standins::relay::Path as Way;
+use standins::relay::Path as LinkPath;
 use standins::scripted::{Client, Peer, answer, rpc};
 use standins::{MS, Nanos, SEC};
 use std::ops::Range;
 use std::path::Path;
 
+/// Duration of the lease that a voter grants on a version.
 const LEASE: Nanos = 400 * MS;
-const CLOCK: Nanos = 100 * MS;
-/// The seven voters are the first of them.
-const GATEWAYS: usize = 20;
+/// Configured bound on the error of a gateway's clock.
+const CLOCK_BOUND: Nanos = 100 * MS;
+/// Fleet size. The first seven gateways are the voters.
+const GATEWAY_COUNT: usize = 20;
 
 fn fleet() -> Fleet {
     let plan = Plan {
-        gateways: GATEWAYS,
+        gateways: GATEWAY_COUNT,
         lease: LEASE as f64 / 1e9,
-        clock: CLOCK as f64 / 1e9,
+        clock: CLOCK_BOUND as f64 / 1e9,
         seed: 5,
         skew_ms: 0,
     };
     Fleet::start(plan, Path::new(env!("CARGO_BIN_EXE_martenramp"))).unwrap()
 }
 
-fn some(range: Range<usize>) -> Vec<usize> {
+fn gateway_range(range: Range<usize>) -> Vec<usize> {
     range.collect()
 }
 
-fn all() -> Vec<usize> {
-    some(0..GATEWAYS)
+fn all_gateways() -> Vec<usize> {
+    gateway_range(0..GATEWAY_COUNT)
 }
 
-/// A start that leaves time for files to come.
-fn soon() -> Nanos {
+/// A start time that leaves enough time to distribute the files first.
+fn start_after_distribution() -> Nanos {
     unix() + 2 * LEASE + 500 * MS
 }
 
-fn holds(fleet: &mut Fleet, which: &[usize], version: u64) {
-    fleet.wait(which, |record| record.version == version && record.whole).unwrap();
+/// Waits until each of these gateways acts on a version in full.
+fn wait_until_in_force(fleet: &mut Fleet, gateways: &[usize], version: u64) {
+    fleet.wait(gateways, |record| record.version == version && record.whole).unwrap();
 }
 
-fn on_ground(fleet: &mut Fleet, which: &[usize], version: u64) {
-    fleet.wait(which, |record| record.version == version && !record.whole).unwrap();
+/// Waits until each of these gateways acts on the fallback of a version.
+fn wait_until_on_fallback(fleet: &mut Fleet, gateways: &[usize], version: u64) {
+    fleet.wait(gateways, |record| record.version == version && !record.whole).unwrap();
 }
 
-fn within_bound(fleet: &mut Fleet) {
-    let (worst, who) = fleet.contradicted(0);
-    println!("contradicted for {:.1} ms", worst as f64 / 1e6);
-    assert!(worst <= 2 * CLOCK, "{} ms: {who}", worst / MS);
+/// Two clocks may differ by twice the bound on one of them, so gateways may contradict each other for that long.
+fn assert_contradictions_within_bound(fleet: &mut Fleet) {
+    let (longest, gateways) = fleet.contradicted(0);
+    println!("contradicted for {:.1} ms", longest as f64 / 1e6);
+    assert!(longest <= 2 * CLOCK_BOUND, "{} ms: {gateways}", longest / MS);
 }
 
 #[test]
-fn a_third_that_never_gets_the_file_falls_back_to_its_ground() {
+fn gateways_without_the_new_file_fall_back_until_they_receive_it() {
     let mut fleet = fleet();
-    // Voter 6 is among those that never get it.
-    let (told, never) =
-        (some(0..6).into_iter().chain(some(7..14)).collect::<Vec<_>>(), [6, 14, 15, 16, 17, 18, 19]);
-    fleet.give(&told, 2, 2, soon());
-    holds(&mut fleet, &told, 2);
-    on_ground(&mut fleet, &never, 1);
-    within_bound(&mut fleet);
-    // It comes at last, long after its start: first with another start, which is another content, then as it is.
+    // Voter 6 is among the gateways that do not receive the file.
+    let (receivers, without_file) = (
+        gateway_range(0..6).into_iter().chain(gateway_range(7..14)).collect::<Vec<_>>(),
+        [6, 14, 15, 16, 17, 18, 19],
+    );
+    fleet.give(&receivers, 2, 2, start_after_distribution());
+    wait_until_in_force(&mut fleet, &receivers, 2);
+    wait_until_on_fallback(&mut fleet, &without_file, 1);
+    assert_contradictions_within_bound(&mut fleet);
+    // The file arrives long after its start: first with a different start time, which makes it a different content,
+    // then unchanged.
     let start = fleet.start_of(2);
-    fleet.give(&never, 2, 2, start + SEC);
-    // Each has to have dropped the wrong one: a file that meets it while it waits is the second content itself.
-    never.into_iter().for_each(|gateway| fleet.wait_line(gateway, "two-contents").unwrap());
-    fleet.give(&never, 2, 2, start);
-    holds(&mut fleet, &all(), 2);
-    within_bound(&mut fleet);
+    fleet.give(&without_file, 2, 2, start + SEC);
+    // Every gateway must have dropped the wrong file first. Otherwise the correct file, read while the wrong one still
+    // waits, would be the second content itself.
+    without_file.into_iter().for_each(|gateway| fleet.wait_line(gateway, "two-contents").unwrap());
+    fleet.give(&without_file, 2, 2, start);
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn two_halves_that_hear_nothing_of_each_other_never_contradict() {
+fn halves_of_a_partitioned_fleet_never_contradict_each_other() {
     let mut fleet = fleet();
-    let (even, odd): (Vec<usize>, Vec<usize>) = all().into_iter().partition(|gateway| gateway % 2 == 0);
-    fleet.give(&even, 2, 2, soon());
-    let cut = Way { cut: true, ..Way::default() };
+    let (even, odd): (Vec<usize>, Vec<usize>) =
+        all_gateways().into_iter().partition(|gateway| gateway % 2 == 0);
+    fleet.give(&even, 2, 2, start_after_distribution());
+    let cut = LinkPath { cut: true, ..LinkPath::default() };
     fleet.ways(&even, &odd, cut);
     fleet.ways(&odd, &even, cut);
     let start = fleet.start_of(2);
     fleet.give(&odd, 2, 2, start);
-    // Four of the seven voters are even.
-    holds(&mut fleet, &even, 2);
-    on_ground(&mut fleet, &odd, 1);
+    // Four of the seven voters have even numbers, so the even half keeps a majority.
+    wait_until_in_force(&mut fleet, &even, 2);
+    wait_until_on_fallback(&mut fleet, &odd, 1);
     fleet.heal();
-    holds(&mut fleet, &all(), 2);
-    within_bound(&mut fleet);
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn a_cut_one_way_leaves_those_who_hear_nothing_on_their_ground() {
+fn gateways_that_receive_no_datagrams_fall_back() {
     let mut fleet = fleet();
-    let (few, most) = (some(10..20), some(0..10));
-    fleet.ways(&most, &few, Way { cut: true, ..Way::default() });
-    on_ground(&mut fleet, &few, 1);
-    fleet.give(&all(), 2, 2, soon());
-    holds(&mut fleet, &most, 2);
+    let (cut_off, connected) = (gateway_range(10..20), gateway_range(0..10));
+    fleet.ways(&connected, &cut_off, LinkPath { cut: true, ..LinkPath::default() });
+    wait_until_on_fallback(&mut fleet, &cut_off, 1);
+    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    wait_until_in_force(&mut fleet, &connected, 2);
     assert!(fleet.records(12).iter().all(|record| record.version == 1), "{:?}", fleet.records(12));
     fleet.heal();
-    holds(&mut fleet, &all(), 2);
-    within_bound(&mut fleet);
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn one_that_stood_still_over_the_start_wakes_to_the_new_rules_with_an_rpc_held() {
+fn a_gateway_paused_over_the_start_resumes_on_the_new_settings_with_an_rpc_held() {
     let mut fleet = fleet();
-    let start = soon();
-    fleet.give(&all(), 2, 2, start);
+    let start = start_after_distribution();
+    fleet.give(&all_gateways(), 2, 2, start);
     fleet.wait_line(15, "\"why\":\"waits\"").unwrap();
     fleet.pass_until(start - LEASE / 2);
-    // There is no server, so the RPC is held.
+    // No server is listed, so the gateway holds the RPC.
     let mut client = Client::new(fleet.address(15).unwrap());
     client.send(&rpc("read", 2900));
     fleet.pass(50 * MS);
     fleet.pause(&[15]);
     fleet.pass_until(start + LEASE);
-    let woke = unix();
+    let resumed_at = unix();
     fleet.wake(&[15]);
-    holds(&mut fleet, &all(), 2);
-    let after: Vec<_> = fleet.records(15).into_iter().filter(|record| record.at >= woke - 10 * MS).collect();
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    let after: Vec<_> =
+        fleet.records(15).into_iter().filter(|record| record.at >= resumed_at - 10 * MS).collect();
     assert!(after[0].version == 2 || !after[0].whole, "{after:?}");
-    assert!(after[0].at < woke + SEC, "it looks before anything else: {after:?}");
+    assert!(
+        after[0].at < resumed_at + SEC,
+        "the gateway did not check its settings right after resuming: {after:?}"
+    );
     let answer = client.answer().unwrap();
     assert!(answer.starts_with("HTTP/1.1 503") || answer.starts_with("HTTP/1.1 429"), "{answer}");
-    within_bound(&mut fleet);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn killed_between_taking_and_acting_and_back_with_the_older_file() {
+fn gateways_killed_before_the_start_and_restarted_on_the_older_file_use_the_fallback() {
     let mut fleet = fleet();
-    let (start, gone) = (soon(), [0, 1, 2, 12, 13]);
-    fleet.give(&all(), 2, 2, start);
+    let (start, killed) = (start_after_distribution(), [0, 1, 2, 12, 13]);
+    fleet.give(&all_gateways(), 2, 2, start);
     fleet.wait_line(12, "\"why\":\"waits\"").unwrap();
     fleet.pass_until(start - LEASE / 2);
-    fleet.kill(&gone);
-    fleet.write(&gone, 1, 1, 0);
-    fleet.start_again(&gone).unwrap();
-    let others: Vec<usize> = all().into_iter().filter(|gateway| !gone.contains(gateway)).collect();
-    // Four voters are left: they are a majority.
-    holds(&mut fleet, &others, 2);
+    fleet.kill(&killed);
+    fleet.write(&killed, 1, 1, 0);
+    fleet.start_again(&killed).unwrap();
+    let others: Vec<usize> = all_gateways().into_iter().filter(|gateway| !killed.contains(gateway)).collect();
+    // Four of the seven voters are left, which is a majority.
+    wait_until_in_force(&mut fleet, &others, 2);
     fleet.pass_until(start + 2 * LEASE);
-    on_ground(&mut fleet, &gone, 1);
-    fleet.give(&gone, 2, 2, start);
-    holds(&mut fleet, &all(), 2);
-    within_bound(&mut fleet);
+    wait_until_on_fallback(&mut fleet, &killed, 1);
+    fleet.give(&killed, 2, 2, start);
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn a_file_that_is_spoilt_at_some_is_as_none() {
+fn an_invalid_file_is_handled_like_a_missing_one() {
     let mut fleet = fleet();
     fleet.spoil(&[3, 9]);
     fleet.wait_line(3, "configuration kept").unwrap();
-    let told: Vec<usize> = all().into_iter().filter(|gateway| ![3, 9].contains(gateway)).collect();
-    fleet.give(&told, 2, 2, soon());
-    holds(&mut fleet, &told, 2);
-    on_ground(&mut fleet, &[3, 9], 1);
-    within_bound(&mut fleet);
+    let receivers: Vec<usize> =
+        all_gateways().into_iter().filter(|gateway| ![3, 9].contains(gateway)).collect();
+    fleet.give(&receivers, 2, 2, start_after_distribution());
+    wait_until_in_force(&mut fleet, &receivers, 2);
+    wait_until_on_fallback(&mut fleet, &[3, 9], 1);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn one_version_with_two_contents_is_acted_on_by_nobody() {
+fn no_gateway_acts_on_a_version_with_two_contents() {
     let mut fleet = fleet();
-    let start = soon();
-    fleet.give(&some(0..10), 2, 2, start);
-    fleet.give(&some(10..20), 2, 3, start);
-    // Voters have but one of them: those who hold the other hear of it, and tell.
+    let start = start_after_distribution();
+    fleet.give(&gateway_range(0..10), 2, 2, start);
+    fleet.give(&gateway_range(10..20), 2, 3, start);
+    // Each voter holds only one of the two contents. Gateways that hold the other learn of it and report the conflict.
     for gateway in [0, 6, 10, 19] {
         fleet.wait_line(gateway, "two-contents").unwrap();
     }
     fleet.pass_until(start + 2 * LEASE);
-    holds(&mut fleet, &all(), 1);
-    for gateway in all() {
+    wait_until_in_force(&mut fleet, &all_gateways(), 1);
+    for gateway in all_gateways() {
         assert!(
             fleet.records(gateway).iter().all(|record| record.version == 1),
-            "{gateway} acted on one of them"
+            "gateway {gateway} acted on a version with two contents"
         );
     }
-    // A higher version goes on.
-    fleet.give(&all(), 3, 3, soon());
-    holds(&mut fleet, &all(), 3);
-    within_bound(&mut fleet);
+    // A higher version resolves the conflict.
+    fleet.give(&all_gateways(), 3, 3, start_after_distribution());
+    wait_until_in_force(&mut fleet, &all_gateways(), 3);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn back_is_a_higher_version_and_what_is_lower_is_refused() {
+fn a_rollback_needs_a_higher_version_and_lower_versions_are_rejected() {
     let mut fleet = fleet();
-    fleet.give(&all(), 2, 2, soon());
-    holds(&mut fleet, &all(), 2);
-    fleet.give(&some(0..10), 1, 1, 0);
+    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
+    fleet.give(&gateway_range(0..10), 1, 1, 0);
     fleet.wait_line(4, "older-version").unwrap();
-    fleet.give(&all(), 3, 1, soon());
-    holds(&mut fleet, &all(), 3);
-    within_bound(&mut fleet);
+    fleet.give(&all_gateways(), 3, 1, start_after_distribution());
+    wait_until_in_force(&mut fleet, &all_gateways(), 3);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn of_two_rollouts_that_overlap_the_higher_version_holds() {
+fn the_higher_version_wins_when_two_rollouts_overlap() {
     let mut fleet = fleet();
-    let start = soon();
-    fleet.give(&all(), 2, 2, start);
-    fleet.give(&some(0..12), 3, 3, start + LEASE);
+    let start = start_after_distribution();
+    fleet.give(&all_gateways(), 2, 2, start);
+    fleet.give(&gateway_range(0..12), 3, 3, start + LEASE);
     fleet.pass_until(start);
-    fleet.give(&some(12..20), 3, 3, start + LEASE);
-    holds(&mut fleet, &all(), 3);
-    within_bound(&mut fleet);
+    fleet.give(&gateway_range(12..20), 3, 3, start + LEASE);
+    wait_until_in_force(&mut fleet, &all_gateways(), 3);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn a_clock_two_seconds_off_is_found_and_does_no_harm() {
+fn gateways_with_clocks_two_seconds_off_are_detected_and_fall_back() {
     let mut fleet = fleet();
     let (behind, ahead) = (14, 2);
     fleet.kill(&[behind, ahead]);
@@ -217,58 +233,63 @@
     fleet.clock_off(ahead, 2000);
     fleet.start_again(&[behind, ahead]).unwrap();
     fleet.wait_line(behind, "\"why\":\"clock\"").unwrap();
-    fleet.wait_line(7, "\"why\":\"clock\"").unwrap(); // it hears voter 2 from the future
-    let others: Vec<usize> = all().into_iter().filter(|gateway| ![behind, ahead].contains(gateway)).collect();
-    holds(&mut fleet, &others, 1);
-    fleet.give(&all(), 2, 2, soon());
-    holds(&mut fleet, &others, 2);
-    on_ground(&mut fleet, &[behind, ahead], 1);
-    within_bound(&mut fleet);
+    fleet.wait_line(7, "\"why\":\"clock\"").unwrap(); // timestamps of voter 2 lie in the future
+    let others: Vec<usize> =
+        all_gateways().into_iter().filter(|gateway| ![behind, ahead].contains(gateway)).collect();
+    wait_until_in_force(&mut fleet, &others, 1);
+    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    wait_until_in_force(&mut fleet, &others, 2);
+    wait_until_on_fallback(&mut fleet, &[behind, ahead], 1);
+    assert_contradictions_within_bound(&mut fleet);
     fleet.kill(&[behind, ahead]);
     [behind, ahead].into_iter().for_each(|gateway| fleet.clock_off(gateway, 0));
     fleet.start_again(&[behind, ahead]).unwrap();
-    holds(&mut fleet, &all(), 2);
+    wait_until_in_force(&mut fleet, &all_gateways(), 2);
 }
 
 #[test]
-fn datagrams_lost_late_doubled_and_spoilt_cost_time_only() {
+fn lost_delayed_duplicated_and_corrupted_datagrams_only_delay_a_rollout() {
     let mut fleet = fleet();
-    let way = Way { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.2, delay: 30 * MS, ..Way::default() };
-    fleet.ways(&all(), &all(), way);
+    let noisy =
+        LinkPath { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.2, delay: 30 * MS, ..LinkPath::default() };
+    fleet.ways(&all_gateways(), &all_gateways(), noisy);
     for version in 2..5 {
-        fleet.give(&all(), version, version, soon());
-        holds(&mut fleet, &all(), version);
+        fleet.give(&all_gateways(), version, version, start_after_distribution());
+        wait_until_in_force(&mut fleet, &all_gateways(), version);
     }
-    within_bound(&mut fleet);
+    assert_contradictions_within_bound(&mut fleet);
 }
 
 #[test]
-fn what_is_acted_on_is_shown_to_operators() {
+fn the_health_endpoint_shows_the_settings_in_force() {
     let mut fleet = fleet();
-    let ask = |fleet: &Fleet| {
+    let health = |fleet: &Fleet| {
         let mut client = Client::new(fleet.address(8).unwrap());
         client.ask("GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
     };
-    let shown = ask(&fleet);
-    assert!(shown.contains("X-Settings: version=1,") && shown.contains("acts-on=version"), "{shown}");
-    // Not admissible: a quota below the ground that gateways may be on.
-    fleet.give_quota(&[8], 2, 10.0, soon());
+    let response = health(&fleet);
+    assert!(
+        response.contains("X-Settings: version=1,") && response.contains("acts-on=version"),
+        "{response}"
+    );
+    // Not admissible: the quota is below the fallback that other gateways may act on.
+    fleet.give_quota(&[8], 2, 10.0, start_after_distribution());
     fleet.wait_line(8, "not-admissible").unwrap();
-    fleet.give(&all(), 2, 2, unix() + 20 * SEC);
+    fleet.give(&all_gateways(), 2, 2, unix() + 20 * SEC);
     fleet.wait_line(8, "\"why\":\"waits\"").unwrap();
-    let shown = ask(&fleet);
-    assert!(shown.contains("version=1,") && shown.contains("waits=2"), "{shown}");
-    // Most voters are gone: after a lease all others are on their ground.
+    let response = health(&fleet);
+    assert!(response.contains("version=1,") && response.contains("waits=2"), "{response}");
+    // The majority of the voters is gone: after a lease all other gateways are on their fallback.
     fleet.kill(&[0, 1, 2, 3]);
-    on_ground(&mut fleet, &some(4..20), 1);
-    assert!(ask(&fleet).contains("acts-on=ground"));
+    wait_until_on_fallback(&mut fleet, &gateway_range(4..20), 1);
+    assert!(health(&fleet).contains("acts-on=ground"));
 }
 
-/// Of twenty gateways each server is in the parts of eighteen; this one has all four in its own.
-const MEETS_ALL: usize = 12;
+/// In a fleet of twenty, each server is in the subsets of eighteen gateways. The subset of this one has all four servers.
+const GATEWAY_WITH_ALL_SERVERS: usize = 12;
 
-/// A fleet with four servers listed, each a peer whose service takes some milliseconds.
-fn with_servers() -> (Fleet, Vec<Peer>) {
+/// A fleet with four listed servers, each of which takes 4 ms to serve an RPC.
+fn fleet_with_servers() -> (Fleet, Vec<Peer>) {
     let mut fleet = fleet();
     let peers: Vec<Peer> = (0..4)
         .map(|_| {
@@ -284,79 +305,79 @@
     (fleet, peers)
 }
 
-/// Sends so many RPCs through a gateway, all of which have to be served: how many came to each server since the last look.
-fn served(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
-    let came = |peer: &Peer| std::iter::from_fn(|| peer.seen_now()).count();
-    peers.iter().for_each(|peer| _ = came(peer));
+/// Sends `count` RPCs through a gateway, asserts that all are served, and returns how many of them each server received.
+fn served_by_server(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
+    let take_received_count = |peer: &Peer| std::iter::from_fn(|| peer.seen_now()).count();
+    peers.iter().for_each(|peer| _ = take_received_count(peer));
     let mut client = Client::new(fleet.address(gateway).unwrap());
     for _ in 0..count {
         let message = rpc("read", 2000).replace("units=2", "units=0.1");
-        let shown = client.ask(&message);
-        assert!(shown.starts_with("HTTP/1.1 200"), "{shown}");
+        let response = client.ask(&message);
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
-    peers.iter().map(came).collect()
+    peers.iter().map(take_received_count).collect()
 }
 
-/// Waits until a gateway's call-outs come to all these servers; one that was slow once is passed over for a while.
-fn reaches(fleet: &Fleet, peers: &[Peer], gateway: usize) {
+/// Waits until a gateway sends attempts to all servers. It avoids a server for a while after a slow response.
+fn wait_until_all_servers_reached(fleet: &Fleet, peers: &[Peer], gateway: usize) {
     let until = unix() + 40 * SEC;
-    while served(fleet, peers, gateway, 12).contains(&0) {
-        assert!(unix() < until, "gateway {gateway} does not reach all servers");
+    while served_by_server(fleet, peers, gateway, 12).contains(&0) {
+        assert!(unix() < until, "gateway {gateway} does not send attempts to all servers");
         fleet.pass(50 * MS);
     }
 }
 
 #[test]
-fn who_hears_of_a_newer_list_gives_what_drains_there_nothing_new() {
-    let (mut fleet, peers) = with_servers();
-    let late = MEETS_ALL;
-    reaches(&fleet, &peers, late);
-    // Its discovery tells everything six seconds late.
-    fleet.agent(late, Mode::Late(6 * SEC), None).unwrap();
+fn a_gateway_on_a_delayed_list_sends_nothing_new_to_a_server_that_a_newer_list_drains() {
+    let (mut fleet, peers) = fleet_with_servers();
+    let delayed = GATEWAY_WITH_ALL_SERVERS;
+    wait_until_all_servers_reached(&fleet, &peers, delayed);
+    // The discovery agent of this gateway delivers every change six seconds late.
+    fleet.agent(delayed, Mode::Late(6 * SEC), None).unwrap();
     fleet.list("s1", peers[1].address, "draining");
-    let drained = unix();
-    fleet.wait_line(late, "\"why\":\"late\"").unwrap();
-    assert!(unix() < drained + 2 * SEC, "within the time in which new work has to stop");
-    assert_eq!(served(&fleet, &peers, late, 30)[1], 0);
-    // Back in service: it is, here too, once the own list says so.
+    let drained_at = unix();
+    fleet.wait_line(delayed, "\"why\":\"late\"").unwrap();
+    assert!(unix() < drained_at + 2 * SEC, "the drain was learned of too late to stop new work in time");
+    assert_eq!(served_by_server(&fleet, &peers, delayed, 30)[1], 0);
+    // The server is ready again: this gateway uses it once its own list says so.
     fleet.list("s1", peers[1].address, "ready");
-    fleet.agent(late, Mode::Late(0), None).unwrap();
-    reaches(&fleet, &peers, late);
+    fleet.agent(delayed, Mode::Late(0), None).unwrap();
+    wait_until_all_servers_reached(&fleet, &peers, delayed);
 }
 
 #[test]
-fn a_discovery_restored_to_an_older_list_brings_no_server_back() {
-    let (mut fleet, peers) = with_servers();
+fn discovery_restored_to_an_older_list_brings_no_removed_server_back() {
+    let (mut fleet, peers) = fleet_with_servers();
     let before = fleet.index();
-    reaches(&fleet, &peers, MEETS_ALL);
+    wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
     fleet.list("s2", peers[2].address, "draining");
     fleet.list("s2", peers[2].address, "gone");
-    while served(&fleet, &peers, MEETS_ALL, 30)[2] > 0 {}
-    fleet.agent(MEETS_ALL, Mode::Still, Some(before)).unwrap();
-    fleet.wait_line(MEETS_ALL, "\"why\":\"went-back\"").unwrap();
-    assert_eq!(served(&fleet, &peers, MEETS_ALL, 30)[2], 0);
-    // Thrown back to nothing at all, it goes on with what it has.
-    fleet.agent(MEETS_ALL, Mode::Still, Some(0)).unwrap();
-    fleet.wait_line(MEETS_ALL, "\"why\":\"empty\"").unwrap();
-    assert_eq!(served(&fleet, &peers, MEETS_ALL, 30)[2], 0);
+    while served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2] > 0 {}
+    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(before)).unwrap();
+    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"went-back\"").unwrap();
+    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
+    // Discovery is restored to an empty list: the gateway keeps the list that it has.
+    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(0)).unwrap();
+    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"empty\"").unwrap();
+    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
 }
 
 #[test]
-fn a_restart_on_a_stale_list_sends_nothing_to_what_is_gone() {
-    let (mut fleet, peers) = with_servers();
-    reaches(&fleet, &peers, MEETS_ALL);
-    fleet.keep_known(MEETS_ALL);
-    fleet.kill(&[MEETS_ALL]);
-    fleet.agent(MEETS_ALL, Mode::Down, None).unwrap();
+fn a_gateway_restarted_on_a_stale_list_sends_nothing_to_a_draining_server() {
+    let (mut fleet, peers) = fleet_with_servers();
+    wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
+    fleet.keep_known(GATEWAY_WITH_ALL_SERVERS);
+    fleet.kill(&[GATEWAY_WITH_ALL_SERVERS]);
+    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Down, None).unwrap();
     fleet.list("s3", peers[3].address, "draining");
-    // It starts on the list from before, and reaches no discovery: voters tell.
-    fleet.start_again(&[MEETS_ALL]).unwrap();
-    fleet.wait_line(MEETS_ALL, "\"why\":\"late\"").unwrap();
-    assert_eq!(served(&fleet, &peers, MEETS_ALL, 30)[3], 0);
+    // It starts on the stored list and cannot reach discovery: the voters report that the list is out of date.
+    fleet.start_again(&[GATEWAY_WITH_ALL_SERVERS]).unwrap();
+    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"late\"").unwrap();
+    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[3], 0);
 }
 
 #[test]
-fn check_config_tells_what_may_follow() {
+fn check_config_reports_whether_a_version_may_follow() {
     let file = |version: u64, quota: f64| {
         let text = format!(
             "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\
@@ -374,12 +395,12 @@
         let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
         (output.status.success(), text)
     };
-    let (may, text) = check(&next);
-    assert!(may && text.contains("contradicts tariffs.0.perSecond: 100 to 120"), "{text}");
+    let (accepted, text) = check(&next);
+    assert!(accepted && text.contains("contradicts tariffs.0.perSecond: 100 to 120"), "{text}");
     assert!(text.contains("version 2 may follow 1"), "{text}");
-    let (may, text) = check(&low);
-    assert!(!may && text.contains("below the old ground of 50"), "{text}");
-    let (may, text) = check(&old);
-    assert!(!may && text.contains("not above 1"), "{text}");
+    let (accepted, text) = check(&low);
+    assert!(!accepted && text.contains("below the old ground of 50"), "{text}");
+    let (accepted, text) = check(&old);
+    assert!(!accepted && text.contains("not above 1"), "{text}");
     [old, next, low].into_iter().for_each(|file| std::fs::remove_file(file).unwrap());
 }
