--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,10 +1,11 @@
-//! Many processes of the program on the rig, a fault between or among them in each story. Verdicts are counts with wide
-//! margins, the same each time; how evenly the load came is measured by the rig's larger sizes (`docs/results.md`).
+//! Runs a fleet of gateway processes on the rig, with one fault among or between them per test. The assertions compare
+//! counts with wide margins, so that their result does not vary between runs; how evenly load is spread is measured by
+//! the rig's larger scenarios (`docs/results.md`).
 
 use martenramp::subsetting::{self, Endpoint};
 use rig::SEC;
 use rig::fleet::{Outcome, play};
-use rig::front::Outcome as End;
+use rig::front::Outcome as RpcOutcome;
 use rig::measure::Quantity;
 use rig::report::Figures;
 use rig::scenario::Scenario;
@@ -14,15 +15,16 @@
 use std::path::Path;
 
 const BIN: &str = env!("CARGO_BIN_EXE_martenramp");
-/// The smaller fleet that CI plays.
-const SMALL: [&str; 3] = ["gateways=20", "load.customers=200", "warm_seconds=2.0"];
+/// Overrides that reduce a scenario to the smaller fleet that CI runs.
+const SMALL_FLEET: [&str; 3] = ["gateways=20", "load.customers=200", "warm_seconds=2.0"];
 
-/// Plays one of the rig's scenarios and looks at what has to hold whatever the fault: nothing crashed, every RPC that
-/// reached a gateway got one final answer, and what may run once only did.
-fn played(name: &str, set: &[&str]) -> (Outcome, Figures) {
+/// Runs one of the rig's scenarios and asserts what has to hold under any fault: no process crashed, no RPC got more
+/// than one final response, and no RPC that may run only once ran twice.
+fn run_scenario(name: &str, overrides: &[&str]) -> (Outcome, Figures) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../rig/scenarios/{name}.toml"));
-    let set: Vec<String> = SMALL.iter().chain(set).map(|one| one.to_string()).collect();
-    let scenario = Scenario::load(&file, &set).unwrap();
+    let overrides: Vec<String> =
+        SMALL_FLEET.iter().chain(overrides).map(|setting| setting.to_string()).collect();
+    let scenario = Scenario::load(&file, &overrides).unwrap();
     let outcome = play(&scenario, Path::new(BIN)).unwrap();
     let figures = Figures::of(&scenario, &outcome);
     println!("{}", figures.shown());
@@ -31,120 +33,130 @@
     (outcome, figures)
 }
 
-fn share(part: usize, of: usize) -> f64 {
-    part as f64 / of.max(1) as f64
+fn ratio(count: usize, total: usize) -> f64 {
+    count as f64 / total.max(1) as f64
 }
 
-/// Of all call-outs from a time on, the share that went to these servers.
-fn sent_to(outcome: &Outcome, from: u64, which: impl Fn(usize) -> bool) -> f64 {
+/// Of all attempts from a time on, the share that went to the servers that the predicate selects.
+fn attempt_share(outcome: &Outcome, from: u64, is_selected: impl Fn(usize) -> bool) -> f64 {
     let rows: Vec<_> = outcome.ledger.iter().filter(|row| row.at >= from && row.at < outcome.to).collect();
-    share(rows.iter().filter(|row| which(row.server as usize)).count(), rows.len())
+    ratio(rows.iter().filter(|row| is_selected(row.server as usize)).count(), rows.len())
 }
 
-fn fault(outcome: &Outcome) -> u64 {
+fn fault_time(outcome: &Outcome) -> u64 {
     outcome.fault_at.unwrap()
 }
 
 #[test]
-fn seven_in_ten_killed_and_back_go_on_at_the_servers_they_had() {
-    let (outcome, figures) = played("kill70", &["seconds=20.0"]);
+fn gateways_keep_their_subsets_after_seven_in_ten_are_killed_and_restarted() {
+    let (outcome, figures) = run_scenario("kill70", &["seconds=20.0"]);
     assert_eq!(outcome.starts.iter().filter(|starts| **starts == 2).count(), 14);
-    // The front finds the dead within a second; nothing else is lost.
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0, "{:?}", figures.run);
-    // Each gateway draws from the part that the table gives it, after its restart too.
+    // The front detects the killed gateways within a second; nothing else is lost.
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0, "{:?}", figures.run);
+    // Each gateway sends to the subset that the subsetting table assigns to it, also after its restart.
     let members: Vec<Endpoint> = (0..40)
-        .map(|at| Endpoint {
-            id: at,
-            key: subsetting::key(&format!("s{at:04}")),
-            zone: at as u16 % 2,
+        .map(|server| Endpoint {
+            id: server,
+            key: subsetting::key(&format!("s{server:04}")),
+            zone: server as u16 % 2,
             weight: 1.0,
             same_zone: false,
         })
         .collect();
-    let parts: Vec<BTreeSet<u32>> =
-        subsetting::subsets(&members, 20, 18.0).into_iter().map(|part| part.into_iter().collect()).collect();
-    for from in [outcome.from, fault(&outcome) + 2 * SEC] {
+    let subsets: Vec<BTreeSet<u32>> = subsetting::subsets(&members, 20, 18.0)
+        .into_iter()
+        .map(|subset| subset.into_iter().collect())
+        .collect();
+    for from in [outcome.from, fault_time(&outcome) + 2 * SEC] {
         let rows: Vec<_> =
             outcome.ledger.iter().filter(|row| row.at >= from && row.at < from + 8 * SEC).collect();
-        let own = rows.iter().filter(|row| parts[row.gateway()].contains(&row.server)).count();
-        assert!(share(own, rows.len()) > 0.9, "{own} of {}", rows.len());
+        let in_subset = rows.iter().filter(|row| subsets[row.gateway()].contains(&row.server)).count();
+        assert!(ratio(in_subset, rows.len()) > 0.9, "{in_subset} of {}", rows.len());
     }
     let peak = figures.spread("fault", 5.0, Quantity::Rpcs).unwrap().peak_worst;
     assert!(peak < 3.0 && figures.run.idle == 0, "{peak}");
 }
 
 #[test]
-fn half_of_the_servers_replaced_get_nothing_new_and_the_new_ones_their_share() {
-    let (outcome, figures) = played("replace-half", &["seconds=24.0"]);
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
-    for (at, server) in outcome.servers.iter().enumerate() {
-        let rows = outcome.ledger.iter().filter(|row| row.server as usize == at);
-        let last = rows.clone().map(|row| row.at).max().unwrap_or(0);
-        let until = server.ready.last().unwrap().1;
-        assert!(last < until.saturating_add(2 * SEC), "server {at} was sent to long after its drain");
-        assert!(rows.count() > 0, "server {at} got nothing");
+fn replaced_servers_get_nothing_new_and_their_replacements_get_load() {
+    let (outcome, figures) = run_scenario("replace-half", &["seconds=24.0"]);
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
+    for (index, server) in outcome.servers.iter().enumerate() {
+        let rows = outcome.ledger.iter().filter(|row| row.server as usize == index);
+        let last_attempt_at = rows.clone().map(|row| row.at).max().unwrap_or(0);
+        let drained_at = server.ready.last().unwrap().1;
+        assert!(
+            last_attempt_at < drained_at.saturating_add(2 * SEC),
+            "server {index} received attempts long after its drain"
+        );
+        assert!(rows.count() > 0, "server {index} received no attempt");
     }
     assert_eq!(figures.run.idle, 0);
 }
 
 #[test]
-fn a_zone_gone_and_back_cold_is_not_run_over() {
-    let (outcome, figures) = played("zone-cold", &["seconds=24.0"]);
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.93 && figures.run.lost == 0, "{:?}", figures.run);
+fn a_zone_that_returns_cold_is_not_overloaded() {
+    let (outcome, figures) = run_scenario("zone-cold", &["seconds=24.0"]);
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.93 && figures.run.lost == 0, "{:?}", figures.run);
     assert_eq!(figures.run.turned_away, 0);
-    // Gone: nothing comes there. Back: it gets RPCs again, no more than its share.
-    let (gone, back) = (fault(&outcome), fault(&outcome) + 5 * SEC);
-    // Each server is down from when the script has taken it down, some milliseconds after the fault's time.
+    // While the zone is down it receives no attempts. Once it is up it receives RPCs again, but no more than its share.
+    let (zone_down, zone_up) = (fault_time(&outcome), fault_time(&outcome) + 5 * SEC);
+    // The script takes each server down some milliseconds after the fault's time.
     let down_at = |server: u32| {
         let spans = &outcome.servers[server as usize].ready;
-        spans.iter().map(|span| span.1).find(|end| *end >= gone).expect("a span that ends with the fault")
+        spans
+            .iter()
+            .map(|span| span.1)
+            .find(|ready_until| *ready_until >= zone_down)
+            .expect("no ready span ends with the fault")
     };
-    let is_dead = |server: u32, at: u64| at > down_at(server) && at < back;
-    let dead = outcome.ledger.iter().filter(|row| row.server % 2 == 0 && is_dead(row.server, row.at));
-    assert_eq!(dead.count(), 0);
-    let again = sent_to(&outcome, back + 2 * SEC, |server| server % 2 == 0);
-    assert!(again > 0.1 && again < 0.6, "{again}");
+    let is_down = |server: u32, time: u64| time > down_at(server) && time < zone_up;
+    let attempts_while_down =
+        outcome.ledger.iter().filter(|row| row.server % 2 == 0 && is_down(row.server, row.at));
+    assert_eq!(attempts_while_down.count(), 0);
+    let share_after_return = attempt_share(&outcome, zone_up + 2 * SEC, |server| server % 2 == 0);
+    assert!(share_after_return > 0.1 && share_after_return < 0.6, "{share_after_return}");
 }
 
 #[test]
-fn gateways_with_different_lists_harm_nobody() {
-    let (outcome, figures) = played("lists", &["seconds=24.0"]);
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0, "{:?}", figures.run);
-    let new = sent_to(&outcome, outcome.to - 5 * SEC, |server| server >= 40);
-    assert!(new > 0.1, "the new servers get {new}");
+fn gateways_with_different_lists_keep_serving_and_use_new_servers() {
+    let (outcome, figures) = run_scenario("lists", &["seconds=24.0"]);
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0, "{:?}", figures.run);
+    let new_server_share = attempt_share(&outcome, outcome.to - 5 * SEC, |server| server >= 40);
+    assert!(new_server_share > 0.1, "share of attempts to the new servers: {new_server_share}");
 }
 
 #[test]
-fn a_fleet_that_doubles_while_half_of_the_old_is_told_goes_on() {
-    let (outcome, figures) = played("grow", &["seconds=20.0", "gateways=16"]);
-    // Those that were told the smaller fleet answer 400 to customers beyond it (`docs/ROADMAP.md`, versions).
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.85 && figures.run.lost == 0, "{:?}", figures.run);
-    assert_eq!(outcome.lines.len(), 56, "16 and the 40 that came");
+fn a_fleet_that_doubles_keeps_serving_while_half_of_the_old_gateways_are_not_informed() {
+    let (outcome, figures) = run_scenario("grow", &["seconds=20.0", "gateways=16"]);
+    // Gateways that still have the smaller fleet's size respond 400 to customers beyond it (`docs/ROADMAP.md`, versions).
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.85 && figures.run.lost == 0, "{:?}", figures.run);
+    assert_eq!(outcome.lines.len(), 56, "16 gateways at the start and 40 that join");
     let served: BTreeSet<usize> = outcome.ledger.iter().map(|row| row.gateway()).collect();
     assert!(served.len() > 50, "{} gateways served", served.len());
     assert_eq!(figures.run.idle, 0);
 }
 
 #[test]
-fn a_fleet_that_doubles_by_a_version_refuses_nobody() {
-    let (outcome, figures) = played("grow-agreed", &["seconds=20.0", "gateways=16"]);
-    // Half of the old ones never get it: on their ground they know the largest fleet.
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.99, "{:?}", figures.run);
+fn a_fleet_that_doubles_by_a_settings_version_fails_no_rpc() {
+    let (outcome, figures) = run_scenario("grow-agreed", &["seconds=20.0", "gateways=16"]);
+    // Half of the old gateways never receive the version, but the fallback that they act on allows for the largest fleet.
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.99, "{:?}", figures.run);
     assert_eq!((figures.run.failed, figures.run.lost, figures.run.idle), (0, 0, 0));
     let served: BTreeSet<usize> = outcome.ledger.iter().map(|row| row.gateway()).collect();
     assert!(served.len() > 50, "{} gateways served", served.len());
 }
 
 #[test]
-fn two_gateways_with_anothers_number_leave_no_server_idle() {
-    let (_, figures) = played("same-number", &["seconds=10.0"]);
+fn two_gateways_with_a_duplicate_number_leave_no_server_idle() {
+    let (_, figures) = run_scenario("same-number", &["seconds=10.0"]);
     assert_eq!((figures.run.ok, figures.run.idle), (figures.run.rpcs, 0));
     assert!(figures.spread("health", 5.0, Quantity::Rpcs).unwrap().peak_worst < 3.0);
 }
 
 #[test]
-fn what_fails_fast_or_is_slow_draws_no_herd() {
-    let (outcome, figures) = played("fails-fast", &["seconds=18.0"]);
+fn servers_that_fail_fast_attract_no_extra_load() {
+    let (outcome, figures) = run_scenario("fails-fast", &["seconds=18.0"]);
     let failing: BTreeSet<u32> = outcome
         .ledger
         .iter()
@@ -152,79 +164,91 @@
         .map(|row| row.server)
         .collect();
     assert_eq!(failing.len(), 5);
-    let sent = sent_to(&outcome, fault(&outcome) + 4 * SEC, |server| failing.contains(&(server as u32)));
-    assert!(sent < 0.1, "{sent} of all call-outs, 0.125 would be their share");
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0);
+    let sent_share =
+        attempt_share(&outcome, fault_time(&outcome) + 4 * SEC, |server| failing.contains(&(server as u32)));
+    assert!(
+        sent_share < 0.1,
+        "failing servers received {sent_share} of all attempts; an even share is 0.125"
+    );
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0);
 }
 
 #[test]
-fn one_slow_server_of_eight_gets_less() {
-    let (outcome, figures) = played("slow", &["seconds=18.0"]);
-    let from = fault(&outcome) + 4 * SEC;
-    // The slow ones are known by the time they take.
+fn slow_servers_get_less_load() {
+    let (outcome, figures) = run_scenario("slow", &["seconds=18.0"]);
+    let from = fault_time(&outcome) + 4 * SEC;
+    // The slow servers are identified by their median service time.
     let slow: BTreeSet<usize> = (0..40)
-        .filter(|at| {
-            let rows =
-                outcome.ledger.iter().filter(|row| row.server as usize == *at && row.at >= fault(&outcome));
-            let mut took: Vec<u64> = rows.map(|row| row.done - row.at).collect();
-            took.sort_unstable();
-            took.get(took.len() / 2).is_some_and(|middle| *middle > 80_000_000)
+        .filter(|index| {
+            let rows = outcome
+                .ledger
+                .iter()
+                .filter(|row| row.server as usize == *index && row.at >= fault_time(&outcome));
+            let mut service_times: Vec<u64> = rows.map(|row| row.done - row.at).collect();
+            service_times.sort_unstable();
+            service_times.get(service_times.len() / 2).is_some_and(|median| *median > 80_000_000)
         })
         .collect();
     assert!((3..=7).contains(&slow.len()), "{slow:?}");
-    let sent = sent_to(&outcome, from, |server| slow.contains(&server));
-    assert!(sent < 0.9 * slow.len() as f64 / 40.0, "{sent}");
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
+    let sent_share = attempt_share(&outcome, from, |server| slow.contains(&server));
+    assert!(sent_share < 0.9 * slow.len() as f64 / 40.0, "{sent_share}");
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
 }
 
 #[test]
 fn load_follows_weights_from_a_tenth_to_ten() {
-    let (outcome, _) = played("weights", &["seconds=14.0"]);
+    let (outcome, _) = run_scenario("weights", &["seconds=14.0"]);
     let total: f64 = outcome.servers.iter().map(|server| server.weight).sum();
     for weight in [1.0, 3.0, 10.0] {
-        let is = |server: usize| outcome.servers[server].weight == weight;
-        let want = weight * (0..40).filter(|at| is(*at)).count() as f64 / total;
-        let sent = sent_to(&outcome, outcome.from, is);
-        assert!(sent > 0.5 * want && sent < 1.6 * want, "weight {weight}: {sent} for {want}");
+        let has_weight = |server: usize| outcome.servers[server].weight == weight;
+        let expected = weight * (0..40).filter(|server| has_weight(*server)).count() as f64 / total;
+        let sent_share = attempt_share(&outcome, outcome.from, has_weight);
+        assert!(
+            sent_share > 0.5 * expected && sent_share < 1.6 * expected,
+            "weight {weight}: share {sent_share}, expected {expected}"
+        );
     }
 }
 
 #[test]
-fn fewer_gateways_than_servers_and_the_reverse_leave_none_idle() {
-    let (_, few) = played("few-gateways", &["seconds=10.0", "gateways=8"]);
+fn no_server_is_idle_with_fewer_or_more_gateways_than_servers() {
+    let (_, few) = run_scenario("few-gateways", &["seconds=10.0", "gateways=8"]);
     assert_eq!((few.run.ok, few.run.idle), (few.run.rpcs, 0));
-    let (_, many) = played("many-gateways", &["seconds=10.0", "gateways=40", "load.rate=2.0"]);
+    let (_, many) = run_scenario("many-gateways", &["seconds=10.0", "gateways=40", "load.rate=2.0"]);
     assert_eq!((many.run.ok, many.run.idle), (many.run.rpcs, 0));
 }
 
 #[test]
-fn gateways_that_stood_still_wake_and_go_on() {
-    let (outcome, figures) = played("pause", &["seconds=16.0"]);
-    let after = fault(&outcome) + 4 * SEC;
+fn paused_gateways_resume_and_serve() {
+    let (outcome, figures) = run_scenario("pause", &["seconds=16.0"]);
+    let after = fault_time(&outcome) + 4 * SEC;
     let served: BTreeSet<usize> =
         outcome.ledger.iter().filter(|row| row.at > after).map(|row| row.gateway()).collect();
-    assert_eq!(served.len(), 20, "all serve after the stop");
-    // What was held through the stop is answered late at worst.
-    assert!(share(figures.run.lost, figures.run.rpcs) < 0.02, "{:?}", figures.run);
+    assert_eq!(served.len(), 20, "not all gateways serve after the pause");
+    // RPCs that were held during the pause are answered late rather than lost.
+    assert!(ratio(figures.run.lost, figures.run.rpcs) < 0.02, "{:?}", figures.run);
 }
 
 #[test]
-fn answers_cut_one_way_run_nothing_twice_and_cost_only_what_was_out() {
-    let (outcome, figures) = played("one-way", &["seconds=24.0"]);
+fn one_way_cuts_run_no_rpc_twice_and_fail_only_attempts_in_flight() {
+    let (outcome, figures) = run_scenario("one-way", &["seconds=24.0"]);
     assert!(figures.run.lost == 0, "{:?}", figures.run);
-    assert!(share(figures.run.ok, figures.run.rpcs) > 0.85, "{:?}", figures.run);
-    // Once all is well again it is well for all.
-    let end: Vec<_> = outcome.calls.iter().filter(|call| call.due > outcome.to - 2 * SEC).collect();
-    assert!(share(end.iter().filter(|call| call.outcome == End::Ok).count(), end.len()) > 0.95);
+    assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.85, "{:?}", figures.run);
+    // Once the connections work again, RPCs are served throughout the fleet.
+    let last_calls: Vec<_> = outcome.calls.iter().filter(|call| call.due > outcome.to - 2 * SEC).collect();
+    assert!(
+        ratio(last_calls.iter().filter(|call| call.outcome == RpcOutcome::Ok).count(), last_calls.len())
+            > 0.95
+    );
 }
 
 #[test]
-fn a_story_that_fails_leaves_no_process() {
-    let story = std::panic::catch_unwind(|| {
+fn a_failing_test_leaves_no_process_behind() {
+    let panic = std::panic::catch_unwind(|| {
         let program = Program::start(BIN, nowhere(), "", &settings(""));
         std::panic::panic_any(program.child.id());
     });
-    let id = *story.unwrap_err().downcast::<u32>().unwrap();
-    let pid = rustix::process::Pid::from_raw(id as i32).unwrap();
+    let process_id = *panic.unwrap_err().downcast::<u32>().unwrap();
+    let pid = rustix::process::Pid::from_raw(process_id as i32).unwrap();
     assert_eq!(rustix::process::test_kill_process(pid), Err(rustix::io::Errno::SRCH));
 }
