--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -1,5 +1,5 @@
-//! Rare moments, made to happen every time: the program is started and spoken to over loopback, and each story brings
-//! one event between two others where it does the most harm. `docs/races.md` lists the windows.
+//! Race conditions, reproduced deterministically: the tests run the gateway program over loopback, and each one places
+//! an event in the time window between two others in which it does the most harm. `docs/races.md` lists the windows.
 
 use standins::scripted::{
     Late, PATIENCE, Peer, Program, Reply, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings,
@@ -10,102 +10,106 @@
 mod support;
 use support::{BIN, patient_settings, under, watch};
 
-// ---- A connection to a server that comes up late: what was true when the attempt was asked for may not be any more.
+// ---- Server connections that are established late: what held when the attempt was decided may no longer hold.
 
 #[test]
-fn a_client_that_left_while_its_connection_came_up_is_not_sent_on() {
-    let (late, discovery) = (Late::default(), watch());
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+fn an_rpc_whose_client_left_while_its_server_connection_was_pending_is_not_written() {
+    let (late_server, discovery) = (Late::default(), watch());
+    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     drop(client);
     gateway.line("left-before-answer");
-    let mut server = late.open();
+    let mut server = late_server.open();
     assert!(gateway.line("\"not written\"").contains("client-left"));
     assert!(server.nothing_came());
-    // The connection is kept for whoever comes next.
+    // The connection is kept for the next RPC.
     let mut next = gateway.client();
     next.send(&rpc("verify", 20_000));
     assert!(server.answer().unwrap().starts_with("POST "));
 }
 
 #[test]
-fn a_server_that_drains_while_its_connection_comes_up_gets_nothing_and_another_is_asked() {
-    let (late, discovery) = (Late::default(), watch());
+fn a_server_that_drains_while_its_connection_is_pending_gets_nothing_and_another_is_tried() {
+    let (late_server, discovery) = (Late::default(), watch());
     let other = Peer::new(|_, _| answer(200, "", "other"));
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
-    let drains = [entry("s0", late.address, "draining"), entry("s1", other.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &drains)));
-    let mut server = late.open();
+    let changed_entries = [entry("s0", late_server.address, "draining"), entry("s1", other.address, "ready")];
+    discovery.tell(0, &chunk(&list(4, false, &changed_entries)));
+    let mut server = late_server.open();
     assert!(gateway.line("\"not written\"").contains("server-drains-or-gone"));
     assert!(server.nothing_came());
     assert!(
         client.answer().unwrap().ends_with("other"),
-        "an attempt that was never written may go elsewhere"
+        "an attempt that was never written may go to another server"
     );
 }
 
 #[test]
-fn a_server_that_moves_while_its_connection_comes_up_is_asked_where_it_is_now() {
-    let (late, discovery) = (Late::default(), watch());
+fn a_server_that_moves_while_its_connection_is_pending_is_tried_at_its_new_address() {
+    let (late_server, discovery) = (Late::default(), watch());
     let moved = Peer::new(|_, _| answer(200, "", "moved"));
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
     discovery.tell(0, &chunk(&list(4, false, &[entry("s0", moved.address, "ready")])));
-    let mut server = late.open();
+    let mut server = late_server.open();
     assert!(gateway.line("\"not written\"").contains("server-moved"));
     assert!(client.answer().unwrap().ends_with("moved"));
-    assert!(server.is_closed(), "and nothing was written there");
+    assert!(server.is_closed(), "the unused connection was left open or written to");
 }
 
 #[test]
-fn a_repeat_whose_window_passes_while_its_connection_comes_up_is_not_written() {
-    let (late, discovery) = (Late::default(), watch());
+fn a_retry_whose_window_ends_while_its_connection_is_pending_is_not_written() {
+    let (late_server, discovery) = (Late::default(), watch());
     let first = Peer::new(|_, _| (Vec::new(), false));
     let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("submit", 20_000));
     assert_eq!(first.next().0, 0);
-    let next = [entry("s0", first.address, "draining"), entry("s1", late.address, "ready")];
+    let next = [entry("s0", first.address, "draining"), entry("s1", late_server.address, "ready")];
     discovery.tell(0, &chunk(&list(4, false, &next)));
     gateway.catch_up();
-    // It may have run, and may be repeated for a second. The system asks again for the connection after one.
+    // The RPC may have run, and may be repeated for 1 s. The system retries the pending connection only after 1 s.
     first.reset(0);
     assert!(gateway.line("\"server\"").contains("\"reset\""));
-    let mut server = late.open();
+    let mut server = late_server.open();
     assert!(gateway.line("\"not written\"").contains("repeat-window-over"));
-    assert_eq!(status(&client.answer().unwrap()), 502, "nothing is promised of what may have run");
+    assert_eq!(
+        status(&client.answer().unwrap()),
+        502,
+        "an RPC that may have run is not reported as harmless to retry"
+    );
     assert!(server.nothing_came());
 }
 
 #[test]
-fn an_rpc_whose_time_passes_while_its_connection_comes_up_is_pushed_back_and_never_written() {
-    let (late, discovery) = (Late::default(), watch());
-    let told = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
-    let gateway = under(&discovery, &[entry("s0", late.address, "ready")], &told);
-    let got = gateway.client().ask(&rpc("verify", 300));
-    assert_eq!(status(&got), 503, "never written, so trying again is harmless");
+fn an_rpc_whose_deadline_passes_while_its_connection_is_pending_is_rejected_and_never_written() {
+    let (late_server, discovery) = (Late::default(), watch());
+    let settings = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
+    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &settings);
+    let response = gateway.client().ask(&rpc("verify", 300));
+    assert_eq!(status(&response), 503, "an RPC that was never written is harmless to retry");
     let mut next = gateway.client();
     next.send(&rpc("read", 20_000));
-    let got = late.open().answer().unwrap();
-    assert!(got.starts_with("GET "), "the first that reaches the server is the next one, not {got}");
+    let response = late_server.open().answer().unwrap();
+    assert!(response.starts_with("GET "), "the server must receive the next RPC first, not {response}");
 }
 
 #[test]
-fn on_sigterm_a_connection_that_comes_up_late_still_carries_its_rpc() {
-    let (late, discovery) = (Late::default(), watch());
-    let mut gateway = under(&discovery, &[entry("s0", late.address, "ready")], &patient_settings());
+fn after_sigterm_a_connection_established_late_still_carries_its_rpc() {
+    let (late_server, discovery) = (Late::default(), watch());
+    let mut gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
     gateway.signal("-TERM");
     gateway.line("\"stopping\"");
-    let mut server = late.open();
+    let mut server = late_server.open();
     assert!(server.answer().unwrap().starts_with("POST "));
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
     assert!(client.answer().unwrap().ends_with("late"));
@@ -113,40 +117,46 @@
     assert!(gateway.child.wait().unwrap().success());
 }
 
-// ---- Ends of connections to servers: only a close in good order ends an answer that tells no length.
+// ---- Ends of server connections: only an orderly close completes a response without a length.
 
-/// Speaks this on a message, and the test ends the connection.
-fn says(text: &'static str) -> impl Fn(usize, &str) -> Reply {
+/// Replies to a request with this text. The test ends the connection.
+fn reply_with(text: &'static str) -> impl Fn(usize, &str) -> Reply {
     move |_, _| say(text)
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_only_once_its_connection_is_closed_in_good_order() {
-    let server = Peer::new(says("HTTP/1.1 200 OK\r\n\r\nhalf of it"));
+fn a_response_without_a_length_is_complete_only_after_an_orderly_close() {
+    let server = Peer::new(reply_with("HTTP/1.1 200 OK\r\n\r\nhalf of it"));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
-    for (method, told) in [("verify", 502), ("submit", 502)] {
+    for (method, expected) in [("verify", 502), ("submit", 502)] {
         let mut client = gateway.client();
         client.send(&rpc(method, 2000));
-        // `submit` may be repeated once; both attempts meet the same.
+        // `submit` may be retried once; both attempts are reset.
         for _ in 0..if method == "submit" { 2 } else { 1 } {
             server.reset(server.next().0);
         }
-        let got = client.answer().unwrap();
-        assert!(matches!(status(&got), 429 | 503) && method == "submit" || status(&got) == told, "{got}");
-        assert!(!got.contains("half"), "{got}");
+        let response = client.answer().unwrap();
+        assert!(
+            matches!(status(&response), 429 | 503) && method == "submit" || status(&response) == expected,
+            "{response}"
+        );
+        assert!(!response.contains("half"), "{response}");
     }
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
     server.close(server.next().0);
-    let got = client.answer().unwrap();
-    assert!(status(&got) == 200 && got.ends_with("half of it"), "a close in good order is its end: {got}");
-    assert!(server.nothing_came(), "what may have run and must not run twice was not sent again");
+    let response = client.answer().unwrap();
+    assert!(
+        status(&response) == 200 && response.ends_with("half of it"),
+        "an orderly close completes the response: {response}"
+    );
+    assert!(server.nothing_came(), "an RPC that may have run and must not run twice was sent again");
 }
 
 #[test]
-fn a_turned_away_without_a_length_that_is_reset_proves_nothing() {
-    let server = Peer::new(says("HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\nqueue"));
+fn a_rejection_without_a_length_that_ends_in_a_reset_proves_nothing() {
+    let server = Peer::new(reply_with("HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\nqueue"));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
@@ -157,14 +167,14 @@
 }
 
 #[test]
-fn half_a_line_that_comes_on_a_resting_connection_is_never_part_of_the_next_answer() {
+fn a_partial_line_on_an_idle_connection_is_never_part_of_the_next_response() {
     let server = Peer::new(|number, _| answer(200, "", if number == 0 { "one" } else { "two" }));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     assert!(client.ask(&rpc("verify", 2000)).ends_with("one"));
     assert_eq!(server.next().0, 0);
-    // In one turn of the gateway: the next RPC is read first, then the half line lies there.
+    // Within one turn, the gateway reads the next RPC first and then finds the partial line on the server connection.
     gateway.stand_still();
     client.send(&rpc("verify", 2000));
     server.tell(0, "HTTP/1.1 200 OK\r\nConte");
@@ -174,8 +184,8 @@
 }
 
 #[test]
-fn an_answer_that_never_ends_one_byte_at_a_time_is_given_up_when_its_time_is_over() {
-    let server = Peer::new(says("HTTP/1.1 200 OK\r\n\r\n"));
+fn an_endless_response_of_single_bytes_is_abandoned_at_the_deadline() {
+    let server = Peer::new(reply_with("HTTP/1.1 200 OK\r\n\r\n"));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
@@ -183,17 +193,17 @@
     assert_eq!(server.next().0, 0);
     while client.nothing_came() {
         server.tell(0, "x");
-        gateway.catch_up(); // each byte is read by itself
+        gateway.catch_up(); // the gateway reads each byte on its own
     }
-    let got = client.answer().unwrap();
-    assert!(matches!(status(&got), 502 | 504) && !got.contains("xx"), "{got}");
-    assert!(server.nothing_came(), "it may have run");
+    let response = client.answer().unwrap();
+    assert!(matches!(status(&response), 502 | 504) && !response.contains("xx"), "{response}");
+    assert!(server.nothing_came(), "an RPC that may have run was sent again");
 }
 
-// ---- Clients that leave or send on at the wrong moment.
+// ---- Clients that leave or send more data at the wrong moment.
 
 #[test]
-fn a_message_whose_end_crosses_made_room_is_served() {
+fn a_message_completed_while_its_slot_is_reclaimed_is_served() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
     let discovery = watch();
     let known = format!(
@@ -203,44 +213,44 @@
     let gateway = Program::start(BIN, discovery.address, &known, &patient_settings());
     assert!(discovery.next().1.contains("from=3"));
     let mut paused = gateway.client();
-    let message = rpc("verify", 20_000);
-    paused.send(&message[..200]);
+    let request = rpc("verify", 20_000);
+    paused.send(&request[..200]);
     gateway.catch_up();
-    let begun = Instant::now();
-    // All other places are taken by clients whose RPCs wait.
+    let paused_at = Instant::now();
+    // Clients with waiting RPCs occupy all other connection slots.
     let mut others: Vec<_> = (0..21).map(|_| gateway.client()).collect();
     for (number, client) in others.iter_mut().enumerate() {
         client.send(&rpc("read", 20_000).replace("0123456789abcdef", &format!("{number:016x}")));
     }
     gateway.catch_up();
     gateway.stand_still();
-    // A message may pause for two seconds before its place is wanted: that is what is tested.
-    std::thread::sleep(Duration::from_millis(2050).saturating_sub(begun.elapsed()));
-    let _comes = gateway.client();
-    paused.send(&message[200..]);
+    // A message may pause for two seconds before its slot may be reclaimed; the test depends on that time.
+    std::thread::sleep(Duration::from_millis(2050).saturating_sub(paused_at.elapsed()));
+    let _newcomer = gateway.client();
+    paused.send(&request[200..]);
     gateway.signal("-CONT");
     gateway.catch_up();
     discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "ready")])));
-    let got = paused.answer();
+    let response = paused.answer();
     assert!(
-        got.as_ref().is_some_and(|got| got.ends_with("on")),
-        "it had come whole when its place was wanted: {got:?}, {:#?}",
+        response.as_ref().is_some_and(|response| response.ends_with("on")),
+        "the message was complete when its slot was reclaimed: {response:?}, {:#?}",
         gateway.lines_now()
     );
 }
 
 #[test]
-fn a_client_whose_leaving_lies_behind_a_flood_of_its_own_is_seen_to_leave() {
+fn a_client_that_leaves_after_flooding_the_gateway_is_detected_as_gone() {
     let discovery = watch();
-    // No server: the RPC waits for one.
+    // No server is ready, so the RPC waits for one.
     let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than any buffer on the way holds
+    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers in between can hold
     client.send(&flood);
     drop(client);
     gateway.line("left-before-answer");
-    // What waits for a server finds one now: nothing of the flood and nothing of the RPC is sent on.
+    // A server becomes ready for whatever still waits: neither the RPC nor any of the flood may be sent to it.
     let server = Peer::new(|_, _| answer(200, "", "on"));
     discovery.tell(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
     assert!(gateway.client().ask(&rpc("read", 20_000)).ends_with("on"));
@@ -248,7 +258,7 @@
 }
 
 #[test]
-fn a_client_that_sends_on_before_its_answer_gets_it_and_is_closed() {
+fn a_client_that_sends_more_before_its_response_gets_it_and_is_closed() {
     let server = Peer::new(|_, _| (Vec::new(), false));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
@@ -258,19 +268,19 @@
     client.send(&"x".repeat(1 << 20));
     gateway.catch_up();
     server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
-    let got = client.answer().unwrap();
-    assert!(got.ends_with("own") && got.contains("Connection: close"), "{got}");
+    let response = client.answer().unwrap();
+    assert!(response.ends_with("own") && response.contains("Connection: close"), "{response}");
     assert!(gateway.line("\"client\"").contains("sends-on-before-its-answer") || client.is_closed());
 }
 
 #[test]
-fn a_client_that_resets_while_its_rpc_waits_is_seen_to_leave() {
+fn a_client_that_resets_while_its_rpc_waits_is_detected_as_gone() {
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.catch_up();
-    client.send("GET /api/"); // and half a message more
+    client.send("GET /api/"); // followed by half a message
     client.reset();
     gateway.line("left-before-answer");
     let server = Peer::new(|_, _| answer(200, "", "on"));
@@ -280,67 +290,68 @@
 }
 
 #[test]
-fn a_refused_client_that_sent_more_is_closed_without_a_reset() {
+fn a_client_with_an_invalid_message_and_more_input_is_closed_without_a_reset() {
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", nowhere(), "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&format!("nonsense\r\n\r\n{}", "x".repeat(200 << 10)));
-    // It reads nothing until its connection is closed; unread bytes would have made a reset of that.
+    // The client reads nothing until its connection is closed. Closing with unread bytes would have sent a reset.
     assert!(gateway.line("\"client\"").contains("bad-head"));
-    assert!(client.error().is_none(), "closed over unread bytes");
+    assert!(client.error().is_none(), "the gateway closed the connection with unread bytes");
     assert_eq!(status(&client.answer().unwrap()), 400);
     assert!(client.is_closed());
 }
 
-// ---- The end of this side.
+// ---- Shutdown of the gateway.
 
 #[test]
-fn what_had_arrived_on_resting_connections_by_the_last_call_is_served() {
+fn requests_that_arrived_on_idle_connections_before_these_close_at_shutdown_are_served() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let discovery = watch();
     let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
-    // More than one look at the sockets brings to light at once (256), so that the last call comes before the rest is read.
-    // Each speaks at once: who says nothing for two seconds is sent away, and on a busy machine so many take longer to open.
-    let rests = |_| {
+    // One poll of the sockets returns at most 256 events, so that idle connections are closed before the rest is read.
+    // Each client sends a request at once: a client that sends nothing for two seconds is closed, and on a busy machine
+    // 400 connections take longer than that to open.
+    let idle_client = |_| {
         let mut client = gateway.client();
         assert_eq!(status(&client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
         client
     };
-    let mut resting: Vec<_> = (0..400).map(rests).collect();
+    let mut idle_clients: Vec<_> = (0..400).map(idle_client).collect();
     gateway.signal("-TERM");
     gateway.line("\"stopping\"");
     gateway.stand_still();
-    for (number, client) in resting.iter_mut().enumerate() {
+    for (number, client) in idle_clients.iter_mut().enumerate() {
         client
             .send(&rpc("read", 20_000).replace("X-Txn: 0123456789abcdef", &format!("X-Txn: {number:016x}")));
     }
-    std::thread::sleep(Duration::from_millis(700)); // the stay of half a second passes: that is what is tested
+    std::thread::sleep(Duration::from_millis(700)); // the listen period of half a second has to pass
     gateway.signal("-CONT");
-    let served = resting.iter_mut().filter_map(|client| client.answer());
-    assert_eq!(served.filter(|got| matches!(status(got), 200 | 429 | 503)).count(), 400);
-    drop(resting);
+    let responses = idle_clients.iter_mut().filter_map(|client| client.answer());
+    assert_eq!(responses.filter(|response| matches!(status(response), 200 | 429 | 503)).count(), 400);
+    drop(idle_clients);
     assert!(gateway.child.wait().unwrap().success());
 }
 
 #[test]
-fn a_connection_taken_just_before_the_last_call_may_still_say_something() {
+fn a_connection_accepted_just_before_idle_ones_close_at_shutdown_may_still_send_a_request() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let discovery = watch();
     let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
-    let mut rests = gateway.client();
-    assert_eq!(status(&rests.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
+    let mut idle_client = gateway.client();
+    assert_eq!(status(&idle_client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
     gateway.line("\"stopping\"");
-    let mut fresh = gateway.client();
-    gateway.catch_up(); // it is taken
-    assert!(rests.is_closed(), "the last call for resting connections");
-    assert!(fresh.ask(&rpc("read", 2000)).ends_with("served"));
-    drop(fresh);
+    let mut new_client = gateway.client();
+    gateway.catch_up(); // the connection is accepted
+    assert!(idle_client.is_closed(), "an idle connection was not closed at the end of the listen period");
+    assert!(new_client.ask(&rpc("read", 2000)).ends_with("served"));
+    drop(new_client);
     assert!(gateway.child.wait().unwrap().success());
 }
 
 #[test]
-fn half_a_message_at_the_end_is_pushed_back_and_not_left_without_a_word() {
+fn half_a_message_at_shutdown_is_rejected_and_not_left_unanswered() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let discovery = watch();
     let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
@@ -349,14 +360,14 @@
     gateway.catch_up();
     gateway.signal("-TERM");
     assert_eq!(status(&client.answer().unwrap()), 503);
-    client.try_send(&rpc("submit", 2000)[150..]); // read after this side ended: never sent on
+    client.try_send(&rpc("submit", 2000)[150..]); // arrives after the rejection and is never sent to a server
     drop(client);
     assert!(gateway.child.wait().unwrap().success());
     assert!(server.nothing_came());
 }
 
 #[test]
-fn sigterm_twice_and_sighup_between_lose_nothing() {
+fn two_sigterms_with_a_sighup_between_lose_no_rpc() {
     let server = Peer::new(|_, _| (Vec::new(), false));
     let (discovery, next) = (watch(), watch());
     let known = [entry("s0", server.address, "ready")];
@@ -377,7 +388,7 @@
 }
 
 #[test]
-fn sigterm_before_the_first_list_answers_what_waits() {
+fn sigterm_before_the_first_list_answers_waiting_rpcs() {
     let discovery = Peer::new(|_, _| (Vec::new(), false));
     let mut gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let mut client = gateway.client();
@@ -390,7 +401,7 @@
 }
 
 #[test]
-fn an_answer_that_its_client_reads_slowly_outlives_the_process() {
+fn a_response_that_its_client_reads_slowly_outlives_the_process() {
     let body = "y".repeat(60 << 10);
     let server = Peer::new(move |_, _| answer(200, "", &body));
     let discovery = watch();
@@ -399,34 +410,34 @@
     client.send(&rpc("verify", 2000));
     server.next();
     gateway.signal("-TERM");
-    assert!(gateway.child.wait().unwrap().success()); // it waits for the client's close for a while only
+    assert!(gateway.child.wait().unwrap().success()); // it waits for the client to close, but only for a limited time
     assert!(client.answer().unwrap().ends_with(&"y".repeat(60 << 10)));
 }
 
 // ---- The watch on discovery's list.
 
 #[test]
-fn a_watch_that_falls_silent_and_one_that_never_speaks_are_replaced_within_8_s() {
+fn a_watch_that_falls_silent_and_one_that_never_responds_are_replaced_within_8_s() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let drained = chunk(&list(9, false, &[entry("s0", server.address, "draining")]));
-    // The first falls silent, the second is taken and says nothing, the third speaks.
+    let drain_update = chunk(&list(9, false, &[entry("s0", server.address, "draining")]));
+    // The first watch stops sending, the second is accepted and never sends anything, the third works.
     let discovery = Peer::new(move |number, _| match number {
         0 => say(WATCH),
         1 => (Vec::new(), false),
-        _ => say(&format!("{WATCH}{drained}")),
+        _ => say(&format!("{WATCH}{drain_update}")),
     });
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     assert_eq!((discovery.next().0, discovery.next().0), (1, 2));
-    // 6 s after it fell silent all counts as told, and 2 s later nothing new may go to what drains.
-    assert!(silent.elapsed() < Duration::from_secs(8), "{:?}", silent.elapsed());
+    // 6 s after the silence began, all changes count as announced; 2 s later nothing new may go to a draining server.
+    assert!(silent_since.elapsed() < Duration::from_secs(8), "{:?}", silent_since.elapsed());
     gateway.catch_up();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    assert!(server.nothing_came(), "it stays up, and gets nothing new");
+    assert!(server.nothing_came(), "new work went to a draining server that is still up");
 }
 
 #[test]
-fn a_watch_reset_just_before_a_drain_is_opened_anew_at_once_where_lists_are_pushed() {
+fn a_watch_reset_just_before_a_drain_is_reopened_at_once_where_lists_are_pushed() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
@@ -436,7 +447,7 @@
         assert_eq!(discovery.next().0, round);
         assert!(
             start.elapsed() < Duration::from_secs(1),
-            "also after the {round}th break: {:?}",
+            "watch not reopened at once after break {round}: {:?}",
             start.elapsed()
         );
     }
@@ -447,48 +458,54 @@
 }
 
 #[test]
-fn a_moved_watch_that_never_answers_leaves_the_old_one_heeded_and_is_asked_for_again() {
+fn a_moved_watch_that_never_responds_is_requested_again_while_the_old_one_stays_in_use() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let (old, new) =
         (watch(), Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { say(WATCH) }));
     let gateway = under(&old, &[entry("s0", server.address, "ready")], &patient_settings());
     gateway.rewrite(&gateway.config(new.address, "", &patient_settings()));
     gateway.signal("-HUP");
-    let moved = Instant::now();
+    let moved_at = Instant::now();
     assert_eq!(new.next().0, 0);
     old.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
     gateway.catch_up();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    let (number, asked) = new.next();
-    assert!(number == 1 && asked.contains("from=4"), "{asked}");
-    assert!(moved.elapsed() < Duration::from_secs(4), "what the new one has counts 4 s after the move");
+    let (number, request) = new.next();
+    assert!(number == 1 && request.contains("from=4"), "{request}");
+    assert!(
+        moved_at.elapsed() < Duration::from_secs(4),
+        "changes at the new discovery must take effect within 4 s of the move"
+    );
     assert!(server.nothing_came());
 }
 
 #[test]
-fn lists_are_read_whatever_white_space_and_chunks_they_come_in() {
+fn lists_are_parsed_with_any_white_space_and_chunk_boundaries() {
     let (one, two) = (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
     let discovery = watch();
     let gateway = under(&discovery, &[entry("s0", one.address, "ready")], &patient_settings());
-    let wide =
+    let padded_list =
         list(4, true, &[entry("s1", two.address, "ready")]).replace(",", ",\r\n\t ").replace(":{", ": {");
-    for piece in format!("\n\n  {wide}\n").as_bytes().chunks(7) {
+    for piece in format!("\n\n  {padded_list}\n").as_bytes().chunks(7) {
         let piece = std::str::from_utf8(piece).unwrap();
         discovery.tell(0, &format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
     gateway.catch_up();
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("two"));
-    // Half an object is not taken, whatever empty lines follow.
-    let half = list(5, true, &[entry("s0", one.address, "ready")]);
-    discovery.tell(0, &chunk(half.rsplit_once(',').unwrap().0));
+    // Half an object is not applied, whatever empty lines follow.
+    let next_list = list(5, true, &[entry("s0", one.address, "ready")]);
+    discovery.tell(0, &chunk(next_list.rsplit_once(',').unwrap().0));
     discovery.tell(0, "1\r\n\n\r\n");
     gateway.catch_up();
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("two"));
-    assert!(discovery.next().1.contains("from=4"), "what does not end is a break");
+    assert!(
+        discovery.next().1.contains("from=4"),
+        "an object that never ends is handled like a break of the watch"
+    );
 }
 
 #[test]
-fn with_discovery_down_at_the_start_it_is_ready_at_once_with_the_list_from_before_and_drains_count() {
+fn a_gateway_started_with_discovery_down_is_ready_at_once_on_its_stored_list_and_respects_drains() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let known = list(3, true, &[entry("s0", server.address, "draining")]);
     let start = Instant::now();
@@ -496,12 +513,12 @@
     assert_eq!(status(&gateway.client().ask("GET /-/ready HTTP/1.1\r\n\r\n")), 200);
     assert!(start.elapsed() < PATIENCE / 2);
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    assert!(server.nothing_came(), "from the first moment on");
+    assert!(server.nothing_came(), "a server that drains in the stored list got new work");
 }
 
-// ---- One customer's burst.
+// ---- Processor time while many RPCs wait.
 
-/// Processor time that the program has used.
+/// Processor time that the gateway process has used.
 fn processor_time(gateway: &Program) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", gateway.child.id())).unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
@@ -509,48 +526,52 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// A gateway that lists two hundred servers that have just started, none of which bears an RPC for minutes.
-fn among_cold_servers(discovery: &Peer) -> Program {
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
-    let started = format!("\"since_ms\":{unix}");
+/// A gateway whose list holds two hundred servers that have just started, none of which can take an RPC for minutes.
+fn gateway_with_cold_servers(discovery: &Peer) -> Program {
+    let now_ms = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
+    let started = format!("\"since_ms\":{now_ms}");
     let cold = |at: usize| entry(&format!("s{at}"), nowhere(), "ready").replace("\"since_ms\":0", &started);
     let entries: Vec<String> = (0..200).map(cold).collect();
-    let told =
+    let settings =
         patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
-    let told = told.replacen('{', "{\"rules\":{\"fall\":80000,\"warmWithin\":1000},", 1);
-    under(discovery, &entries, &told)
+    let settings = settings.replacen('{', "{\"rules\":{\"fall\":80000,\"warmWithin\":1000},", 1);
+    under(discovery, &entries, &settings)
 }
 
-/// On split+mass of the variant four-halls 37 requests were lost at one gateway with a ninth of a core: turns of half a
-/// second, since each event of a customer looked at all of its RPCs that waited, and each of them at all servers.
+/// Guards against turns of the event loop that take half a second, because each event of a customer visited all of its
+/// waiting RPCs, and each of those visited all servers. In the run split+mass of the variant four-halls, this lost 37
+/// requests at one gateway that had a ninth of a core.
 #[test]
-fn a_long_line_of_one_customer_leaves_the_processor_to_others() {
+fn many_waiting_rpcs_of_one_customer_use_little_processor_time() {
     let discovery = watch();
-    let gateway = among_cold_servers(&discovery);
+    let gateway = gateway_with_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..150).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("read", 20_000).replace("0123456789abcdef", &format!("{number:016x}")));
-        gateway.catch_up(); // so that each comes in a turn of its own
+        gateway.catch_up(); // so that each RPC is handled in its own turn
     }
     let used = processor_time(&gateway) - before;
-    assert!(used < Duration::from_millis(2500), "{used:?} for 150 RPCs that wait");
-    assert!(clients.iter_mut().all(|client| client.nothing_came()), "all of them wait");
+    assert!(used < Duration::from_millis(2500), "{used:?} for 150 waiting RPCs");
+    assert!(clients.iter_mut().all(|client| client.nothing_came()), "an RPC was answered instead of waiting");
 }
 
-/// The same of many customers with an RPC each: all look for a server again and again, and none finds one.
+/// The same for many customers with one RPC each, all of which repeatedly look for a server and find none.
 #[test]
-fn customers_that_wait_for_a_server_leave_the_processor_to_others() {
+fn many_customers_that_wait_for_a_server_use_little_processor_time() {
     let discovery = watch();
-    let gateway = among_cold_servers(&discovery);
+    let gateway = gateway_with_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..60).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        let message = rpc("read", 1500).replace("0123456789abcdef", &format!("{number:016x}"));
-        client.send(&message.replace("00000000b4d65521", &format!("{number:016x}")));
+        let request = rpc("read", 1500).replace("0123456789abcdef", &format!("{number:016x}"));
+        client.send(&request.replace("00000000b4d65521", &format!("{number:016x}")));
     }
     for client in &mut clients {
-        assert!(matches!(status(&client.answer().unwrap()), 429 | 503), "no server takes it in its time");
+        assert!(
+            matches!(status(&client.answer().unwrap()), 429 | 503),
+            "no server can take the RPC before its deadline"
+        );
     }
     let used = processor_time(&gateway) - before;
     assert!(used < Duration::from_millis(600), "{used:?} while 60 customers wait for 1.5 s");
@@ -558,19 +579,21 @@
 
 // ---- The counter.
 
-/// With the counter down each gateway keeps to its part of a store. By the rounding of a sum a full part was short of itself, and
-/// the RPC held until it was too late, with a timer each millisecond.
+/// With the counter down, each gateway limits a customer to its share of the quota. Guards against a rounding error in a
+/// sum that left a full share slightly below its size: the RPC was held until its deadline passed, with a timer firing
+/// every millisecond.
 #[test]
-fn with_the_counter_down_an_rpc_larger_than_its_part_passes_when_that_is_full() {
+fn with_the_counter_down_an_rpc_larger_than_the_gateways_share_passes_when_the_share_is_full() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
     let discovery = watch();
-    let told = settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":0.1,\"depth\":2.0");
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &told);
+    let settings =
+        settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":0.1,\"depth\":2.0");
+    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings);
     for customer in 0..40 {
-        let message = rpc("read", 2000)
+        let request = rpc("read", 2000)
             .replace("00000000b4d65521", &format!("{customer:016x}"))
             .replace("spread=1", "spread=2");
-        let got = gateway.client().ask(&message);
-        assert!(got.ends_with("on"), "customer {customer}: {got}");
+        let response = gateway.client().ask(&request);
+        assert!(response.ends_with("on"), "customer {customer}: {response}");
     }
 }
