--- a/crates/gateway/tests/agreement.rs
+++ b/crates/gateway/tests/agreement.rs
@@ -1,6 +1,6 @@
-//! Rollouts of versioned settings over a fleet of gateway processes, with one fault per test. The gateways' own log
-//! records show that no two of them acted on contradicting settings for longer than the bound, and that all agree once
-//! the fault is over.
+//! Rollouts of versioned settings over a fleet of gateway processes, with one fault per test. The
+//! gateways' own log records show that no two of them acted on contradicting settings for longer
+//! than the bound, and that all agree once the fault is over.
 
 use rig::rollouts::{Fleet, Plan, unix};
 use standins::discovery::Mode;
@@ -51,7 +51,8 @@
     fleet.wait(gateways, |record| record.version == version && !record.whole).unwrap();
 }
 
-/// Two clocks may differ by twice the bound on one of them, so gateways may contradict each other for that long.
+/// Two clocks may differ by twice the bound on one of them, so gateways may contradict each other
+/// for that long.
 fn assert_contradictions_within_bound(fleet: &mut Fleet) {
     let (longest, gateways) = fleet.contradicted(0);
     println!("contradicted for {:.1} ms", longest as f64 / 1e6);
@@ -70,12 +71,12 @@
     wait_until_in_force(&mut fleet, &receivers, 2);
     wait_until_on_fallback(&mut fleet, &without_file, 1);
     assert_contradictions_within_bound(&mut fleet);
-    // The file arrives long after its start: first with a different start time, which makes it a different content,
-    // then unchanged.
+    // The file arrives long after its start: first with a different start time, which makes it a
+    // different content, then unchanged.
     let start = fleet.start_of(2);
     fleet.give(&without_file, 2, 2, start + SEC);
-    // Every gateway must have dropped the wrong file first. Otherwise the correct file, read while the wrong one still
-    // waits, would be the second content itself.
+    // Every gateway must have dropped the wrong file first. Otherwise the correct file, read while
+    // the wrong one still waits, would be the second content itself.
     without_file.into_iter().for_each(|gateway| fleet.wait_line(gateway, "two-contents").unwrap());
     fleet.give(&without_file, 2, 2, start);
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
@@ -182,7 +183,8 @@
     let start = start_after_distribution();
     fleet.give(&gateway_range(0..10), 2, 2, start);
     fleet.give(&gateway_range(10..20), 2, 3, start);
-    // Each voter holds only one of the two contents. Gateways that hold the other learn of it and report the conflict.
+    // Each voter holds only one of the two contents. Gateways that hold the other learn of it and
+    // report the conflict.
     for gateway in [0, 6, 10, 19] {
         fleet.wait_line(gateway, "two-contents").unwrap();
     }
@@ -285,7 +287,8 @@
     assert!(health(&fleet).contains("acts-on=ground"));
 }
 
-/// In a fleet of twenty, each server is in the subsets of eighteen gateways. The subset of this one has all four servers.
+/// In a fleet of twenty, each server is in the subsets of eighteen gateways. The subset of this one
+/// has all four servers.
 const GATEWAY_WITH_ALL_SERVERS: usize = 12;
 
 /// A fleet with four listed servers, each of which takes 4 ms to serve an RPC.
@@ -305,7 +308,8 @@
     (fleet, peers)
 }
 
-/// Sends `count` RPCs through a gateway, asserts that all are served, and returns how many of them each server received.
+/// Sends `count` RPCs through a gateway, asserts that all are served, and returns how many of them
+/// each server received.
 fn served_by_server(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
     let take_received_count = |peer: &Peer| std::iter::from_fn(|| peer.seen_now()).count();
     peers.iter().for_each(|peer| _ = take_received_count(peer));
@@ -318,7 +322,8 @@
     peers.iter().map(take_received_count).collect()
 }
 
-/// Waits until a gateway sends attempts to all servers. It avoids a server for a while after a slow response.
+/// Waits until a gateway sends attempts to all servers. It avoids a server for a while after a slow
+/// response.
 fn wait_until_all_servers_reached(fleet: &Fleet, peers: &[Peer], gateway: usize) {
     let until = unix() + 40 * SEC;
     while served_by_server(fleet, peers, gateway, 12).contains(&0) {
@@ -337,7 +342,10 @@
     fleet.list("s1", peers[1].address, "draining");
     let drained_at = unix();
     fleet.wait_line(delayed, "\"why\":\"late\"").unwrap();
-    assert!(unix() < drained_at + 2 * SEC, "the drain was learned of too late to stop new work in time");
+    assert!(
+        unix() < drained_at + 2 * SEC,
+        "the gateway learned of the drain too late to stop new work in time"
+    );
     assert_eq!(served_by_server(&fleet, &peers, delayed, 30)[1], 0);
     // The server is ready again: this gateway uses it once its own list says so.
     fleet.list("s1", peers[1].address, "ready");
@@ -370,7 +378,8 @@
     fleet.kill(&[GATEWAY_WITH_ALL_SERVERS]);
     fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Down, None).unwrap();
     fleet.list("s3", peers[3].address, "draining");
-    // It starts on the stored list and cannot reach discovery: the voters report that the list is out of date.
+    // It starts on the stored list and cannot reach discovery: the voters report that the list is
+    // out of date.
     fleet.start_again(&[GATEWAY_WITH_ALL_SERVERS]).unwrap();
     fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"late\"").unwrap();
     assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[3], 0);
--- a/crates/gateway/tests/discovery_terms.rs
+++ b/crates/gateway/tests/discovery_terms.rs
@@ -1,7 +1,7 @@
-//! Requirements of the operators for times when discovery is unreachable and when it returns: a change counts as
-//! announced within a time limit however earlier requests ended, idle clients leave the descriptors that everything else
-//! needs, and a fleet that starts is ready in time. Each test causes its fault deterministically. `docs/races.md` lists
-//! the time windows.
+//! Requirements of the operators for times when discovery is unreachable and when it returns: a
+//! change counts as announced within a time limit however earlier requests ended, idle clients
+//! leave the descriptors that everything else needs, and a fleet that starts is ready in time. Each
+//! test causes its fault deterministically. `docs/races.md` lists the time windows.
 
 use standins::scripted::{
     Client, Down, Peer, Program, Reply, WATCH, answer, chunk, entry, list, rpc, say, settings, status,
@@ -22,16 +22,20 @@
 
 /// A change counts as announced this long after discovery had it and was reachable.
 const ANNOUNCED_WITHIN: Duration = Duration::from_secs(6);
-/// What an open watch would have announced counts at once; new work must stop within this time after that.
+/// What an open watch would have announced counts at once; new work must stop within this time
+/// after that.
 const STOP_WITHIN: Duration = Duration::from_secs(2);
-/// Time limits for becoming ready: of nine in ten gateways (as required for short days), and of all gateways.
+/// Time limits for becoming ready: of nine in ten gateways (as required for short days), and of all
+/// gateways.
 const READY_LIMIT_P90: Duration = Duration::from_secs(6);
 const READY_LIMIT_ALL: Duration = Duration::from_secs(30);
 
-/// Requests that fail before the one under test: by then the retry delays have grown to their maximum.
+/// Requests that fail before the one under test: by then the retry delays have grown to their
+/// maximum.
 const FAILED_REQUESTS: usize = 3;
 
-/// Settings of a fleet so large that its retry delays are the longest. Lists are requested from discovery, not pushed.
+/// Settings of a fleet so large that its retry delays are the longest. Lists are requested from
+/// discovery, not pushed.
 fn large_fleet_settings() -> String {
     settings("").replace("\"balancers\":2", "\"balancers\":300")
 }
@@ -41,8 +45,8 @@
     large_fleet_settings().replacen('{', "{\"membershipMode\":\"push\",", 1)
 }
 
-/// Runs a test against several gateways at the same time, each with its own seed, so that both short and long retry
-/// delays are drawn.
+/// Runs a test against several gateways at the same time, each with its own seed, so that both
+/// short and long retry delays are drawn.
 fn run_with_several_seeds(test: impl Fn(u64, &str) + Sync) {
     let (large_fleet, push_settings, test) = (large_fleet_settings(), push_settings(), &test);
     std::thread::scope(|scope| {
@@ -70,8 +74,8 @@
     say(&format!("{WATCH}{change}"))
 }
 
-/// Asserts that the announcement of a drain arrived within a time limit after discovery became reachable, and that the
-/// server gets no new work although it is up.
+/// Asserts that the announcement of a drain arrived within a time limit after discovery became
+/// reachable, and that the server gets no new work although it is up.
 fn assert_drain_applied(gateway: &Program, server: &Peer, reachable_since: Instant, within: Duration) {
     let elapsed = reachable_since.elapsed();
     assert!(
@@ -85,7 +89,7 @@
     assert!(server.nothing_came(), "new work went to a draining server");
 }
 
-// ---- Time of announcement: a change is known 6 s after discovery was reachable, however earlier requests ended.
+// ---- Announcement: changes are known 6 s after discovery is reachable, however requests ended before.
 
 #[test]
 fn a_drain_made_while_discovery_refused_connections_applies_within_6_s_of_its_return() {
@@ -103,8 +107,8 @@
     });
 }
 
-/// The first requests get the given reply. All later ones get a watch that announces a drain, which was made right after
-/// the last failed request, when discovery worked again.
+/// The first requests get the given reply. All later ones get a watch that announces a drain, which
+/// was made right after the last failed request, when discovery worked again.
 fn assert_drain_applied_after_failed_requests(
     failed_reply: impl Fn() -> Reply + Copy + Send + Sync + 'static,
 ) {
@@ -176,7 +180,7 @@
                 "single bytes keep a request open that never gets a response"
             );
             discovery.try_tell(0, "0");
-            std::thread::sleep(Duration::from_millis(50)); // the test depends on the rate at which bytes arrive
+            std::thread::sleep(Duration::from_millis(50)); // the test depends on this interval
         }
         assert_drain_applied(&gateway, &server, requested_at, ANNOUNCED_WITHIN);
     });
@@ -222,8 +226,9 @@
     rpc("read", 15_000).replace("spread=1", "spread=2")
 }
 
-/// Connects the same clients and sends an RPC on the newest connection. The connection to the server that it needs takes
-/// the descriptor that accepting leaves free, unless another limit on descriptors applies first.
+/// Connects the same clients and sends an RPC on the newest connection. The connection to the
+/// server that it needs takes the descriptor that accepting leaves free, unless another limit on
+/// descriptors applies first.
 fn connect_idle_clients_and_send(gateway: &Program) -> Vec<Client> {
     let mut idle_clients = connect_idle_clients(gateway);
     let newest_client = idle_clients.last_mut().expect("no idle clients");
@@ -237,8 +242,9 @@
     entries.map(|descriptor| descriptor.unwrap().file_name().to_str().unwrap().parse().unwrap()).collect()
 }
 
-/// Runs the program under a limit on descriptors and fills them with idle clients: while discovery is down, when it
-/// returns, when a reload moves it, and at shutdown. Each time all other connections must still come up.
+/// Runs the program under a limit on descriptors and fills them with idle clients: while discovery
+/// is down, when it returns, when a reload moves it, and at shutdown. Each time all other
+/// connections must still come up.
 fn check_descriptor_limit(command: &mut Command, limit: usize) {
     let (server, down) = (server(), Down::default());
     let counter = Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
@@ -271,7 +277,8 @@
     assert!(reachable_since.elapsed() < ANNOUNCED_WITHIN, "{:?}", reachable_since.elapsed());
     drop(idle_clients);
 
-    // A reload (SIGHUP) moves discovery: the file is read, and a second watch is opened while the first is still open.
+    // A reload (SIGHUP) moves discovery: the file is read, and a second watch is opened while the
+    // first is still open.
     let idle_clients = connect_idle_clients_and_send(&gateway);
     let new_discovery = Peer::new(|_, _| say(WATCH));
     gateway.rewrite(&gateway.config(new_discovery.address, &limits_config, &settings_with_counter));
@@ -295,7 +302,8 @@
     check_descriptor_limit(&mut Command::new(BIN), 64);
 }
 
-/// Inherited descriptors, seven of them here, use up those that are kept free for other connections.
+/// Inherited descriptors, seven of them here, use up those that are kept free for other
+/// connections.
 #[test]
 fn without_a_free_descriptor_the_longest_idle_client_is_closed_for_any_connection() {
     let mut limited_command = Command::new("sh");
@@ -308,7 +316,8 @@
 
 const FLEET_SIZE: u64 = 20;
 
-/// Starts a fleet while other threads load the machine. Returns each gateway with the time at which its start began.
+/// Starts a fleet while other threads load the machine. Returns each gateway with the time at which
+/// its start began.
 fn start_fleet(discovery: std::net::SocketAddr, extra_config: &str) -> Vec<(Program, Instant)> {
     let (started, settings) = (AtomicBool::new(false), large_fleet_settings());
     std::thread::scope(|scope| {
@@ -333,7 +342,8 @@
     })
 }
 
-/// Waits until a gateway is ready, polling it as a front would. Returns the time from `since` until then.
+/// Waits until a gateway is ready, polling it as a front would. Returns the time from `since` until
+/// then.
 fn wait_until_ready(gateway: &Program, since: Instant) -> Duration {
     let mut client = gateway.client();
     while status(&client.ask(READY_REQUEST)) != 200 {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Runs a fleet of gateway processes on the rig, with one fault among or between them per test. The assertions compare
-//! counts with wide margins, so that their result does not vary between runs; how evenly load is spread is measured by
-//! the rig's larger scenarios (`docs/results.md`).
+//! Runs a fleet of gateway processes on the rig, with one fault among or between them per test. The
+//! assertions compare counts with wide margins, so that their result does not vary between runs;
+//! how evenly load is spread is measured by the rig's larger scenarios (`docs/results.md`).
 
 use martenramp::subsetting::{self, Endpoint};
 use rig::SEC;
@@ -18,8 +18,8 @@
 /// Overrides that reduce a scenario to the smaller fleet that CI runs.
 const SMALL_FLEET: [&str; 3] = ["gateways=20", "load.customers=200", "warm_seconds=2.0"];
 
-/// Runs one of the rig's scenarios and asserts what has to hold under any fault: no process crashed, no RPC got more
-/// than one final response, and no RPC that may run only once ran twice.
+/// Runs one of the rig's scenarios and asserts what has to hold under any fault: no process
+/// crashed, no RPC got more than one final response, and no RPC that may run only once ran twice.
 fn run_scenario(name: &str, overrides: &[&str]) -> (Outcome, Figures) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../rig/scenarios/{name}.toml"));
     let overrides: Vec<String> =
@@ -53,7 +53,8 @@
     assert_eq!(outcome.starts.iter().filter(|starts| **starts == 2).count(), 14);
     // The front detects the killed gateways within a second; nothing else is lost.
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0, "{:?}", figures.run);
-    // Each gateway sends to the subset that the subsetting table assigns to it, also after its restart.
+    // Each gateway sends to the subset that the subsetting table assigns to it, also after its
+    // restart.
     let members: Vec<Endpoint> = (0..40)
         .map(|server| Endpoint {
             id: server,
@@ -99,7 +100,8 @@
     let (outcome, figures) = run_scenario("zone-cold", &["seconds=24.0"]);
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.93 && figures.run.lost == 0, "{:?}", figures.run);
     assert_eq!(figures.run.turned_away, 0);
-    // While the zone is down it receives no attempts. Once it is up it receives RPCs again, but no more than its share.
+    // While the zone is down it receives no attempts. Once it is up it receives RPCs again, but no
+    // more than its share.
     let (zone_down, zone_up) = (fault_time(&outcome), fault_time(&outcome) + 5 * SEC);
     // The script takes each server down some milliseconds after the fault's time.
     let down_at = |server: u32| {
@@ -129,7 +131,8 @@
 #[test]
 fn a_fleet_that_doubles_keeps_serving_while_half_of_the_old_gateways_are_not_informed() {
     let (outcome, figures) = run_scenario("grow", &["seconds=20.0", "gateways=16"]);
-    // Gateways that still have the smaller fleet's size respond 400 to customers beyond it (`docs/ROADMAP.md`, versions).
+    // Gateways that still have the smaller fleet's size respond 400 to customers beyond it
+    // (`docs/ROADMAP.md`, versions).
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.85 && figures.run.lost == 0, "{:?}", figures.run);
     assert_eq!(outcome.lines.len(), 56, "16 gateways at the start and 40 that join");
     let served: BTreeSet<usize> = outcome.ledger.iter().map(|row| row.gateway()).collect();
@@ -140,7 +143,8 @@
 #[test]
 fn a_fleet_that_doubles_by_a_settings_version_fails_no_rpc() {
     let (outcome, figures) = run_scenario("grow-agreed", &["seconds=20.0", "gateways=16"]);
-    // Half of the old gateways never receive the version, but the fallback that they act on allows for the largest fleet.
+    // Half of the old gateways never receive the version, but the fallback that they act on allows
+    // for the largest fleet.
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.99, "{:?}", figures.run);
     assert_eq!((figures.run.failed, figures.run.lost, figures.run.idle), (0, 0, 0));
     let served: BTreeSet<usize> = outcome.ledger.iter().map(|row| row.gateway()).collect();
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Server lists of any length from discovery: parsed in pieces within a limit on memory, and applied completely or not
-//! at all.
+//! Server lists of any length from discovery: parsed in pieces within a limit on memory, and
+//! applied completely or not at all.
 
 use gateway::json_stream::{MAX_DEPTH, MAX_ELEMENT_LEN, MAX_ENVELOPE_LEN};
 use gateway::list::{self, ListUpdate, Watch};
@@ -23,8 +23,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Feeds an object to a watch in pieces of `piece_len` bytes, with a limit on the memory for entries. Returns the list
-/// updates and the error, if there is one.
+/// Feeds an object to a watch in pieces of `piece_len` bytes, with a limit on the memory for
+/// entries. Returns the list updates and the error, if there is one.
 fn feed_object(
     object: &[u8],
     memory_limit: usize,
@@ -43,13 +43,15 @@
     (updates, None)
 }
 
-/// Parses the first object in these bytes at once with the JSON parser, and ignores whatever follows it.
+/// Parses the first object in these bytes at once with the JSON parser, and ignores whatever
+/// follows it.
 fn parse_at_once(bytes: &[u8]) -> Option<ListUpdate> {
     let first = serde_json::Deserializer::from_slice(bytes).into_iter::<serde_json::Value>().next()?;
     list::parse(&first.ok()?, &Services::default())
 }
 
-/// Generates a list object with its keys in random order, with unknown keys, and with white space wherever JSON allows it.
+/// Generates a list object with its keys in random order, with unknown keys, and with white space
+/// wherever JSON allows it.
 fn random_object(rng: &mut fastrand::Rng) -> String {
     let white_space = |rng: &mut fastrand::Rng| *rng.choice(&["", "", " ", "\r\n", "\n\t  "]).unwrap();
     let statuses = ["ready", "draining", "gone"];
@@ -205,8 +207,8 @@
     assert!(watch.is_unresponsive(33 * SEC + SEC / 2 + MS));
 }
 
-/// Opens a watch `count` times, each of which delivers an invalid object after `open_time`. Returns the minimum delay
-/// before the next request each time.
+/// Opens a watch `count` times, each of which delivers an invalid object after `open_time`. Returns
+/// the minimum delay before the next request each time.
 fn invalid_list_delays(count: usize, open_time: u64) -> Vec<u64> {
     let (mut watch, mut rng) = (Watch::new(0, AMPLE_MEMORY), fastrand::Rng::with_seed(5));
     let invalid = format!("{WATCH}{}", chunk("[]"));
@@ -387,7 +389,8 @@
 fn unavailable_servers_come_first_and_no_batch_exceeds_the_work_of_a_turn() {
     let mut state = ServerState::default();
     state.apply(list_update(true, names(0, 10_000), "ready"), usize::MAX);
-    // Half of the servers are removed and as many are added, which stand behind those that stay. One of those that stay drains.
+    // Half of the servers are removed and as many are added behind those that stay, one of which
+    // drains.
     let mut next = list_update(true, names(5_000, 15_000), "ready");
     next.entries[4_999].ready = false;
     let stats = state.apply(next, WORK_PER_TURN);
@@ -445,25 +448,29 @@
 
 #[test]
 fn the_service_of_a_server_follows_from_its_name_and_that_of_an_rpc_from_its_class() {
-    let two = services(&format!("{{{CLASSES}}}")).unwrap();
-    assert_eq!((two.of_class(0), two.of_class(1), two.of_class(2)), (1, 2, 2));
-    assert_eq!(two.of_server("catalog/s-1"), Service::Requested(1));
-    assert_eq!(two.of_server("orders/s-1/x"), Service::Requested(2));
-    assert_eq!(two.of_server("billing/s-1"), Service::NotRequested);
-    assert_eq!((two.of_server("s-1"), two.of_server("/s-1")), (Service::Unspecified, Service::Unspecified));
-    let dotted = services(&format!("{{\"separator\":\".\",{CLASSES}}}")).unwrap();
-    assert_eq!(dotted.of_server("orders.s-1"), Service::Requested(2));
+    let two_services = services(&format!("{{{CLASSES}}}")).unwrap();
+    assert_eq!((two_services.of_class(0), two_services.of_class(1), two_services.of_class(2)), (1, 2, 2));
+    assert_eq!(two_services.of_server("catalog/s-1"), Service::Requested(1));
+    assert_eq!(two_services.of_server("orders/s-1/x"), Service::Requested(2));
+    assert_eq!(two_services.of_server("billing/s-1"), Service::NotRequested);
+    assert_eq!(
+        (two_services.of_server("s-1"), two_services.of_server("/s-1")),
+        (Service::Unspecified, Service::Unspecified)
+    );
+    let dot_separated = services(&format!("{{\"separator\":\".\",{CLASSES}}}")).unwrap();
+    assert_eq!(dot_separated.of_server("orders.s-1"), Service::Requested(2));
     // Without a configuration there is one service, and every server name belongs to it.
-    let one = Services::default();
+    let default_services = Services::default();
     assert_eq!(
-        (one.of_class(2), one.of_server("s-1"), one.of_server("a/b")),
+        (default_services.of_class(2), default_services.of_server("s-1"), default_services.of_server("a/b")),
         (0, Service::Requested(0), Service::Requested(0))
     );
-    // With another version's classes, services that are held keep their numbers; others have no servers here.
-    let other = CLASSES.replace("catalog", "billing");
-    let later = two.with_classes_of(&services(&format!("{{{other}}}")).unwrap());
-    assert_eq!((later.of_class(0), later.of_class(1)), (u32::MAX, 2));
-    assert_eq!(later.of_server("catalog/s-1"), Service::Requested(1));
+    // With another version's classes, services that are held keep their numbers; others have no
+    // servers here.
+    let renamed_classes = CLASSES.replace("catalog", "billing");
+    let next_version = two_services.with_classes_of(&services(&format!("{{{renamed_classes}}}")).unwrap());
+    assert_eq!((next_version.of_class(0), next_version.of_class(1)), (u32::MAX, 2));
+    assert_eq!(next_version.of_server("catalog/s-1"), Service::Requested(1));
 }
 
 #[test]
@@ -492,11 +499,11 @@
 
 #[test]
 fn only_servers_of_requested_services_are_staged() {
-    let two = Rc::new(services(&format!("{{{CLASSES}}}")).unwrap());
+    let two_services = Rc::new(services(&format!("{{{CLASSES}}}")).unwrap());
     let names = ["orders/1", "billing/1", "nameless", "catalog/1", "other"];
     let entries: Vec<String> = names.iter().map(|name| entry(name, address(1), "ready")).collect();
     let text = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
-    let (mut watch, mut updates) = (Watch::for_services(0, AMPLE_MEMORY, two), Vec::new());
+    let (mut watch, mut updates) = (Watch::for_services(0, AMPLE_MEMORY, two_services), Vec::new());
     watch.feed(SEC, text.as_bytes(), &mut updates).unwrap();
     let staged: Vec<(&str, u32)> =
         updates[0].entries.iter().map(|entry| (&*entry.name, entry.service)).collect();
@@ -514,8 +521,8 @@
     rpc("read", 3000).replace("0123456789abcdef", &format!("{number:016x}"))
 }
 
-/// Starts a client that sends RPCs without a pause until `stop` is set, and returns the statuses of the responses.
-/// `client_number` keeps the ids of several clients apart.
+/// Starts a client that sends RPCs without a pause until `stop` is set, and returns the statuses of
+/// the responses. `client_number` keeps the ids of several clients apart.
 fn spawn_client(
     gateway: &Program,
     client_number: u64,
@@ -573,7 +580,8 @@
     let statuses: Vec<u16> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     println!("{} RPCs answered meanwhile, {served} of them served", statuses.len());
-    // An attempt whose server is removed before its connection is established is not written, but counts as one of two.
+    // An attempt whose server is removed before its connection is established is not written, but
+    // counts as one of two.
     assert!(statuses.iter().all(|status| [200, 503].contains(status)), "{statuses:?}");
     assert!(5 * served > 4 * statuses.len(), "{served} of {}", statuses.len());
 }
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -1,5 +1,6 @@
-//! Race conditions, reproduced deterministically: the tests run the gateway program over loopback, and each one places
-//! an event in the time window between two others in which it does the most harm. `docs/races.md` lists the windows.
+//! Race conditions, reproduced deterministically: the tests run the gateway program over loopback,
+//! and each one places an event in the time window between two others in which it does the most
+//! harm. `docs/races.md` lists the windows.
 
 use standins::scripted::{
     Late, PATIENCE, Peer, Program, Reply, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings,
@@ -10,7 +11,7 @@
 mod support;
 use support::{BIN, patient_settings, under, watch};
 
-// ---- Server connections that are established late: what held when the attempt was decided may no longer hold.
+// ---- Late server connections: what held when the attempt was decided may no longer hold.
 
 #[test]
 fn an_rpc_whose_client_left_while_its_server_connection_was_pending_is_not_written() {
@@ -74,7 +75,8 @@
     let next = [entry("s0", first.address, "draining"), entry("s1", late_server.address, "ready")];
     discovery.tell(0, &chunk(&list(4, false, &next)));
     gateway.catch_up();
-    // The RPC may have run, and may be repeated for 1 s. The system retries the pending connection only after 1 s.
+    // The RPC may have run, and may be repeated for 1 s. The system retries the pending connection
+    // only after 1 s.
     first.reset(0);
     assert!(gateway.line("\"server\"").contains("\"reset\""));
     let mut server = late_server.open();
@@ -174,7 +176,8 @@
     let mut client = gateway.client();
     assert!(client.ask(&rpc("verify", 2000)).ends_with("one"));
     assert_eq!(server.next().0, 0);
-    // Within one turn, the gateway reads the next RPC first and then finds the partial line on the server connection.
+    // Within one turn, the gateway reads the next RPC first and then finds the partial line on the
+    // server connection.
     gateway.stand_still();
     client.send(&rpc("verify", 2000));
     server.tell(0, "HTTP/1.1 200 OK\r\nConte");
@@ -224,7 +227,8 @@
     }
     gateway.catch_up();
     gateway.stand_still();
-    // A message may pause for two seconds before its slot may be reclaimed; the test depends on that time.
+    // A message may pause for two seconds before its slot may be reclaimed; the test depends on
+    // that time.
     std::thread::sleep(Duration::from_millis(2050).saturating_sub(paused_at.elapsed()));
     let _newcomer = gateway.client();
     paused.send(&request[200..]);
@@ -246,11 +250,12 @@
     let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers in between can hold
+    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers on the path hold
     client.send(&flood);
     drop(client);
     gateway.line("left-before-answer");
-    // A server becomes ready for whatever still waits: neither the RPC nor any of the flood may be sent to it.
+    // A server becomes ready for whatever still waits: neither the RPC nor any of the flood may be
+    // sent to it.
     let server = Peer::new(|_, _| answer(200, "", "on"));
     discovery.tell(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
     assert!(gateway.client().ask(&rpc("read", 20_000)).ends_with("on"));
@@ -295,7 +300,8 @@
     let gateway = under(&discovery, &[entry("s0", nowhere(), "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&format!("nonsense\r\n\r\n{}", "x".repeat(200 << 10)));
-    // The client reads nothing until its connection is closed. Closing with unread bytes would have sent a reset.
+    // The client reads nothing until its connection is closed. Closing with unread bytes would have
+    // sent a reset.
     assert!(gateway.line("\"client\"").contains("bad-head"));
     assert!(client.error().is_none(), "the gateway closed the connection with unread bytes");
     assert_eq!(status(&client.answer().unwrap()), 400);
@@ -309,9 +315,9 @@
     let server = Peer::new(|_, _| answer(200, "", "served"));
     let discovery = watch();
     let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
-    // One poll of the sockets returns at most 256 events, so that idle connections are closed before the rest is read.
-    // Each client sends a request at once: a client that sends nothing for two seconds is closed, and on a busy machine
-    // 400 connections take longer than that to open.
+    // One poll of the sockets returns at most 256 events, so that idle connections are closed
+    // before the rest is read. Each client sends a request at once: a client that sends nothing for
+    // two seconds is closed, and on a busy machine 400 connections take longer than that to open.
     let idle_client = |_| {
         let mut client = gateway.client();
         assert_eq!(status(&client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
@@ -410,7 +416,7 @@
     client.send(&rpc("verify", 2000));
     server.next();
     gateway.signal("-TERM");
-    assert!(gateway.child.wait().unwrap().success()); // it waits for the client to close, but only for a limited time
+    assert!(gateway.child.wait().unwrap().success()); // waits for the client to close, with a limit
     assert!(client.answer().unwrap().ends_with(&"y".repeat(60 << 10)));
 }
 
@@ -420,7 +426,8 @@
 fn a_watch_that_falls_silent_and_one_that_never_responds_are_replaced_within_8_s() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let drain_update = chunk(&list(9, false, &[entry("s0", server.address, "draining")]));
-    // The first watch stops sending, the second is accepted and never sends anything, the third works.
+    // The first watch stops sending, the second is accepted and never sends anything, the third
+    // works.
     let discovery = Peer::new(move |number, _| match number {
         0 => say(WATCH),
         1 => (Vec::new(), false),
@@ -429,7 +436,8 @@
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
     let silent_since = Instant::now();
     assert_eq!((discovery.next().0, discovery.next().0), (1, 2));
-    // 6 s after the silence began, all changes count as announced; 2 s later nothing new may go to a draining server.
+    // 6 s after the silence began, all changes count as announced; 2 s later nothing new may go to
+    // a draining server.
     assert!(silent_since.elapsed() < Duration::from_secs(8), "{:?}", silent_since.elapsed());
     gateway.catch_up();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
@@ -481,11 +489,13 @@
 
 #[test]
 fn lists_are_parsed_with_any_white_space_and_chunk_boundaries() {
-    let (one, two) = (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
+    let (first_server, second_server) =
+        (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
     let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", one.address, "ready")], &patient_settings());
-    let padded_list =
-        list(4, true, &[entry("s1", two.address, "ready")]).replace(",", ",\r\n\t ").replace(":{", ": {");
+    let gateway = under(&discovery, &[entry("s0", first_server.address, "ready")], &patient_settings());
+    let padded_list = list(4, true, &[entry("s1", second_server.address, "ready")])
+        .replace(",", ",\r\n\t ")
+        .replace(":{", ": {");
     for piece in format!("\n\n  {padded_list}\n").as_bytes().chunks(7) {
         let piece = std::str::from_utf8(piece).unwrap();
         discovery.tell(0, &format!("{:x}\r\n{piece}\r\n", piece.len()));
@@ -493,7 +503,7 @@
     gateway.catch_up();
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("two"));
     // Half an object is not applied, whatever empty lines follow.
-    let next_list = list(5, true, &[entry("s0", one.address, "ready")]);
+    let next_list = list(5, true, &[entry("s0", first_server.address, "ready")]);
     discovery.tell(0, &chunk(next_list.rsplit_once(',').unwrap().0));
     discovery.tell(0, "1\r\n\n\r\n");
     gateway.catch_up();
@@ -526,7 +536,8 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// A gateway whose list holds two hundred servers that have just started, none of which can take an RPC for minutes.
+/// A gateway whose list holds two hundred servers that have just started, none of which can take an
+/// RPC for minutes.
 fn gateway_with_cold_servers(discovery: &Peer) -> Program {
     let now_ms = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let started = format!("\"since_ms\":{now_ms}");
@@ -538,9 +549,9 @@
     under(discovery, &entries, &settings)
 }
 
-/// Guards against turns of the event loop that take half a second, because each event of a customer visited all of its
-/// waiting RPCs, and each of those visited all servers. In the run split+mass of the variant four-halls, this lost 37
-/// requests at one gateway that had a ninth of a core.
+/// Guards against turns of the event loop that take half a second, because each event of a customer
+/// visited all of its waiting RPCs, and each of those visited all servers. In the run split+mass of
+/// the variant four-halls, this lost 37 requests at one gateway that had a ninth of a core.
 #[test]
 fn many_waiting_rpcs_of_one_customer_use_little_processor_time() {
     let discovery = watch();
@@ -556,7 +567,8 @@
     assert!(clients.iter_mut().all(|client| client.nothing_came()), "an RPC was answered instead of waiting");
 }
 
-/// The same for many customers with one RPC each, all of which repeatedly look for a server and find none.
+/// The same for many customers with one RPC each, all of which repeatedly look for a server and
+/// find none.
 #[test]
 fn many_customers_that_wait_for_a_server_use_little_processor_time() {
     let discovery = watch();
@@ -579,9 +591,9 @@
 
 // ---- The counter.
 
-/// With the counter down, each gateway limits a customer to its share of the quota. Guards against a rounding error in a
-/// sum that left a full share slightly below its size: the RPC was held until its deadline passed, with a timer firing
-/// every millisecond.
+/// With the counter down, each gateway limits a customer to its share of the quota. Guards against
+/// a rounding error in a sum that left a full share slightly below its size: the RPC was held until
+/// its deadline passed, with a timer firing every millisecond.
 #[test]
 fn with_the_counter_down_an_rpc_larger_than_the_gateways_share_passes_when_the_share_is_full() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
