--- a/crates/gateway/tests/agreement.rs
+++ b/crates/gateway/tests/agreement.rs
@@ -2,9 +2,9 @@
 //! gateways' own log records show that no two of them acted on contradicting settings for longer
 //! than the bound, and that all agree once the fault is over.
 
-use rig::rollouts::{Fleet, Plan, unix};
+use rig::rollouts::{Fleet, FleetConfig, unix_now};
 use standins::discovery::Mode;
-use standins::relay::Path as LinkPath;
+use standins::relay::PathFaults;
 use standins::scripted::{Client, Peer, answer, rpc};
 use standins::{MS, Nanos, SEC};
 use std::ops::Range;
@@ -18,14 +18,14 @@
 const GATEWAY_COUNT: usize = 20;
 
 fn fleet() -> Fleet {
-    let plan = Plan {
+    let config = FleetConfig {
         gateways: GATEWAY_COUNT,
         lease: LEASE as f64 / 1e9,
         clock: CLOCK_BOUND as f64 / 1e9,
         seed: 5,
         skew_ms: 0,
     };
-    Fleet::start(plan, Path::new(env!("CARGO_BIN_EXE_martenramp"))).unwrap()
+    Fleet::start(config, Path::new(env!("CARGO_BIN_EXE_martenramp"))).unwrap()
 }
 
 fn gateway_range(range: Range<usize>) -> Vec<usize> {
@@ -38,23 +38,23 @@
 
 /// A start time that leaves enough time to distribute the files first.
 fn start_after_distribution() -> Nanos {
-    unix() + 2 * LEASE + 500 * MS
+    unix_now() + 2 * LEASE + 500 * MS
 }
 
 /// Waits until each of these gateways acts on a version in full.
 fn wait_until_in_force(fleet: &mut Fleet, gateways: &[usize], version: u64) {
-    fleet.wait(gateways, |record| record.version == version && record.whole).unwrap();
+    fleet.wait_for_records(gateways, |record| record.version == version && record.acts_on_version).unwrap();
 }
 
 /// Waits until each of these gateways acts on the fallback of a version.
 fn wait_until_on_fallback(fleet: &mut Fleet, gateways: &[usize], version: u64) {
-    fleet.wait(gateways, |record| record.version == version && !record.whole).unwrap();
+    fleet.wait_for_records(gateways, |record| record.version == version && !record.acts_on_version).unwrap();
 }
 
 /// Two clocks may differ by twice the bound on one of them, so gateways may contradict each other
 /// for that long.
 fn assert_contradictions_within_bound(fleet: &mut Fleet) {
-    let (longest, gateways) = fleet.contradicted(0);
+    let (longest, gateways) = fleet.longest_contradiction(0);
     println!("contradicted for {:.1} ms", longest as f64 / 1e6);
     assert!(longest <= 2 * CLOCK_BOUND, "{} ms: {gateways}", longest / MS);
 }
@@ -67,18 +67,18 @@
         gateway_range(0..6).into_iter().chain(gateway_range(7..14)).collect::<Vec<_>>(),
         [6, 14, 15, 16, 17, 18, 19],
     );
-    fleet.give(&receivers, 2, 2, start_after_distribution());
+    fleet.roll_out(&receivers, 2, 2, start_after_distribution());
     wait_until_in_force(&mut fleet, &receivers, 2);
     wait_until_on_fallback(&mut fleet, &without_file, 1);
     assert_contradictions_within_bound(&mut fleet);
     // The file arrives long after its start: first with a different start time, which makes it a
     // different content, then unchanged.
-    let start = fleet.start_of(2);
-    fleet.give(&without_file, 2, 2, start + SEC);
+    let start = fleet.start_time_of(2);
+    fleet.roll_out(&without_file, 2, 2, start + SEC);
     // Every gateway must have dropped the wrong file first. Otherwise the correct file, read while
     // the wrong one still waits, would be the second content itself.
-    without_file.into_iter().for_each(|gateway| fleet.wait_line(gateway, "two-contents").unwrap());
-    fleet.give(&without_file, 2, 2, start);
+    without_file.into_iter().for_each(|gateway| fleet.wait_for_line(gateway, "two-contents").unwrap());
+    fleet.roll_out(&without_file, 2, 2, start);
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -88,16 +88,16 @@
     let mut fleet = fleet();
     let (even, odd): (Vec<usize>, Vec<usize>) =
         all_gateways().into_iter().partition(|gateway| gateway % 2 == 0);
-    fleet.give(&even, 2, 2, start_after_distribution());
-    let cut = LinkPath { cut: true, ..LinkPath::default() };
-    fleet.ways(&even, &odd, cut);
-    fleet.ways(&odd, &even, cut);
-    let start = fleet.start_of(2);
-    fleet.give(&odd, 2, 2, start);
+    fleet.roll_out(&even, 2, 2, start_after_distribution());
+    let cut = PathFaults { cut: true, ..PathFaults::default() };
+    fleet.set_paths(&even, &odd, cut);
+    fleet.set_paths(&odd, &even, cut);
+    let start = fleet.start_time_of(2);
+    fleet.roll_out(&odd, 2, 2, start);
     // Four of the seven voters have even numbers, so the even half keeps a majority.
     wait_until_in_force(&mut fleet, &even, 2);
     wait_until_on_fallback(&mut fleet, &odd, 1);
-    fleet.heal();
+    fleet.clear_path_faults();
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -106,12 +106,12 @@
 fn gateways_that_receive_no_datagrams_fall_back() {
     let mut fleet = fleet();
     let (cut_off, connected) = (gateway_range(10..20), gateway_range(0..10));
-    fleet.ways(&connected, &cut_off, LinkPath { cut: true, ..LinkPath::default() });
+    fleet.set_paths(&connected, &cut_off, PathFaults { cut: true, ..PathFaults::default() });
     wait_until_on_fallback(&mut fleet, &cut_off, 1);
-    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    fleet.roll_out(&all_gateways(), 2, 2, start_after_distribution());
     wait_until_in_force(&mut fleet, &connected, 2);
     assert!(fleet.records(12).iter().all(|record| record.version == 1), "{:?}", fleet.records(12));
-    fleet.heal();
+    fleet.clear_path_faults();
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -120,21 +120,21 @@
 fn a_gateway_paused_over_the_start_resumes_on_the_new_settings_with_an_rpc_held() {
     let mut fleet = fleet();
     let start = start_after_distribution();
-    fleet.give(&all_gateways(), 2, 2, start);
-    fleet.wait_line(15, "\"why\":\"waits\"").unwrap();
-    fleet.pass_until(start - LEASE / 2);
+    fleet.roll_out(&all_gateways(), 2, 2, start);
+    fleet.wait_for_line(15, "\"why\":\"waits\"").unwrap();
+    fleet.sleep_until(start - LEASE / 2);
     // No server is listed, so the gateway holds the RPC.
     let mut client = Client::new(fleet.address(15).unwrap());
     client.send(&rpc("read", 2900));
-    fleet.pass(50 * MS);
+    fleet.sleep(50 * MS);
     fleet.pause(&[15]);
-    fleet.pass_until(start + LEASE);
-    let resumed_at = unix();
-    fleet.wake(&[15]);
+    fleet.sleep_until(start + LEASE);
+    let resumed_at = unix_now();
+    fleet.resume(&[15]);
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
     let after: Vec<_> =
         fleet.records(15).into_iter().filter(|record| record.at >= resumed_at - 10 * MS).collect();
-    assert!(after[0].version == 2 || !after[0].whole, "{after:?}");
+    assert!(after[0].version == 2 || !after[0].acts_on_version, "{after:?}");
     assert!(
         after[0].at < resumed_at + SEC,
         "the gateway did not check its settings right after resuming: {after:?}"
@@ -148,18 +148,18 @@
 fn gateways_killed_before_the_start_and_restarted_on_the_older_file_use_the_fallback() {
     let mut fleet = fleet();
     let (start, killed) = (start_after_distribution(), [0, 1, 2, 12, 13]);
-    fleet.give(&all_gateways(), 2, 2, start);
-    fleet.wait_line(12, "\"why\":\"waits\"").unwrap();
-    fleet.pass_until(start - LEASE / 2);
+    fleet.roll_out(&all_gateways(), 2, 2, start);
+    fleet.wait_for_line(12, "\"why\":\"waits\"").unwrap();
+    fleet.sleep_until(start - LEASE / 2);
     fleet.kill(&killed);
-    fleet.write(&killed, 1, 1, 0);
-    fleet.start_again(&killed).unwrap();
+    fleet.write_files(&killed, 1, 1, 0);
+    fleet.restart(&killed).unwrap();
     let others: Vec<usize> = all_gateways().into_iter().filter(|gateway| !killed.contains(gateway)).collect();
     // Four of the seven voters are left, which is a majority.
     wait_until_in_force(&mut fleet, &others, 2);
-    fleet.pass_until(start + 2 * LEASE);
+    fleet.sleep_until(start + 2 * LEASE);
     wait_until_on_fallback(&mut fleet, &killed, 1);
-    fleet.give(&killed, 2, 2, start);
+    fleet.roll_out(&killed, 2, 2, start);
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -167,11 +167,11 @@
 #[test]
 fn an_invalid_file_is_handled_like_a_missing_one() {
     let mut fleet = fleet();
-    fleet.spoil(&[3, 9]);
-    fleet.wait_line(3, "configuration kept").unwrap();
+    fleet.corrupt_files(&[3, 9]);
+    fleet.wait_for_line(3, "configuration kept").unwrap();
     let receivers: Vec<usize> =
         all_gateways().into_iter().filter(|gateway| ![3, 9].contains(gateway)).collect();
-    fleet.give(&receivers, 2, 2, start_after_distribution());
+    fleet.roll_out(&receivers, 2, 2, start_after_distribution());
     wait_until_in_force(&mut fleet, &receivers, 2);
     wait_until_on_fallback(&mut fleet, &[3, 9], 1);
     assert_contradictions_within_bound(&mut fleet);
@@ -181,14 +181,14 @@
 fn no_gateway_acts_on_a_version_with_two_contents() {
     let mut fleet = fleet();
     let start = start_after_distribution();
-    fleet.give(&gateway_range(0..10), 2, 2, start);
-    fleet.give(&gateway_range(10..20), 2, 3, start);
+    fleet.roll_out(&gateway_range(0..10), 2, 2, start);
+    fleet.roll_out(&gateway_range(10..20), 2, 3, start);
     // Each voter holds only one of the two contents. Gateways that hold the other learn of it and
     // report the conflict.
     for gateway in [0, 6, 10, 19] {
-        fleet.wait_line(gateway, "two-contents").unwrap();
+        fleet.wait_for_line(gateway, "two-contents").unwrap();
     }
-    fleet.pass_until(start + 2 * LEASE);
+    fleet.sleep_until(start + 2 * LEASE);
     wait_until_in_force(&mut fleet, &all_gateways(), 1);
     for gateway in all_gateways() {
         assert!(
@@ -197,7 +197,7 @@
         );
     }
     // A higher version resolves the conflict.
-    fleet.give(&all_gateways(), 3, 3, start_after_distribution());
+    fleet.roll_out(&all_gateways(), 3, 3, start_after_distribution());
     wait_until_in_force(&mut fleet, &all_gateways(), 3);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -205,11 +205,11 @@
 #[test]
 fn a_rollback_needs_a_higher_version_and_lower_versions_are_rejected() {
     let mut fleet = fleet();
-    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    fleet.roll_out(&all_gateways(), 2, 2, start_after_distribution());
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
-    fleet.give(&gateway_range(0..10), 1, 1, 0);
-    fleet.wait_line(4, "older-version").unwrap();
-    fleet.give(&all_gateways(), 3, 1, start_after_distribution());
+    fleet.roll_out(&gateway_range(0..10), 1, 1, 0);
+    fleet.wait_for_line(4, "older-version").unwrap();
+    fleet.roll_out(&all_gateways(), 3, 1, start_after_distribution());
     wait_until_in_force(&mut fleet, &all_gateways(), 3);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -218,10 +218,10 @@
 fn the_higher_version_wins_when_two_rollouts_overlap() {
     let mut fleet = fleet();
     let start = start_after_distribution();
-    fleet.give(&all_gateways(), 2, 2, start);
-    fleet.give(&gateway_range(0..12), 3, 3, start + LEASE);
-    fleet.pass_until(start);
-    fleet.give(&gateway_range(12..20), 3, 3, start + LEASE);
+    fleet.roll_out(&all_gateways(), 2, 2, start);
+    fleet.roll_out(&gateway_range(0..12), 3, 3, start + LEASE);
+    fleet.sleep_until(start);
+    fleet.roll_out(&gateway_range(12..20), 3, 3, start + LEASE);
     wait_until_in_force(&mut fleet, &all_gateways(), 3);
     assert_contradictions_within_bound(&mut fleet);
 }
@@ -231,32 +231,38 @@
     let mut fleet = fleet();
     let (behind, ahead) = (14, 2);
     fleet.kill(&[behind, ahead]);
-    fleet.clock_off(behind, -2000);
-    fleet.clock_off(ahead, 2000);
-    fleet.start_again(&[behind, ahead]).unwrap();
-    fleet.wait_line(behind, "\"why\":\"clock\"").unwrap();
-    fleet.wait_line(7, "\"why\":\"clock\"").unwrap(); // timestamps of voter 2 lie in the future
+    fleet.set_clock_offset(behind, -2000);
+    fleet.set_clock_offset(ahead, 2000);
+    fleet.restart(&[behind, ahead]).unwrap();
+    fleet.wait_for_line(behind, "\"why\":\"clock\"").unwrap();
+    fleet.wait_for_line(7, "\"why\":\"clock\"").unwrap(); // timestamps of voter 2 lie in the future
     let others: Vec<usize> =
         all_gateways().into_iter().filter(|gateway| ![behind, ahead].contains(gateway)).collect();
     wait_until_in_force(&mut fleet, &others, 1);
-    fleet.give(&all_gateways(), 2, 2, start_after_distribution());
+    fleet.roll_out(&all_gateways(), 2, 2, start_after_distribution());
     wait_until_in_force(&mut fleet, &others, 2);
     wait_until_on_fallback(&mut fleet, &[behind, ahead], 1);
     assert_contradictions_within_bound(&mut fleet);
     fleet.kill(&[behind, ahead]);
-    [behind, ahead].into_iter().for_each(|gateway| fleet.clock_off(gateway, 0));
-    fleet.start_again(&[behind, ahead]).unwrap();
+    [behind, ahead].into_iter().for_each(|gateway| fleet.set_clock_offset(gateway, 0));
+    fleet.restart(&[behind, ahead]).unwrap();
     wait_until_in_force(&mut fleet, &all_gateways(), 2);
 }
 
 #[test]
 fn lost_delayed_duplicated_and_corrupted_datagrams_only_delay_a_rollout() {
     let mut fleet = fleet();
-    let noisy =
-        LinkPath { lose: 0.3, double: 0.3, reorder: 0.3, spoil: 0.2, delay: 30 * MS, ..LinkPath::default() };
-    fleet.ways(&all_gateways(), &all_gateways(), noisy);
+    let noisy = PathFaults {
+        loss: 0.3,
+        duplicate: 0.3,
+        reorder: 0.3,
+        corrupt: 0.2,
+        delay: 30 * MS,
+        ..PathFaults::default()
+    };
+    fleet.set_paths(&all_gateways(), &all_gateways(), noisy);
     for version in 2..5 {
-        fleet.give(&all_gateways(), version, version, start_after_distribution());
+        fleet.roll_out(&all_gateways(), version, version, start_after_distribution());
         wait_until_in_force(&mut fleet, &all_gateways(), version);
     }
     assert_contradictions_within_bound(&mut fleet);
@@ -275,10 +281,10 @@
         "{response}"
     );
     // Not admissible: the quota is below the fallback that other gateways may act on.
-    fleet.give_quota(&[8], 2, 10.0, start_after_distribution());
-    fleet.wait_line(8, "not-admissible").unwrap();
-    fleet.give(&all_gateways(), 2, 2, unix() + 20 * SEC);
-    fleet.wait_line(8, "\"why\":\"waits\"").unwrap();
+    fleet.roll_out_quota(&[8], 2, 10.0, start_after_distribution());
+    fleet.wait_for_line(8, "not-admissible").unwrap();
+    fleet.roll_out(&all_gateways(), 2, 2, unix_now() + 20 * SEC);
+    fleet.wait_for_line(8, "\"why\":\"waits\"").unwrap();
     let response = health(&fleet);
     assert!(response.contains("version=1,") && response.contains("waits=2"), "{response}");
     // The majority of the voters is gone: after a lease all other gateways are on their fallback.
@@ -303,7 +309,7 @@
         })
         .collect();
     for (number, peer) in peers.iter().enumerate() {
-        fleet.list(&format!("s{number}"), peer.address, "ready");
+        fleet.list_server(&format!("s{number}"), peer.address, "ready");
     }
     (fleet, peers)
 }
@@ -311,7 +317,7 @@
 /// Sends `count` RPCs through a gateway, asserts that all are served, and returns how many of them
 /// each server received.
 fn served_by_server(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
-    let take_received_count = |peer: &Peer| std::iter::from_fn(|| peer.seen_now()).count();
+    let take_received_count = |peer: &Peer| std::iter::from_fn(|| peer.try_next()).count();
     peers.iter().for_each(|peer| _ = take_received_count(peer));
     let mut client = Client::new(fleet.address(gateway).unwrap());
     for _ in 0..count {
@@ -325,10 +331,10 @@
 /// Waits until a gateway sends attempts to all servers. It avoids a server for a while after a slow
 /// response.
 fn wait_until_all_servers_reached(fleet: &Fleet, peers: &[Peer], gateway: usize) {
-    let until = unix() + 40 * SEC;
+    let until = unix_now() + 40 * SEC;
     while served_by_server(fleet, peers, gateway, 12).contains(&0) {
-        assert!(unix() < until, "gateway {gateway} does not send attempts to all servers");
-        fleet.pass(50 * MS);
+        assert!(unix_now() < until, "gateway {gateway} does not send attempts to all servers");
+        fleet.sleep(50 * MS);
     }
 }
 
@@ -338,35 +344,35 @@
     let delayed = GATEWAY_WITH_ALL_SERVERS;
     wait_until_all_servers_reached(&fleet, &peers, delayed);
     // The discovery agent of this gateway delivers every change six seconds late.
-    fleet.agent(delayed, Mode::Late(6 * SEC), None).unwrap();
-    fleet.list("s1", peers[1].address, "draining");
-    let drained_at = unix();
-    fleet.wait_line(delayed, "\"why\":\"late\"").unwrap();
+    fleet.set_agent_mode(delayed, Mode::Late(6 * SEC), None).unwrap();
+    fleet.list_server("s1", peers[1].address, "draining");
+    let drained_at = unix_now();
+    fleet.wait_for_line(delayed, "\"why\":\"late\"").unwrap();
     assert!(
-        unix() < drained_at + 2 * SEC,
+        unix_now() < drained_at + 2 * SEC,
         "the gateway learned of the drain too late to stop new work in time"
     );
     assert_eq!(served_by_server(&fleet, &peers, delayed, 30)[1], 0);
     // The server is ready again: this gateway uses it once its own list says so.
-    fleet.list("s1", peers[1].address, "ready");
-    fleet.agent(delayed, Mode::Late(0), None).unwrap();
+    fleet.list_server("s1", peers[1].address, "ready");
+    fleet.set_agent_mode(delayed, Mode::Late(0), None).unwrap();
     wait_until_all_servers_reached(&fleet, &peers, delayed);
 }
 
 #[test]
 fn discovery_restored_to_an_older_list_brings_no_removed_server_back() {
     let (mut fleet, peers) = fleet_with_servers();
-    let before = fleet.index();
+    let before = fleet.discovery_index();
     wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
-    fleet.list("s2", peers[2].address, "draining");
-    fleet.list("s2", peers[2].address, "gone");
+    fleet.list_server("s2", peers[2].address, "draining");
+    fleet.list_server("s2", peers[2].address, "gone");
     while served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2] > 0 {}
-    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(before)).unwrap();
-    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"went-back\"").unwrap();
+    fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(before)).unwrap();
+    fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"went-back\"").unwrap();
     assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
     // Discovery is restored to an empty list: the gateway keeps the list that it has.
-    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(0)).unwrap();
-    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"empty\"").unwrap();
+    fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(0)).unwrap();
+    fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"empty\"").unwrap();
     assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
 }
 
@@ -374,14 +380,14 @@
 fn a_gateway_restarted_on_a_stale_list_sends_nothing_to_a_draining_server() {
     let (mut fleet, peers) = fleet_with_servers();
     wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
-    fleet.keep_known(GATEWAY_WITH_ALL_SERVERS);
+    fleet.save_known_list(GATEWAY_WITH_ALL_SERVERS);
     fleet.kill(&[GATEWAY_WITH_ALL_SERVERS]);
-    fleet.agent(GATEWAY_WITH_ALL_SERVERS, Mode::Down, None).unwrap();
-    fleet.list("s3", peers[3].address, "draining");
+    fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Down, None).unwrap();
+    fleet.list_server("s3", peers[3].address, "draining");
     // It starts on the stored list and cannot reach discovery: the voters report that the list is
     // out of date.
-    fleet.start_again(&[GATEWAY_WITH_ALL_SERVERS]).unwrap();
-    fleet.wait_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"late\"").unwrap();
+    fleet.restart(&[GATEWAY_WITH_ALL_SERVERS]).unwrap();
+    fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"late\"").unwrap();
     assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[3], 0);
 }
 
--- a/crates/gateway/tests/discovery_terms.rs
+++ b/crates/gateway/tests/discovery_terms.rs
@@ -4,7 +4,8 @@
 //! test causes its fault deterministically. `docs/races.md` lists the time windows.
 
 use standins::scripted::{
-    Client, Down, Peer, Program, Reply, WATCH, answer, chunk, entry, list, rpc, say, settings, status,
+    Client, Peer, Program, RefusingPeer, Reply, WATCH_HEAD, answer, chunk, entry, list, raw_reply, rpc,
+    settings, status,
 };
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -71,7 +72,7 @@
 /// The reply to a request: a watch that immediately announces that the server drains.
 fn drain_reply(server: &Peer) -> Reply {
     let change = chunk(&list(4, false, &[entry("s0", server.address, "draining")]));
-    say(&format!("{WATCH}{change}"))
+    raw_reply(&format!("{WATCH_HEAD}{change}"))
 }
 
 /// Asserts that the announcement of a drain arrived within a time limit after discovery became
@@ -81,12 +82,12 @@
     assert!(
         elapsed < within,
         "announced {elapsed:?} after discovery was reachable: {:#?}",
-        gateway.lines_now()
+        gateway.new_lines()
     );
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let response = gateway.client().ask(&rpc("read", 300));
     assert!(matches!(status(&response), 429 | 503), "{response}");
-    assert!(server.nothing_came(), "new work went to a draining server");
+    assert!(server.nothing_received(), "new work went to a draining server");
 }
 
 // ---- Announcement: changes are known 6 s after discovery is reachable, however requests ended before.
@@ -94,12 +95,12 @@
 #[test]
 fn a_drain_made_while_discovery_refused_connections_applies_within_6_s_of_its_return() {
     run_with_several_seeds(|seed, settings| {
-        let (server, down) = (server(), Down::default());
+        let (server, down) = (server(), RefusingPeer::default());
         let gateway =
             Program::start_seeded(BIN, seed, down.address, &known_list(&[("s0", &server)]), settings);
         assert_eq!(status(&gateway.client().ask(&rpc("read", 2000))), 200);
         server.next();
-        (0..FAILED_REQUESTS).for_each(|_| drop(gateway.line("\"refused\"")));
+        (0..FAILED_REQUESTS).for_each(|_| drop(gateway.wait_for_line("\"refused\"")));
         let (reply, reachable_since) = (drain_reply(&server), Instant::now());
         let discovery = down.open(move |_, _| reply.clone());
         assert!(discovery.next().1.contains("from=3"));
@@ -138,7 +139,7 @@
 
 #[test]
 fn a_drain_made_while_discovery_closed_each_watch_without_a_list_applies_within_6_s() {
-    assert_drain_applied_after_failed_requests(|| (WATCH.as_bytes().to_vec(), true));
+    assert_drain_applied_after_failed_requests(|| (WATCH_HEAD.as_bytes().to_vec(), true));
 }
 
 #[test]
@@ -148,14 +149,14 @@
         let reply = drain_reply(&server);
         let discovery = Peer::new(move |number, _| match number {
             _ if number < FAILED_REQUESTS => answer(503, "", "not now"),
-            FAILED_REQUESTS => say(&format!("{WATCH}{EMPTY_LINE_CHUNK}")),
+            FAILED_REQUESTS => raw_reply(&format!("{WATCH_HEAD}{EMPTY_LINE_CHUNK}")),
             _ => reply.clone(),
         });
         let known_list = known_list(&[("s0", &server)]);
         let gateway = Program::start_seeded(BIN, seed, discovery.address, &known_list, settings);
         (0..=FAILED_REQUESTS).for_each(|_| drop(discovery.next()));
-        gateway.line("\"watching\"");
-        gateway.catch_up();
+        gateway.wait_for_line("\"watching\"");
+        gateway.wait_until_processed();
         let closed_at = Instant::now();
         discovery.close(FAILED_REQUESTS);
         assert_eq!(discovery.next().0, FAILED_REQUESTS + 1);
@@ -169,17 +170,17 @@
         let server = server();
         let reply = drain_reply(&server);
         let discovery =
-            Peer::new(move |number, _| if number == 0 { say(ENDLESS_HEADER) } else { reply.clone() });
+            Peer::new(move |number, _| if number == 0 { raw_reply(ENDLESS_HEADER) } else { reply.clone() });
         let known_list = known_list(&[("s0", &server)]);
         let gateway = Program::start_seeded(BIN, seed, discovery.address, &known_list, settings);
         discovery.next();
         let requested_at = Instant::now();
-        while discovery.nothing_came() {
+        while discovery.nothing_received() {
             assert!(
                 requested_at.elapsed() < ANNOUNCED_WITHIN,
                 "single bytes keep a request open that never gets a response"
             );
-            discovery.try_tell(0, "0");
+            discovery.try_write(0, "0");
             std::thread::sleep(Duration::from_millis(50)); // the test depends on this interval
         }
         assert_drain_applied(&gateway, &server, requested_at, ANNOUNCED_WITHIN);
@@ -191,21 +192,21 @@
     run_with_several_seeds(|seed, settings| {
         let left_out = Peer::new(|_, _| answer(200, "", "left-out"));
         let stays = Peer::new(|_, _| answer(200, "", "stays"));
-        let down = Down::default();
+        let down = RefusingPeer::default();
         let known_list = known_list(&[("s0", &left_out)]);
         let gateway = Program::start_seeded(BIN, seed, down.address, &known_list, settings);
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("left-out"));
         left_out.next();
         let snapshot = chunk(&list(4, true, &[entry("s1", stays.address, "ready")]));
         let reachable_since = Instant::now();
-        let discovery = down.open(move |_, _| say(&format!("{WATCH}{snapshot}")));
+        let discovery = down.open(move |_, _| raw_reply(&format!("{WATCH_HEAD}{snapshot}")));
         discovery.next();
         assert!(reachable_since.elapsed() < ANNOUNCED_WITHIN);
-        gateway.catch_up();
+        gateway.wait_until_processed();
         for _ in 0..20 {
             assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("stays"));
         }
-        assert!(left_out.nothing_came());
+        assert!(left_out.nothing_received());
     });
 }
 
@@ -246,8 +247,8 @@
 /// is down, when it returns, when a reload moves it, and at shutdown. Each time all other
 /// connections must still come up.
 fn check_descriptor_limit(command: &mut Command, limit: usize) {
-    let (server, down) = (server(), Down::default());
-    let counter = Peer::new(|_, call| say(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
+    let (server, down) = (server(), RefusingPeer::default());
+    let counter = Peer::new(|_, call| raw_reply(if call == "PING" { "+PONG\r\n" } else { "$1\r\n2\r\n" }));
     let settings_with_counter = push_settings().replacen(
         '{',
         "{\"extra\":{\"hasCounter\":true,\"countWait\":15.0,\"largest\":8},",
@@ -262,7 +263,7 @@
 
     // Only the connections that were idle for longest have been closed.
     let mut idle_clients = connect_idle_clients(&gateway);
-    let still_open: Vec<bool> = idle_clients.iter_mut().map(Client::nothing_came).collect();
+    let still_open: Vec<bool> = idle_clients.iter_mut().map(Client::nothing_received).collect();
     assert!(still_open.is_sorted() && !still_open[0] && still_open[59], "{still_open:?}");
     // While the others stay open, the connections to the server and to the counter come up.
     assert_eq!(status(&gateway.client().ask(&rpc_using_counter())), 200);
@@ -272,7 +273,7 @@
     // Discovery returns while idle clients hold all descriptors that they can get.
     let idle_clients = connect_idle_clients_and_send(&gateway);
     let reachable_since = Instant::now();
-    let discovery = down.open(|_, _| say(WATCH));
+    let discovery = down.open(|_, _| raw_reply(WATCH_HEAD));
     assert!(discovery.next().1.contains("from=3"));
     assert!(reachable_since.elapsed() < ANNOUNCED_WITHIN, "{:?}", reachable_since.elapsed());
     drop(idle_clients);
@@ -280,8 +281,8 @@
     // A reload (SIGHUP) moves discovery: the file is read, and a second watch is opened while the
     // first is still open.
     let idle_clients = connect_idle_clients_and_send(&gateway);
-    let new_discovery = Peer::new(|_, _| say(WATCH));
-    gateway.rewrite(&gateway.config(new_discovery.address, &limits_config, &settings_with_counter));
+    let new_discovery = Peer::new(|_, _| raw_reply(WATCH_HEAD));
+    gateway.rewrite_config(&gateway.config(new_discovery.address, &limits_config, &settings_with_counter));
     gateway.signal("-HUP");
     let reloaded_at = Instant::now();
     assert!(new_discovery.next().1.contains("from=3"));
@@ -291,7 +292,7 @@
 
     let idle_clients = connect_idle_clients(&gateway);
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     assert_eq!(status(&gateway.client().ask(&rpc_using_counter())), 200);
     drop(idle_clients);
     assert!(gateway.child.wait().unwrap().success());
@@ -342,13 +343,13 @@
     })
 }
 
-/// Waits until a gateway is ready, polling it as a front would. Returns the time from `since` until
+/// Waits until a gateway is ready, polling it as a front end would. Returns the time from `since` until
 /// then.
 fn wait_until_ready(gateway: &Program, since: Instant) -> Duration {
     let mut client = gateway.client();
     while status(&client.ask(READY_REQUEST)) != 200 {
-        assert!(since.elapsed() < READY_LIMIT_ALL, "{:#?}", gateway.lines_now());
-        std::thread::sleep(Duration::from_millis(20)); // the front's polling interval
+        assert!(since.elapsed() < READY_LIMIT_ALL, "{:#?}", gateway.new_lines());
+        std::thread::sleep(Duration::from_millis(20)); // the front end's polling interval
     }
     since.elapsed()
 }
@@ -362,7 +363,7 @@
 
 #[test]
 fn a_fleet_started_with_discovery_down_is_ready_on_its_stored_lists() {
-    let (server, down) = (server(), Down::default());
+    let (server, down) = (server(), RefusingPeer::default());
     let fleet = start_fleet(down.address, &known_list(&[("s0", &server)]));
     assert_ready_in_time(
         fleet.iter().map(|(gateway, start_time)| wait_until_ready(gateway, *start_time)).collect(),
@@ -378,7 +379,7 @@
 
 #[test]
 fn a_fleet_started_with_discovery_down_and_no_list_is_ready_within_6_s_of_its_return() {
-    let (server, down) = (server(), Down::default());
+    let (server, down) = (server(), RefusingPeer::default());
     let fleet = start_fleet(down.address, "");
     for (gateway, _) in &fleet {
         assert_eq!(
@@ -386,11 +387,11 @@
             503,
             "a gateway without a list must not be ready"
         );
-        (0..2).for_each(|_| drop(gateway.line("\"refused\"")));
+        (0..2).for_each(|_| drop(gateway.wait_for_line("\"refused\"")));
     }
     let snapshot = chunk(&list(3, true, &[entry("s0", server.address, "ready")]));
     let reachable_since = Instant::now();
-    let _discovery = down.open(move |_, _| say(&format!("{WATCH}{snapshot}")));
+    let _discovery = down.open(move |_, _| raw_reply(&format!("{WATCH_HEAD}{snapshot}")));
     assert_ready_in_time(
         fleet.iter().map(|(gateway, _)| wait_until_ready(gateway, reachable_since)).collect(),
     );
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -8,7 +8,9 @@
 use gateway::servers::Servers;
 use gateway::services::{Service, Services};
 use martenramp::subsetting;
-use standins::scripted::{MS, Peer, Program, SEC, WATCH, answer, chunk, entry, list, rpc, say, settings};
+use standins::scripted::{
+    MS, Peer, Program, SEC, WATCH_HEAD, answer, chunk, entry, list, raw_reply, rpc, settings,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -31,7 +33,7 @@
     piece_len: usize,
 ) -> (Vec<ListUpdate>, Option<&'static str>) {
     let (mut watch, mut updates, mut buffer) = (Watch::new(0, memory_limit), Vec::new(), Vec::new());
-    let head = format!("{WATCH}{:x}\r\n", object.len());
+    let head = format!("{WATCH_HEAD}{:x}\r\n", object.len());
     let bytes = [head.as_bytes(), object, b"\r\n"].concat();
     for fragment in bytes.chunks(piece_len) {
         buffer.extend_from_slice(fragment);
@@ -189,7 +191,7 @@
 fn a_watch_is_responsive_while_entries_arrive_but_not_while_only_blanks_arrive_within_an_object() {
     let (mut watch, mut updates, mut request) = (Watch::new(0, AMPLE_MEMORY), Vec::new(), Vec::new());
     watch.write_request(&mut request, SEC);
-    watch.feed(SEC, WATCH.as_bytes(), &mut updates).unwrap();
+    watch.feed(SEC, WATCH_HEAD.as_bytes(), &mut updates).unwrap();
     let list_start = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
     let piece_chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     watch.feed(SEC, piece_chunk(list_start).as_bytes(), &mut updates).unwrap();
@@ -211,7 +213,7 @@
 /// the minimum delay before the next request each time.
 fn invalid_list_delays(count: usize, open_time: u64) -> Vec<u64> {
     let (mut watch, mut rng) = (Watch::new(0, AMPLE_MEMORY), fastrand::Rng::with_seed(5));
-    let invalid = format!("{WATCH}{}", chunk("[]"));
+    let invalid = format!("{WATCH_HEAD}{}", chunk("[]"));
     (0..count as u64)
         .map(|request| {
             watch.write_request(&mut Vec::new(), request * 100 * SEC);
@@ -263,8 +265,8 @@
     let entries: Vec<String> = (0..50_000).map(|at| entry(&name(at), server.address, "ready")).collect();
     let object = list(7, true, &entries);
     assert!(object.len() > 8 << 20, "{} bytes", object.len());
-    let first = format!("{WATCH}{}", chunk(&object));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&object));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let start = Instant::now();
     wait_until_ready(&gateway);
@@ -279,8 +281,8 @@
 fn an_invalid_list_is_requested_again_after_delays_and_the_current_list_stays() {
     let server = Peer::new(|_, _| answer(200, "", "held"));
     let known = list(3, true, &[entry("s0", server.address, "ready")]);
-    let invalid = format!("{WATCH}{}", chunk("[{\"name\":\"s1\"}]"));
-    let discovery = Peer::new(move |_, _| say(&invalid));
+    let invalid = format!("{WATCH_HEAD}{}", chunk("[{\"name\":\"s1\"}]"));
+    let discovery = Peer::new(move |_, _| raw_reply(&invalid));
     // Where lists are pushed, the regular retry delay is shortest.
     let pushed = settings("\"membershipMode\":\"push\",");
     let gateway = Program::start(BIN, discovery.address, &format!("\"known\":{known},"), &pushed);
@@ -288,7 +290,7 @@
     for _ in 0..5 {
         assert!(discovery.next().1.contains("from=3"));
         request_times.push(Instant::now());
-        assert!(gateway.line("\"garbled-object\"").contains("\"list\""));
+        assert!(gateway.wait_for_line("\"garbled-object\"").contains("\"list\""));
         assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("held"));
     }
     let elapsed = request_times[4] - request_times[1];
@@ -502,7 +504,7 @@
     let two_services = Rc::new(services(&format!("{{{CLASSES}}}")).unwrap());
     let names = ["orders/1", "billing/1", "nameless", "catalog/1", "other"];
     let entries: Vec<String> = names.iter().map(|name| entry(name, address(1), "ready")).collect();
-    let text = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
+    let text = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &entries)));
     let (mut watch, mut updates) = (Watch::for_services(0, AMPLE_MEMORY, two_services), Vec::new());
     watch.feed(SEC, text.as_bytes(), &mut updates).unwrap();
     let staged: Vec<(&str, u32)> =
@@ -552,29 +554,29 @@
     };
     let snapshot =
         list(7, true, &[named(0, 300, &staying, "ready"), named(300, 5_000, &leaving, "ready")].concat());
-    let first = format!("{WATCH}{}", chunk(&snapshot));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&snapshot));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(BIN, discovery.address, "", &settings_with_ample_quota());
     wait_until_ready(&gateway);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (1..4).map(|number| spawn_client(&gateway, number, &stop)).collect();
-    discovery.tell(0, &chunk(&list(8, false, &named(300, 5_000, &leaving, "gone"))));
-    let line = gateway.line("\"list in force\"");
+    discovery.write(0, &chunk(&list(8, false, &named(300, 5_000, &leaving, "gone"))));
+    let line = gateway.wait_for_line("\"list in force\"");
     assert!(line.contains("\"changed\":4700") && line.contains("\"index\":8"), "{line}");
     // From here on the removed servers receive only what was already on its way.
     let mut client = gateway.client();
     client.ask(&rpc_with_id(0));
-    while leaving.seen_now().is_some() {}
+    while leaving.try_next().is_some() {}
     for number in 1..20 {
         assert!(client.ask(&rpc_with_id(number)).ends_with("stays"));
     }
-    assert!(leaving.nothing_came());
+    assert!(leaving.nothing_received());
     let cold: Vec<String> = named(300, 5_000, &leaving, "ready");
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let cold: Vec<String> =
         cold.iter().map(|entry| entry.replace("\"since_ms\":0", &format!("\"since_ms\":{since}"))).collect();
-    discovery.tell(0, &chunk(&list(9, false, &cold)));
-    let line = gateway.line("\"list in force\"");
+    discovery.write(0, &chunk(&list(9, false, &cold)));
+    let line = gateway.wait_for_line("\"list in force\"");
     assert!(line.contains("\"changed\":4700") && line.contains("\"servers\":5000"), "{line}");
     stop.store(true, Ordering::Relaxed);
     let statuses: Vec<u16> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
@@ -592,8 +594,9 @@
     let all = |server: &Peer, status: &str| -> Vec<String> {
         names(0, 2_000).map(|name| entry(&name, server.address, status)).collect()
     };
-    let first = format!("{WATCH}{}", chunk(&list(7, true, &all(&old, "ready"))));
-    let discovery = Peer::new(move |number, _| if number == 0 { say(&first) } else { say(WATCH) });
+    let first = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &all(&old, "ready"))));
+    let discovery =
+        Peer::new(move |number, _| if number == 0 { raw_reply(&first) } else { raw_reply(WATCH_HEAD) });
     let gateway = Program::start(BIN, discovery.address, "", &settings_with_ample_quota());
     wait_until_ready(&gateway);
     // Changes, a whole list and changes again arrive at once: the last update counts.
@@ -605,8 +608,8 @@
         list(9, true, &all(&new, "ready")[..500]),
     ];
     let text: String = objects.iter().map(|object| chunk(object)).collect();
-    discovery.tell(0, &text);
-    let lines: Vec<String> = (0..4).map(|_| gateway.line("\"list in force\"")).collect();
+    discovery.write(0, &text);
+    let lines: Vec<String> = (0..4).map(|_| gateway.wait_for_line("\"list in force\"")).collect();
     for (line, changed) in lines.iter().zip([1_000, 1_000, 2_000, 1_500]) {
         assert!(line.contains(&format!("\"changed\":{changed}")), "{line}");
     }
@@ -627,15 +630,15 @@
         .iter()
         .map(|name| entry(name, server.address, "ready"))
         .collect();
-    let first = format!("{WATCH}{}", chunk(&list(7, true, &entries)));
-    let discovery = Peer::new(move |_, _| say(&first));
+    let first = format!("{WATCH_HEAD}{}", chunk(&list(7, true, &entries)));
+    let discovery = Peer::new(move |_, _| raw_reply(&first));
     let gateway = Program::start(
         BIN,
         discovery.address,
         &format!("\"services\":{{{CLASSES}}},"),
         &settings_with_ample_quota(),
     );
-    let line = gateway.line("\"no-service\"");
+    let line = gateway.wait_for_line("\"no-service\"");
     assert!(line.contains("\"server\":\"nameless\"") && line.contains("\"entries\":2"), "{line}");
     wait_until_ready(&gateway);
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("on"));
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -3,8 +3,8 @@
 //! harm. `docs/races.md` lists the windows.
 
 use standins::scripted::{
-    Late, PATIENCE, Peer, Program, Reply, WATCH, answer, chunk, entry, list, nowhere, rpc, say, settings,
-    status,
+    FullBacklog, Peer, Program, Reply, WAIT_TIMEOUT, WATCH_HEAD, answer, chunk, entry, list, raw_reply,
+    refusing_address, rpc, settings, status,
 };
 use std::time::{Duration, Instant};
 
@@ -15,15 +15,15 @@
 
 #[test]
 fn an_rpc_whose_client_left_while_its_server_connection_was_pending_is_not_written() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     drop(client);
-    gateway.line("left-before-answer");
+    gateway.wait_for_line("left-before-answer");
     let mut server = late_server.open();
-    assert!(gateway.line("\"not written\"").contains("client-left"));
-    assert!(server.nothing_came());
+    assert!(gateway.wait_for_line("\"not written\"").contains("client-left"));
+    assert!(server.nothing_received());
     // The connection is kept for the next RPC.
     let mut next = gateway.client();
     next.send(&rpc("verify", 20_000));
@@ -32,17 +32,17 @@
 
 #[test]
 fn a_server_that_drains_while_its_connection_is_pending_gets_nothing_and_another_is_tried() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let other = Peer::new(|_, _| answer(200, "", "other"));
     let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let changed_entries = [entry("s0", late_server.address, "draining"), entry("s1", other.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &changed_entries)));
+    discovery.write(0, &chunk(&list(4, false, &changed_entries)));
     let mut server = late_server.open();
-    assert!(gateway.line("\"not written\"").contains("server-drains-or-gone"));
-    assert!(server.nothing_came());
+    assert!(gateway.wait_for_line("\"not written\"").contains("server-drains-or-gone"));
+    assert!(server.nothing_received());
     assert!(
         client.answer().unwrap().ends_with("other"),
         "an attempt that was never written may go to another server"
@@ -51,47 +51,47 @@
 
 #[test]
 fn a_server_that_moves_while_its_connection_is_pending_is_tried_at_its_new_address() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let moved = Peer::new(|_, _| answer(200, "", "moved"));
     let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s0", moved.address, "ready")])));
+    gateway.wait_until_processed();
+    discovery.write(0, &chunk(&list(4, false, &[entry("s0", moved.address, "ready")])));
     let mut server = late_server.open();
-    assert!(gateway.line("\"not written\"").contains("server-moved"));
+    assert!(gateway.wait_for_line("\"not written\"").contains("server-moved"));
     assert!(client.answer().unwrap().ends_with("moved"));
     assert!(server.is_closed(), "the unused connection was left open or written to");
 }
 
 #[test]
 fn a_retry_whose_window_ends_while_its_connection_is_pending_is_not_written() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let first = Peer::new(|_, _| (Vec::new(), false));
     let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("submit", 20_000));
     assert_eq!(first.next().0, 0);
     let next = [entry("s0", first.address, "draining"), entry("s1", late_server.address, "ready")];
-    discovery.tell(0, &chunk(&list(4, false, &next)));
-    gateway.catch_up();
+    discovery.write(0, &chunk(&list(4, false, &next)));
+    gateway.wait_until_processed();
     // The RPC may have run, and may be repeated for 1 s. The system retries the pending connection
     // only after 1 s.
     first.reset(0);
-    assert!(gateway.line("\"server\"").contains("\"reset\""));
+    assert!(gateway.wait_for_line("\"server\"").contains("\"reset\""));
     let mut server = late_server.open();
-    assert!(gateway.line("\"not written\"").contains("repeat-window-over"));
+    assert!(gateway.wait_for_line("\"not written\"").contains("repeat-window-over"));
     assert_eq!(
         status(&client.answer().unwrap()),
         502,
         "an RPC that may have run is not reported as harmless to retry"
     );
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
 fn an_rpc_whose_deadline_passes_while_its_connection_is_pending_is_rejected_and_never_written() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let settings = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
     let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &settings);
     let response = gateway.client().ask(&rpc("verify", 300));
@@ -104,13 +104,13 @@
 
 #[test]
 fn after_sigterm_a_connection_established_late_still_carries_its_rpc() {
-    let (late_server, discovery) = (Late::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), watch());
     let mut gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let mut server = late_server.open();
     assert!(server.answer().unwrap().starts_with("POST "));
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
@@ -123,7 +123,7 @@
 
 /// Replies to a request with this text. The test ends the connection.
 fn reply_with(text: &'static str) -> impl Fn(usize, &str) -> Reply {
-    move |_, _| say(text)
+    move |_, _| raw_reply(text)
 }
 
 #[test]
@@ -153,7 +153,7 @@
         status(&response) == 200 && response.ends_with("half of it"),
         "an orderly close completes the response: {response}"
     );
-    assert!(server.nothing_came(), "an RPC that may have run and must not run twice was sent again");
+    assert!(server.nothing_received(), "an RPC that may have run and must not run twice was sent again");
 }
 
 #[test]
@@ -165,7 +165,7 @@
     client.send(&rpc("verify", 2000));
     server.reset(server.next().0);
     assert_eq!(status(&client.answer().unwrap()), 502);
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
@@ -178,9 +178,9 @@
     assert_eq!(server.next().0, 0);
     // Within one turn, the gateway reads the next RPC first and then finds the partial line on the
     // server connection.
-    gateway.stand_still();
+    gateway.pause();
     client.send(&rpc("verify", 2000));
-    server.tell(0, "HTTP/1.1 200 OK\r\nConte");
+    server.write(0, "HTTP/1.1 200 OK\r\nConte");
     gateway.signal("-CONT");
     assert!(client.answer().unwrap().ends_with("two"));
     assert_eq!(server.next().0, 1);
@@ -194,13 +194,13 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 500));
     assert_eq!(server.next().0, 0);
-    while client.nothing_came() {
-        server.tell(0, "x");
-        gateway.catch_up(); // the gateway reads each byte on its own
+    while client.nothing_received() {
+        server.write(0, "x");
+        gateway.wait_until_processed(); // the gateway reads each byte on its own
     }
     let response = client.answer().unwrap();
     assert!(matches!(status(&response), 502 | 504) && !response.contains("xx"), "{response}");
-    assert!(server.nothing_came(), "an RPC that may have run was sent again");
+    assert!(server.nothing_received(), "an RPC that may have run was sent again");
 }
 
 // ---- Clients that leave or send more data at the wrong moment.
@@ -218,28 +218,28 @@
     let mut paused = gateway.client();
     let request = rpc("verify", 20_000);
     paused.send(&request[..200]);
-    gateway.catch_up();
+    gateway.wait_until_processed();
     let paused_at = Instant::now();
     // Clients with waiting RPCs occupy all other connection slots.
     let mut others: Vec<_> = (0..21).map(|_| gateway.client()).collect();
     for (number, client) in others.iter_mut().enumerate() {
         client.send(&rpc("read", 20_000).replace("0123456789abcdef", &format!("{number:016x}")));
     }
-    gateway.catch_up();
-    gateway.stand_still();
+    gateway.wait_until_processed();
+    gateway.pause();
     // A message may pause for two seconds before its slot may be reclaimed; the test depends on
     // that time.
     std::thread::sleep(Duration::from_millis(2050).saturating_sub(paused_at.elapsed()));
     let _newcomer = gateway.client();
     paused.send(&request[200..]);
     gateway.signal("-CONT");
-    gateway.catch_up();
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "ready")])));
+    gateway.wait_until_processed();
+    discovery.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "ready")])));
     let response = paused.answer();
     assert!(
         response.as_ref().is_some_and(|response| response.ends_with("on")),
         "the message was complete when its slot was reclaimed: {response:?}, {:#?}",
-        gateway.lines_now()
+        gateway.new_lines()
     );
 }
 
@@ -247,19 +247,19 @@
 fn a_client_that_leaves_after_flooding_the_gateway_is_detected_as_gone() {
     let discovery = watch();
     // No server is ready, so the RPC waits for one.
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
+    let gateway = under(&discovery, &[entry("s0", refusing_address(), "draining")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers on the path hold
     client.send(&flood);
     drop(client);
-    gateway.line("left-before-answer");
+    gateway.wait_for_line("left-before-answer");
     // A server becomes ready for whatever still waits: neither the RPC nor any of the flood may be
     // sent to it.
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
+    discovery.write(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
     assert!(gateway.client().ask(&rpc("read", 20_000)).ends_with("on"));
-    assert!(server.next().1.starts_with("GET ") && server.nothing_came());
+    assert!(server.next().1.starts_with("GET ") && server.nothing_received());
 }
 
 #[test]
@@ -271,38 +271,38 @@
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
     client.send(&"x".repeat(1 << 20));
-    gateway.catch_up();
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
+    gateway.wait_until_processed();
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown");
     let response = client.answer().unwrap();
     assert!(response.ends_with("own") && response.contains("Connection: close"), "{response}");
-    assert!(gateway.line("\"client\"").contains("sends-on-before-its-answer") || client.is_closed());
+    assert!(gateway.wait_for_line("\"client\"").contains("sends-on-before-its-answer") || client.is_closed());
 }
 
 #[test]
 fn a_client_that_resets_while_its_rpc_waits_is_detected_as_gone() {
     let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "draining")], &patient_settings());
+    let gateway = under(&discovery, &[entry("s0", refusing_address(), "draining")], &patient_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     client.send("GET /api/"); // followed by half a message
     client.reset();
-    gateway.line("left-before-answer");
+    gateway.wait_for_line("left-before-answer");
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    discovery.tell(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
+    discovery.write(0, &chunk(&list(4, false, &[entry("s1", server.address, "ready")])));
     assert!(gateway.client().ask(&rpc("read", 20_000)).ends_with("on"));
-    assert!(server.next().1.starts_with("GET ") && server.nothing_came());
+    assert!(server.next().1.starts_with("GET ") && server.nothing_received());
 }
 
 #[test]
 fn a_client_with_an_invalid_message_and_more_input_is_closed_without_a_reset() {
     let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", nowhere(), "ready")], &settings(""));
+    let gateway = under(&discovery, &[entry("s0", refusing_address(), "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&format!("nonsense\r\n\r\n{}", "x".repeat(200 << 10)));
     // The client reads nothing until its connection is closed. Closing with unread bytes would have
     // sent a reset.
-    assert!(gateway.line("\"client\"").contains("bad-head"));
+    assert!(gateway.wait_for_line("\"client\"").contains("bad-head"));
     assert!(client.error().is_none(), "the gateway closed the connection with unread bytes");
     assert_eq!(status(&client.answer().unwrap()), 400);
     assert!(client.is_closed());
@@ -325,8 +325,8 @@
     };
     let mut idle_clients: Vec<_> = (0..400).map(idle_client).collect();
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
-    gateway.stand_still();
+    gateway.wait_for_line("\"stopping\"");
+    gateway.pause();
     for (number, client) in idle_clients.iter_mut().enumerate() {
         client
             .send(&rpc("read", 20_000).replace("X-Txn: 0123456789abcdef", &format!("X-Txn: {number:016x}")));
@@ -347,9 +347,9 @@
     let mut idle_client = gateway.client();
     assert_eq!(status(&idle_client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     let mut new_client = gateway.client();
-    gateway.catch_up(); // the connection is accepted
+    gateway.wait_until_processed(); // the connection is accepted
     assert!(idle_client.is_closed(), "an idle connection was not closed at the end of the listen period");
     assert!(new_client.ask(&rpc("read", 2000)).ends_with("served"));
     drop(new_client);
@@ -363,13 +363,13 @@
     let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("submit", 2000)[..150]);
-    gateway.catch_up();
+    gateway.wait_until_processed();
     gateway.signal("-TERM");
     assert_eq!(status(&client.answer().unwrap()), 503);
     client.try_send(&rpc("submit", 2000)[150..]); // arrives after the rejection and is never sent to a server
     drop(client);
     assert!(gateway.child.wait().unwrap().success());
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
@@ -381,13 +381,13 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
-    gateway.rewrite(&gateway.config(next.address, "", &patient_settings()));
+    gateway.rewrite_config(&gateway.config(next.address, "", &patient_settings()));
     gateway.signal("-TERM");
-    gateway.line("\"stopping\"");
+    gateway.wait_for_line("\"stopping\"");
     gateway.signal("-HUP");
     assert!(next.next().1.contains("from=3"));
     gateway.signal("-TERM");
-    server.tell(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
+    server.write(0, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nheld");
     assert!(client.answer().unwrap().ends_with("held"));
     drop(client);
     assert!(gateway.child.wait().unwrap().success());
@@ -399,7 +399,7 @@
     let mut gateway = Program::start(BIN, discovery.address, "", &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
-    gateway.catch_up();
+    gateway.wait_until_processed();
     gateway.signal("-TERM");
     assert_eq!(status(&client.answer().unwrap()), 503);
     drop(client);
@@ -429,9 +429,9 @@
     // The first watch stops sending, the second is accepted and never sends anything, the third
     // works.
     let discovery = Peer::new(move |number, _| match number {
-        0 => say(WATCH),
+        0 => raw_reply(WATCH_HEAD),
         1 => (Vec::new(), false),
-        _ => say(&format!("{WATCH}{drain_update}")),
+        _ => raw_reply(&format!("{WATCH_HEAD}{drain_update}")),
     });
     let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
     let silent_since = Instant::now();
@@ -439,9 +439,9 @@
     // 6 s after the silence began, all changes count as announced; 2 s later nothing new may go to
     // a draining server.
     assert!(silent_since.elapsed() < Duration::from_secs(8), "{:?}", silent_since.elapsed());
-    gateway.catch_up();
+    gateway.wait_until_processed();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    assert!(server.nothing_came(), "new work went to a draining server that is still up");
+    assert!(server.nothing_received(), "new work went to a draining server that is still up");
 }
 
 #[test]
@@ -459,24 +459,26 @@
             start.elapsed()
         );
     }
-    discovery.tell(5, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
-    gateway.catch_up();
+    discovery.write(5, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
+    gateway.wait_until_processed();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
 fn a_moved_watch_that_never_responds_is_requested_again_while_the_old_one_stays_in_use() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let (old, new) =
-        (watch(), Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { say(WATCH) }));
+    let (old, new) = (
+        watch(),
+        Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { raw_reply(WATCH_HEAD) }),
+    );
     let gateway = under(&old, &[entry("s0", server.address, "ready")], &patient_settings());
-    gateway.rewrite(&gateway.config(new.address, "", &patient_settings()));
+    gateway.rewrite_config(&gateway.config(new.address, "", &patient_settings()));
     gateway.signal("-HUP");
     let moved_at = Instant::now();
     assert_eq!(new.next().0, 0);
-    old.tell(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
-    gateway.catch_up();
+    old.write(0, &chunk(&list(4, false, &[entry("s0", server.address, "draining")])));
+    gateway.wait_until_processed();
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
     let (number, request) = new.next();
     assert!(number == 1 && request.contains("from=4"), "{request}");
@@ -484,7 +486,7 @@
         moved_at.elapsed() < Duration::from_secs(4),
         "changes at the new discovery must take effect within 4 s of the move"
     );
-    assert!(server.nothing_came());
+    assert!(server.nothing_received());
 }
 
 #[test]
@@ -498,15 +500,15 @@
         .replace(":{", ": {");
     for piece in format!("\n\n  {padded_list}\n").as_bytes().chunks(7) {
         let piece = std::str::from_utf8(piece).unwrap();
-        discovery.tell(0, &format!("{:x}\r\n{piece}\r\n", piece.len()));
+        discovery.write(0, &format!("{:x}\r\n{piece}\r\n", piece.len()));
     }
-    gateway.catch_up();
+    gateway.wait_until_processed();
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("two"));
     // Half an object is not applied, whatever empty lines follow.
     let next_list = list(5, true, &[entry("s0", first_server.address, "ready")]);
-    discovery.tell(0, &chunk(next_list.rsplit_once(',').unwrap().0));
-    discovery.tell(0, "1\r\n\n\r\n");
-    gateway.catch_up();
+    discovery.write(0, &chunk(next_list.rsplit_once(',').unwrap().0));
+    discovery.write(0, "1\r\n\n\r\n");
+    gateway.wait_until_processed();
     assert!(gateway.client().ask(&rpc("read", 2000)).ends_with("two"));
     assert!(
         discovery.next().1.contains("from=4"),
@@ -519,11 +521,11 @@
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let known = list(3, true, &[entry("s0", server.address, "draining")]);
     let start = Instant::now();
-    let gateway = Program::start(BIN, nowhere(), &format!("\"known\":{known},"), &settings(""));
+    let gateway = Program::start(BIN, refusing_address(), &format!("\"known\":{known},"), &settings(""));
     assert_eq!(status(&gateway.client().ask("GET /-/ready HTTP/1.1\r\n\r\n")), 200);
-    assert!(start.elapsed() < PATIENCE / 2);
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2);
     assert!(matches!(status(&gateway.client().ask(&rpc("read", 300))), 429 | 503));
-    assert!(server.nothing_came(), "a server that drains in the stored list got new work");
+    assert!(server.nothing_received(), "a server that drains in the stored list got new work");
 }
 
 // ---- Processor time while many RPCs wait.
@@ -541,7 +543,8 @@
 fn gateway_with_cold_servers(discovery: &Peer) -> Program {
     let now_ms = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let started = format!("\"since_ms\":{now_ms}");
-    let cold = |at: usize| entry(&format!("s{at}"), nowhere(), "ready").replace("\"since_ms\":0", &started);
+    let cold =
+        |at: usize| entry(&format!("s{at}"), refusing_address(), "ready").replace("\"since_ms\":0", &started);
     let entries: Vec<String> = (0..200).map(cold).collect();
     let settings =
         patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
@@ -560,11 +563,14 @@
     let mut clients: Vec<_> = (0..150).map(|_| gateway.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&rpc("read", 20_000).replace("0123456789abcdef", &format!("{number:016x}")));
-        gateway.catch_up(); // so that each RPC is handled in its own turn
+        gateway.wait_until_processed(); // so that each RPC is handled in its own turn
     }
     let used = processor_time(&gateway) - before;
     assert!(used < Duration::from_millis(2500), "{used:?} for 150 waiting RPCs");
-    assert!(clients.iter_mut().all(|client| client.nothing_came()), "an RPC was answered instead of waiting");
+    assert!(
+        clients.iter_mut().all(|client| client.nothing_received()),
+        "an RPC was answered instead of waiting"
+    );
 }
 
 /// The same for many customers with one RPC each, all of which repeatedly look for a server and
--- a/crates/rig/src/front.rs
+++ b/crates/rig/src/load_generator.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::Exp1;
 use standins::http;
-use standins::reactor::{Conn, Io, Service};
+use standins::reactor::{ConnId, EventHandler, Io};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -56,31 +56,31 @@
     /// The share of all arrivals.
     pub share: f64,
     /// Its first gateway.
-    pub first: usize,
+    pub first_gateway: usize,
     /// How many gateways in a row it uses.
-    pub width: usize,
+    pub gateway_count: usize,
 }
 
 /// Shares of the RPCs whose clients do something out of the ordinary.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Behaviour {
+pub struct ClientBehaviour {
     /// The client closes its connection at some moment of its deadline.
-    pub leave: f64,
+    pub abandon_share: f64,
     /// Its connection was opened some time before, and has said nothing.
-    pub early: f64,
+    pub early_connection_share: f64,
     /// Its message comes in two pieces.
-    pub pieces: f64,
+    pub split_write_share: f64,
     /// Its connection is its own, and closed behind the answer.
-    pub fresh: f64,
+    pub own_connection_share: f64,
     /// The client reads nothing for a while once it has sent.
-    pub slow: f64,
+    pub slow_read_share: f64,
 }
 
 /// What the front sends.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadProfile {
     /// What clients do.
-    pub behaviour: Behaviour,
+    pub behaviour: ClientBehaviour,
     /// RPCs a second in all.
     pub rate: f64,
     /// The plan that all customers have.
@@ -90,12 +90,12 @@
     /// Who sends.
     pub customers: Vec<Customer>,
     /// How long until the front notices a dead gateway.
-    pub notice: Nanos,
+    pub detection_delay: Nanos,
 }
 
 /// How an RPC ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RpcOutcome {
     /// Not yet ended.
     Open,
     /// Answered ok.
@@ -116,25 +116,25 @@
 
 /// One RPC as the client saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub struct ClientRpc {
     /// The RPC's id.
     pub txn: u64,
     /// The gateway that it was sent to.
     pub gateway: usize,
-    /// By its place in [`Plan::methods`].
+    /// By its place in [`LoadProfile::methods`].
     pub method: usize,
     /// When it was to be sent.
-    pub due: Nanos,
+    pub scheduled_at: Nanos,
     /// When it was sent.
-    pub sent: Nanos,
+    pub sent_at: Nanos,
     /// When it ended.
-    pub done: Nanos,
+    pub ended_at: Nanos,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: RpcOutcome,
     /// When it was sent once more, since its connection was closed as it crossed: nothing may have read it by then.
-    pub crossed: Option<Nanos>,
+    pub resent_at: Option<Nanos>,
     /// Silent connections crowded its gateway, which may shut a new connection unread then.
-    pub crowded: bool,
+    pub during_connection_flood: bool,
 }
 
 /// The state of a gateway as the front sees it. `Front::set_state` is the one place that changes it.
@@ -150,8 +150,8 @@
 struct Gateway {
     address: SocketAddr,
     state: GatewayState,
-    idle: Vec<Conn>,
-    probe: Option<Conn>,
+    idle: Vec<ConnId>,
+    probe: Option<ConnId>,
 }
 
 /// What a connection is doing.
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug)]
 struct Message {
     text: Vec<u8>,
-    conn: Option<Conn>,
+    conn: Option<ConnId>,
     /// Its connection was there before: a gateway may close it just as the message crosses.
     rested: bool,
     /// The client closes it behind the answer.
@@ -178,16 +178,16 @@
 }
 
 /// The open-loop load generator before the gateways.
-pub struct Front {
-    plan: Plan,
+pub struct LoadGenerator {
+    plan: LoadProfile,
     gateways: Vec<Gateway>,
-    conns: BTreeMap<Conn, (usize, Use)>,
+    conns: BTreeMap<ConnId, (usize, Use)>,
     /// Messages of the calls that are open.
     messages: BTreeMap<usize, Message>,
     /// RPCs sent once more, since their connection was closed as they crossed.
-    pub sent_again: u64,
+    pub resent_rpcs: u64,
     /// All RPCs so far.
-    pub calls: Vec<Call>,
+    pub rpcs: Vec<ClientRpc>,
     chance: ChaCha8Rng,
     customers: Option<WeightedIndex<f64>>,
     methods: Option<WeightedIndex<f64>>,
@@ -199,21 +199,21 @@
     crowd_owed: f64,
     crowded_until: Nanos,
     /// Answers that came when none was owed.
-    pub extra: u64,
+    pub unexpected_answers: u64,
 }
 
-impl Front {
+impl LoadGenerator {
     /// A front that sends nothing yet.
-    pub fn new(plan: Plan, chance: ChaCha8Rng) -> Front {
+    pub fn new(plan: LoadProfile, chance: ChaCha8Rng) -> LoadGenerator {
         let customers = WeightedIndex::new(plan.customers.iter().map(|customer| customer.share)).ok();
         let methods = WeightedIndex::new(plan.methods.iter().map(|method| method.share)).ok();
-        Front {
+        LoadGenerator {
             plan,
             gateways: Vec::new(),
             conns: BTreeMap::new(),
             messages: BTreeMap::new(),
-            sent_again: 0,
-            calls: Vec::new(),
+            resent_rpcs: 0,
+            rpcs: Vec::new(),
             chance,
             customers,
             methods,
@@ -223,51 +223,51 @@
             crowd: 0.0,
             crowd_owed: 0.0,
             crowded_until: 0,
-            extra: 0,
+            unexpected_answers: 0,
         }
     }
 
     /// One more gateway, probed from now on.
-    pub fn add(&mut self, io: &mut Io, address: SocketAddr) {
+    pub fn add_gateway(&mut self, io: &mut Io, address: SocketAddr) {
         if self.gateways.is_empty() {
-            io.at(io.now(), PROBES);
+            io.set_timer(io.now(), PROBES);
         }
         self.gateways.push(Gateway { address, state: GatewayState::Down, idle: Vec::new(), probe: None });
     }
 
     /// Gateways that it sends to.
-    pub fn admitted(&self) -> usize {
+    pub fn admitted_gateways(&self) -> usize {
         self.gateways.iter().filter(|gateway| gateway.state == GatewayState::Admitted).count()
     }
 
     /// Arrivals come from now on, or stop.
-    pub fn run(&mut self, io: &mut Io, running: bool) {
+    pub fn set_running(&mut self, io: &mut Io, running: bool) {
         self.running = running;
         if running {
             self.next = io.now();
-            io.at(self.next, ARRIVAL);
+            io.set_timer(self.next, ARRIVAL);
         }
     }
 
     /// All arrivals come so many times as often.
-    pub fn burst(&mut self, factor: f64) {
+    pub fn set_rate_factor(&mut self, factor: f64) {
         self.factor = factor;
     }
 
     /// So many connections a second are opened to each gateway from now on, and nothing is said on them.
-    pub fn crowd(&mut self, io: &mut Io, rate: f64) {
+    pub fn set_silent_connection_rate(&mut self, io: &mut Io, rate: f64) {
         let begins = self.crowd == 0.0 && rate > 0.0;
         self.crowd = rate;
         self.crowded_until = io.now() + CROWD_AFTER;
         if begins {
-            io.at(io.now(), CROWD);
+            io.set_timer(io.now(), CROWD);
         }
     }
 
     fn open_silent(&mut self, io: &mut Io) {
         if self.crowd == 0.0 {
             let silent = self.conns.iter().filter(|(_, (_, what))| *what == Use::Silent);
-            let silent: Vec<Conn> = silent.map(|(conn, _)| *conn).collect();
+            let silent: Vec<ConnId> = silent.map(|(conn, _)| *conn).collect();
             for conn in silent {
                 self.conns.remove(&conn);
                 io.close(conn);
@@ -284,17 +284,17 @@
                 }
             }
         }
-        io.at(io.now() + CROWD_STEP, CROWD);
+        io.set_timer(io.now() + CROWD_STEP, CROWD);
     }
 
     /// The customers' gateways go over to a fleet of another size.
-    pub fn place(&mut self, customers: Vec<Customer>) {
+    pub fn set_customers(&mut self, customers: Vec<Customer>) {
         self.customers = WeightedIndex::new(customers.iter().map(|customer| customer.share)).ok();
         self.plan.customers = customers;
     }
 
     /// RPCs that wait for their answers.
-    pub fn open(&self) -> usize {
+    pub fn open_rpcs(&self) -> usize {
         // One whose connection went before it was sent is among them: it is sent on another.
         self.messages.len()
     }
@@ -315,7 +315,7 @@
             self.send(io, due);
         }
         if self.running {
-            io.at(self.next, ARRIVAL);
+            io.set_timer(self.next, ARRIVAL);
         }
     }
 
@@ -324,7 +324,7 @@
         let key = customers.sample(&mut self.chance);
         let method = methods.sample(&mut self.chance);
         let customer = self.plan.customers[key];
-        let set = (0..customer.width).map(|at| (customer.first + at) % self.gateways.len());
+        let set = (0..customer.gateway_count).map(|at| (customer.first_gateway + at) % self.gateways.len());
         // Open connections are used until the gateway ends them, also of one that takes no new ones.
         let can = |at: &usize| {
             let gateway = &self.gateways[*at];
@@ -333,66 +333,68 @@
         };
         let up: Vec<usize> = set.filter(can).collect();
         let now = io.clock().now();
-        let number = self.calls.len();
+        let number = self.rpcs.len();
         if up.is_empty() {
-            return self.calls.push(Call {
+            return self.rpcs.push(ClientRpc {
                 txn: u64::MAX,
-                gateway: customer.first,
+                gateway: customer.first_gateway,
                 method,
-                due,
-                sent: now,
-                done: now,
-                outcome: Outcome::Unreached,
-                crossed: None,
-                crowded: false,
+                scheduled_at: due,
+                sent_at: now,
+                ended_at: now,
+                outcome: RpcOutcome::Unreached,
+                resent_at: None,
+                during_connection_flood: false,
             });
         }
         let gateway = up[self.chance.random_range(0..up.len())];
         let txn = (gateway as u64) << 48 | number as u64;
-        let outcome = Outcome::Open;
-        let mut call = Call {
+        let outcome = RpcOutcome::Open;
+        let mut call = ClientRpc {
             txn,
             gateway,
             method,
-            due,
-            sent: now,
-            done: now,
+            scheduled_at: due,
+            sent_at: now,
+            ended_at: now,
             outcome,
-            crossed: None,
-            crowded: now < self.crowded_until,
+            resent_at: None,
+            during_connection_flood: now < self.crowded_until,
         };
         let how = &self.plan.methods[method];
         let (text, deadline) =
             (request(&self.plan.plan, how, txn, key, &customer).into_bytes(), how.deadline);
         let behaviour = self.plan.behaviour;
-        let early = behaviour.early > 0.0 && self.chance.random_bool(behaviour.early);
-        let fresh = behaviour.fresh > 0.0 && self.chance.random_bool(behaviour.fresh);
+        let early = behaviour.early_connection_share > 0.0
+            && self.chance.random_bool(behaviour.early_connection_share);
+        let fresh =
+            behaviour.own_connection_share > 0.0 && self.chance.random_bool(behaviour.own_connection_share);
         let idle = if early || fresh { None } else { self.idle(io, gateway) };
         let rested = early || idle.is_some();
         let Some(conn) = idle.or_else(|| io.connect(self.gateways[gateway].address).ok()) else {
-            call.outcome = Outcome::Unreached;
-            return self.calls.push(call);
+            call.outcome = RpcOutcome::Unreached;
+            return self.rpcs.push(call);
         };
         self.conns.insert(conn, (gateway, Use::Call(number)));
         let hold = if early { self.chance.random_range(0..EARLY_MOST) } else { 0 };
-        call.due += hold;
-        call.sent += hold;
-        if behaviour.leave > 0.0 && self.chance.random_bool(behaviour.leave) {
-            io.at(call.due + self.chance.random_range(0..deadline), LEAVE | number as u64);
+        call.scheduled_at += hold;
+        call.sent_at += hold;
+        if behaviour.abandon_share > 0.0 && self.chance.random_bool(behaviour.abandon_share) {
+            io.set_timer(call.scheduled_at + self.chance.random_range(0..deadline), LEAVE | number as u64);
         }
-        io.at(call.due + deadline + SLACK, number as u64);
+        io.set_timer(call.scheduled_at + deadline + SLACK, number as u64);
         self.messages
             .insert(number, Message { text, conn: Some(conn), rested, fresh, written: false, again: false });
-        self.calls.push(call);
+        self.rpcs.push(call);
         if early {
-            io.at(due + hold, BEGIN | number as u64);
+            io.set_timer(due + hold, BEGIN | number as u64);
         } else {
             self.write(io, number);
         }
     }
 
     /// An idle connection to a gateway that is still open.
-    fn idle(&mut self, io: &mut Io, gateway: usize) -> Option<Conn> {
+    fn idle(&mut self, io: &mut Io, gateway: usize) -> Option<ConnId> {
         loop {
             let conn = self.gateways[gateway].idle.pop()?;
             if io.is_open(conn) {
@@ -403,16 +405,16 @@
 
     /// Writes an RPC's message, or its first piece; on a new connection where the one that was opened for it is gone.
     fn write(&mut self, io: &mut Io, number: usize) {
-        let gateway = self.calls[number].gateway;
+        let gateway = self.rpcs[number].gateway;
         let Some(message) = self.messages.get_mut(&number) else { return };
         if message.conn.is_none() {
             let Ok(conn) = io.connect(self.gateways[gateway].address) else {
-                return self.end(io, number, Outcome::Unreached);
+                return self.end(io, number, RpcOutcome::Unreached);
             };
             (message.conn, message.rested) = (Some(conn), false);
             self.conns.insert(conn, (gateway, Use::Call(number)));
         }
-        let pieces = self.plan.behaviour.pieces;
+        let pieces = self.plan.behaviour.split_write_share;
         let in_pieces = pieces > 0.0 && !message.again && self.chance.random_bool(pieces);
         let first = if in_pieces { message.text.len() / 2 } else { message.text.len() };
         message.written = !in_pieces;
@@ -421,16 +423,19 @@
         }
         if !message.again {
             // Not when it was to be: a front that is late gives its RPCs their time from when it sends them.
-            self.calls[number].sent = io.clock().now();
+            self.rpcs[number].sent_at = io.clock().now();
         }
         if in_pieces {
-            io.at(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
+            io.set_timer(io.now() + self.chance.random_range(0..PIECE_MOST), REST | number as u64);
         }
-        let slow = self.plan.behaviour.slow;
+        let slow = self.plan.behaviour.slow_read_share;
         if slow > 0.0 && self.chance.random_bool(slow) {
             let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) else { return };
-            io.hold(conn, true);
-            io.at(io.now() + self.chance.random_range(0..READS_NOTHING_MOST), READ_AGAIN | number as u64);
+            io.set_read_paused(conn, true);
+            io.set_timer(
+                io.now() + self.chance.random_range(0..READS_NOTHING_MOST),
+                READ_AGAIN | number as u64,
+            );
         }
     }
 
@@ -445,9 +450,9 @@
     }
 
     /// Closes the connection of an RPC, since its client leaves or waits no longer.
-    fn leave(&mut self, io: &mut Io, number: usize, outcome: Outcome) {
+    fn leave(&mut self, io: &mut Io, number: usize, outcome: RpcOutcome) {
         // After the run the calls are handed over while their timers still stand.
-        if self.calls.get(number).is_none_or(|call| call.outcome != Outcome::Open) {
+        if self.rpcs.get(number).is_none_or(|call| call.outcome != RpcOutcome::Open) {
             return;
         }
         let conn = self.messages.get(&number).and_then(|message| message.conn);
@@ -460,35 +465,35 @@
 
     /// An RPC's connection ended without an answer. One that rested may have been closed as the message crossed, and is
     /// sent once more on a new connection; one that never stood took nothing with it.
-    fn broke(&mut self, io: &mut Io, conn: Conn, number: usize) {
+    fn broke(&mut self, io: &mut Io, conn: ConnId, number: usize) {
         let Some(message) = self.messages.get_mut(&number) else { return };
         message.conn = None;
         if !message.written {
-            if message.rested && self.calls[number].sent > io.now() {
+            if message.rested && self.rpcs[number].sent_at > io.now() {
                 return; // it was opened early, and nothing is said on it yet
             }
-            return self.end(io, number, Outcome::Unreached);
+            return self.end(io, number, RpcOutcome::Unreached);
         }
-        if (message.rested || self.calls[number].crowded) && !message.again {
+        if (message.rested || self.rpcs[number].during_connection_flood) && !message.again {
             message.again = true;
-            self.sent_again += 1;
-            self.calls[number].crossed = Some(io.now());
+            self.resent_rpcs += 1;
+            self.rpcs[number].resent_at = Some(io.now());
             // It tells the time that is left by then.
-            let call = self.calls[number];
+            let call = self.rpcs[number];
             let deadline = self.plan.methods[call.method].deadline;
-            let left = (call.sent + deadline).saturating_sub(io.now());
+            let left = (call.sent_at + deadline).saturating_sub(io.now());
             message.text = with_remaining(&message.text, left);
             return self.write(io, number);
         }
-        let wrote = io.waiting(conn) == 0;
-        self.end(io, number, if wrote { Outcome::Cut } else { Outcome::Unreached });
+        let wrote = io.unsent_bytes(conn) == 0;
+        self.end(io, number, if wrote { RpcOutcome::Cut } else { RpcOutcome::Unreached });
     }
 
-    fn end(&mut self, io: &mut Io, call: usize, outcome: Outcome) {
+    fn end(&mut self, io: &mut Io, call: usize, outcome: RpcOutcome) {
         self.messages.remove(&call);
-        let call = &mut self.calls[call];
-        if call.outcome == Outcome::Open {
-            (call.outcome, call.done) = (outcome, io.now());
+        let call = &mut self.rpcs[call];
+        if call.outcome == RpcOutcome::Open {
+            (call.outcome, call.ended_at) = (outcome, io.now());
         }
     }
 
@@ -502,7 +507,7 @@
     fn probe(&mut self, io: &mut Io) {
         for gateway in 0..self.gateways.len() {
             if let GatewayState::Failing(since) = self.gateways[gateway].state
-                && io.now() >= since + self.plan.notice
+                && io.now() >= since + self.plan.detection_delay
             {
                 self.set_state(gateway, GatewayState::Down);
             }
@@ -517,7 +522,7 @@
                 io.send(conn, b"GET /-/ready HTTP/1.1\r\nHost: gateway\r\n\r\n");
             }
         }
-        io.at(io.now() + PROBE_EVERY, PROBES);
+        io.set_timer(io.now() + PROBE_EVERY, PROBES);
     }
 }
 
@@ -538,8 +543,8 @@
         method.name,
         method.deadline / MS,
         method.units,
-        customer.width,
-        customer.first
+        customer.gateway_count,
+        customer.first_gateway
     );
     let path = format!("/api/{key:016x}");
     match method.idempotency.as_str() {
@@ -551,26 +556,26 @@
     }
 }
 
-impl Service for Front {
+impl EventHandler for LoadGenerator {
     /// What waited for its connection is sent now.
-    fn up(&mut self, io: &mut Io, conn: Conn) {
+    fn on_connect(&mut self, io: &mut Io, conn: ConnId) {
         let Some((_, Use::Call(number))) = self.conns.get(&conn).copied() else { return };
         if self.messages.get(&number).is_some_and(|message| message.written && !message.again) {
-            self.calls[number].sent = io.clock().now();
+            self.rpcs[number].sent_at = io.clock().now();
         }
     }
 
-    fn came(&mut self, io: &mut Io, conn: Conn) {
+    fn on_data(&mut self, io: &mut Io, conn: ConnId) {
         let Some((gateway, what)) = self.conns.get(&conn).copied() else { return };
-        let answer = match http::answer(io.input(conn)) {
+        let answer = match http::parse_response(io.input(conn)) {
             Ok(Some(answer)) => answer,
             Ok(None) => return,
             Err(_) => {
-                self.over(io, conn);
+                self.on_close(io, conn);
                 return io.close(conn);
             }
         };
-        io.used(conn, answer.length);
+        io.consume(conn, answer.length);
         match what {
             Use::Probe => {
                 self.conns.remove(&conn);
@@ -580,7 +585,7 @@
                     self.set_state(gateway, GatewayState::Admitted);
                 }
             }
-            Use::Idle => self.extra += 1,
+            Use::Idle => self.unexpected_answers += 1,
             Use::Silent => {} // the error that whoever says nothing gets
             Use::Call(call) => {
                 let fresh = self.messages.get(&call).is_some_and(|message| message.fresh);
@@ -588,9 +593,9 @@
                     io,
                     call,
                     match answer.status {
-                        200 => Outcome::Ok,
-                        429 | 503 => Outcome::PushedBack,
-                        _ => Outcome::Failed,
+                        200 => RpcOutcome::Ok,
+                        429 | 503 => RpcOutcome::PushedBack,
+                        _ => RpcOutcome::Failed,
                     },
                 );
                 let closes = |value: &str| value.eq_ignore_ascii_case("close");
@@ -605,7 +610,7 @@
         }
     }
 
-    fn over(&mut self, io: &mut Io, conn: Conn) {
+    fn on_close(&mut self, io: &mut Io, conn: ConnId) {
         match self.conns.remove(&conn) {
             Some((gateway, Use::Probe)) => self.gateways[gateway].probe = None,
             Some((gateway, Use::Call(call))) => {
@@ -616,7 +621,7 @@
         }
     }
 
-    fn due(&mut self, io: &mut Io, token: u64) {
+    fn on_timer(&mut self, io: &mut Io, token: u64) {
         match token {
             ARRIVAL => self.arrive(io),
             PROBES => self.probe(io),
@@ -628,11 +633,11 @@
                     REST => self.write_rest(io, number),
                     READ_AGAIN => {
                         if let Some(conn) = self.messages.get(&number).and_then(|message| message.conn) {
-                            io.hold(conn, false);
+                            io.set_read_paused(conn, false);
                         }
                     }
-                    LEAVE => self.leave(io, number, Outcome::Left),
-                    _ => self.leave(io, number, Outcome::Lost),
+                    LEAVE => self.leave(io, number, RpcOutcome::Left),
+                    _ => self.leave(io, number, RpcOutcome::Lost),
                 }
             }
         }
@@ -640,12 +645,13 @@
 }
 
 /// How late the front was: due to written, in nanoseconds, at these quantiles and at most.
-pub fn lateness(calls: &[Call]) -> (Nanos, Nanos, Nanos) {
-    let mut late: Vec<Nanos> = calls.iter().map(|call| call.sent.saturating_sub(call.due)).collect();
+pub fn lateness(calls: &[ClientRpc]) -> (Nanos, Nanos, Nanos) {
+    let mut late: Vec<Nanos> =
+        calls.iter().map(|call| call.sent_at.saturating_sub(call.scheduled_at)).collect();
     late.sort_unstable();
     let at = |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
     (at(0.5).copied().unwrap_or(0), at(0.99).copied().unwrap_or(0), late.last().copied().unwrap_or(0))
 }
 
 /// A run whose front was later than this for one RPC in a hundred is void.
-pub const LATE_MOST: Nanos = SEC / 20;
+pub const MAX_LATENESS: Nanos = SEC / 20;
