--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 mod support;
-use support::{BIN, patient_settings, under, watch};
+use support::{BIN, discovery_peer, long_timeout_settings, start_gateway};
 
 // ---- Late server connections: what held when the attempt was decided may no longer hold.
 
 #[test]
 fn an_rpc_whose_client_left_while_its_server_connection_was_pending_is_not_written() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
-    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
+    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     drop(client);
@@ -32,9 +32,9 @@
 
 #[test]
 fn a_server_that_drains_while_its_connection_is_pending_gets_nothing_and_another_is_tried() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
     let other = Peer::new(|_, _| answer(200, "", "other"));
-    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -51,9 +51,9 @@
 
 #[test]
 fn a_server_that_moves_while_its_connection_is_pending_is_tried_at_its_new_address() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
     let moved = Peer::new(|_, _| answer(200, "", "moved"));
-    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -66,9 +66,9 @@
 
 #[test]
 fn a_retry_whose_window_ends_while_its_connection_is_pending_is_not_written() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
     let first = Peer::new(|_, _| (Vec::new(), false));
-    let gateway = under(&discovery, &[entry("s0", first.address, "ready")], &patient_settings());
+    let gateway = start_gateway(&discovery, &[entry("s0", first.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("submit", 20_000));
     assert_eq!(first.next().0, 0);
@@ -91,9 +91,9 @@
 
 #[test]
 fn an_rpc_whose_deadline_passes_while_its_connection_is_pending_is_rejected_and_never_written() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
-    let settings = patient_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
-    let gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &settings);
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
+    let settings = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
+    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &settings);
     let response = gateway.client().ask(&rpc("verify", 300));
     assert_eq!(status(&response), 503, "an RPC that was never written is harmless to retry");
     let mut next = gateway.client();
@@ -104,8 +104,9 @@
 
 #[test]
 fn after_sigterm_a_connection_established_late_still_carries_its_rpc() {
-    let (late_server, discovery) = (FullBacklog::default(), watch());
-    let mut gateway = under(&discovery, &[entry("s0", late_server.address, "ready")], &patient_settings());
+    let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
+    let mut gateway =
+        start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -129,8 +130,8 @@
 #[test]
 fn a_response_without_a_length_is_complete_only_after_an_orderly_close() {
     let server = Peer::new(reply_with("HTTP/1.1 200 OK\r\n\r\nhalf of it"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     for (method, expected) in [("verify", 502), ("submit", 502)] {
         let mut client = gateway.client();
         client.send(&rpc(method, 2000));
@@ -159,8 +160,8 @@
 #[test]
 fn a_rejection_without_a_length_that_ends_in_a_reset_proves_nothing() {
     let server = Peer::new(reply_with("HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\n\r\nqueue"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
     server.reset(server.next().0);
@@ -171,8 +172,8 @@
 #[test]
 fn a_partial_line_on_an_idle_connection_is_never_part_of_the_next_response() {
     let server = Peer::new(|number, _| answer(200, "", if number == 0 { "one" } else { "two" }));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     assert!(client.ask(&rpc("verify", 2000)).ends_with("one"));
     assert_eq!(server.next().0, 0);
@@ -189,8 +190,8 @@
 #[test]
 fn an_endless_response_of_single_bytes_is_abandoned_at_the_deadline() {
     let server = Peer::new(reply_with("HTTP/1.1 200 OK\r\n\r\n"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 500));
     assert_eq!(server.next().0, 0);
@@ -208,12 +209,12 @@
 #[test]
 fn a_message_completed_while_its_slot_is_reclaimed_is_served() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    let discovery = watch();
+    let discovery = discovery_peer();
     let known = format!(
         "\"limits\":{{\"sockets\":64}},\"known\":{},",
         list(3, true, &[entry("s0", server.address, "draining")])
     );
-    let gateway = Program::start(BIN, discovery.address, &known, &patient_settings());
+    let gateway = Program::start(BIN, discovery.address, &known, &long_timeout_settings());
     assert!(discovery.next().1.contains("from=3"));
     let mut paused = gateway.client();
     let request = rpc("verify", 20_000);
@@ -245,9 +246,10 @@
 
 #[test]
 fn a_client_that_leaves_after_flooding_the_gateway_is_detected_as_gone() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     // No server is ready, so the RPC waits for one.
-    let gateway = under(&discovery, &[entry("s0", refusing_address(), "draining")], &patient_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", refusing_address(), "draining")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers on the path hold
@@ -265,8 +267,9 @@
 #[test]
 fn a_client_that_sends_more_before_its_response_gets_it_and_is_closed() {
     let server = Peer::new(|_, _| (Vec::new(), false));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
@@ -280,8 +283,9 @@
 
 #[test]
 fn a_client_that_resets_while_its_rpc_waits_is_detected_as_gone() {
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", refusing_address(), "draining")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", refusing_address(), "draining")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -296,8 +300,8 @@
 
 #[test]
 fn a_client_with_an_invalid_message_and_more_input_is_closed_without_a_reset() {
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", refusing_address(), "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", refusing_address(), "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&format!("nonsense\r\n\r\n{}", "x".repeat(200 << 10)));
     // The client reads nothing until its connection is closed. Closing with unread bytes would have
@@ -313,8 +317,9 @@
 #[test]
 fn requests_that_arrived_on_idle_connections_before_these_close_at_shutdown_are_served() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let mut gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     // One poll of the sockets returns at most 256 events, so that idle connections are closed
     // before the rest is read. Each client sends a request at once: a client that sends nothing for
     // two seconds is closed, and on a busy machine 400 connections take longer than that to open.
@@ -342,8 +347,8 @@
 #[test]
 fn a_connection_accepted_just_before_idle_ones_close_at_shutdown_may_still_send_a_request() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut idle_client = gateway.client();
     assert_eq!(status(&idle_client.ask("GET /-/healthy HTTP/1.1\r\n\r\n")), 200);
     gateway.signal("-TERM");
@@ -359,8 +364,8 @@
 #[test]
 fn half_a_message_at_shutdown_is_rejected_and_not_left_unanswered() {
     let server = Peer::new(|_, _| answer(200, "", "served"));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("submit", 2000)[..150]);
     gateway.wait_until_processed();
@@ -375,13 +380,13 @@
 #[test]
 fn two_sigterms_with_a_sighup_between_lose_no_rpc() {
     let server = Peer::new(|_, _| (Vec::new(), false));
-    let (discovery, next) = (watch(), watch());
+    let (discovery, next) = (discovery_peer(), discovery_peer());
     let known = [entry("s0", server.address, "ready")];
-    let mut gateway = under(&discovery, &known, &patient_settings());
+    let mut gateway = start_gateway(&discovery, &known, &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     assert_eq!(server.next().0, 0);
-    gateway.rewrite_config(&gateway.config(next.address, "", &patient_settings()));
+    gateway.rewrite_config(&gateway.config(next.address, "", &long_timeout_settings()));
     gateway.signal("-TERM");
     gateway.wait_for_line("\"stopping\"");
     gateway.signal("-HUP");
@@ -410,8 +415,8 @@
 fn a_response_that_its_client_reads_slowly_outlives_the_process() {
     let body = "y".repeat(60 << 10);
     let server = Peer::new(move |_, _| answer(200, "", &body));
-    let discovery = watch();
-    let mut gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
+    let discovery = discovery_peer();
+    let mut gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings(""));
     let mut client = gateway.client();
     client.send(&rpc("verify", 2000));
     server.next();
@@ -433,7 +438,8 @@
         1 => (Vec::new(), false),
         _ => raw_reply(&format!("{WATCH_HEAD}{drain_update}")),
     });
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     let silent_since = Instant::now();
     assert_eq!((discovery.next().0, discovery.next().0), (1, 2));
     // 6 s after the silence began, all changes count as announced; 2 s later nothing new may go to
@@ -447,8 +453,9 @@
 #[test]
 fn a_watch_reset_just_before_a_drain_is_reopened_at_once_where_lists_are_pushed() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", server.address, "ready")], &long_timeout_settings());
     for round in 1..6 {
         let start = Instant::now();
         discovery.reset(round - 1);
@@ -469,11 +476,11 @@
 fn a_moved_watch_that_never_responds_is_requested_again_while_the_old_one_stays_in_use() {
     let server = Peer::new(|_, _| answer(200, "", "ok"));
     let (old, new) = (
-        watch(),
+        discovery_peer(),
         Peer::new(|number, _| if number == 0 { (Vec::new(), false) } else { raw_reply(WATCH_HEAD) }),
     );
-    let gateway = under(&old, &[entry("s0", server.address, "ready")], &patient_settings());
-    gateway.rewrite_config(&gateway.config(new.address, "", &patient_settings()));
+    let gateway = start_gateway(&old, &[entry("s0", server.address, "ready")], &long_timeout_settings());
+    gateway.rewrite_config(&gateway.config(new.address, "", &long_timeout_settings()));
     gateway.signal("-HUP");
     let moved_at = Instant::now();
     assert_eq!(new.next().0, 0);
@@ -493,8 +500,8 @@
 fn lists_are_parsed_with_any_white_space_and_chunk_boundaries() {
     let (first_server, second_server) =
         (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
-    let discovery = watch();
-    let gateway = under(&discovery, &[entry("s0", first_server.address, "ready")], &patient_settings());
+    let discovery = discovery_peer();
+    let gateway = start_gateway(&discovery, &[entry("s0", first_server.address, "ready")], &long_timeout_settings());
     let padded_list = list(4, true, &[entry("s1", second_server.address, "ready")])
         .replace(",", ",\r\n\t ")
         .replace(":{", ": {");
@@ -546,10 +553,10 @@
     let cold =
         |at: usize| entry(&format!("s{at}"), refusing_address(), "ready").replace("\"since_ms\":0", &started);
     let entries: Vec<String> = (0..200).map(cold).collect();
-    let settings =
-        patient_settings().replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
+    let settings = long_timeout_settings()
+        .replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":1e6,\"depth\":1e6");
     let settings = settings.replacen('{', "{\"rules\":{\"fall\":80000,\"warmWithin\":1000},", 1);
-    under(discovery, &entries, &settings)
+    start_gateway(discovery, &entries, &settings)
 }
 
 /// Guards against turns of the event loop that take half a second, because each event of a customer
@@ -557,7 +564,7 @@
 /// the variant four-halls, this lost 37 requests at one gateway that had a ninth of a core.
 #[test]
 fn many_waiting_rpcs_of_one_customer_use_little_processor_time() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     let gateway = gateway_with_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..150).map(|_| gateway.client()).collect();
@@ -577,7 +584,7 @@
 /// find none.
 #[test]
 fn many_customers_that_wait_for_a_server_use_little_processor_time() {
-    let discovery = watch();
+    let discovery = discovery_peer();
     let gateway = gateway_with_cold_servers(&discovery);
     let before = processor_time(&gateway);
     let mut clients: Vec<_> = (0..60).map(|_| gateway.client()).collect();
@@ -603,10 +610,10 @@
 #[test]
 fn with_the_counter_down_an_rpc_larger_than_the_gateways_share_passes_when_the_share_is_full() {
     let server = Peer::new(|_, _| answer(200, "", "on"));
-    let discovery = watch();
+    let discovery = discovery_peer();
     let settings =
         settings("").replace("\"perSecond\":100.0,\"depth\":100.0", "\"perSecond\":0.1,\"depth\":2.0");
-    let gateway = under(&discovery, &[entry("s0", server.address, "ready")], &settings);
+    let gateway = start_gateway(&discovery, &[entry("s0", server.address, "ready")], &settings);
     for customer in 0..40 {
         let request = rpc("read", 2000)
             .replace("00000000b4d65521", &format!("{customer:016x}"))
