--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -16,7 +16,8 @@
 #[test]
 fn an_rpc_whose_client_left_while_its_server_connection_was_pending_is_not_written() {
     let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
-    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     drop(client);
@@ -34,7 +35,8 @@
 fn a_server_that_drains_while_its_connection_is_pending_gets_nothing_and_another_is_tried() {
     let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
     let other = Peer::new(|_, _| answer(200, "", "other"));
-    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -53,7 +55,8 @@
 fn a_server_that_moves_while_its_connection_is_pending_is_tried_at_its_new_address() {
     let (late_server, discovery) = (FullBacklog::default(), discovery_peer());
     let moved = Peer::new(|_, _| answer(200, "", "moved"));
-    let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
@@ -501,7 +504,8 @@
     let (first_server, second_server) =
         (Peer::new(|_, _| answer(200, "", "one")), Peer::new(|_, _| answer(200, "", "two")));
     let discovery = discovery_peer();
-    let gateway = start_gateway(&discovery, &[entry("s0", first_server.address, "ready")], &long_timeout_settings());
+    let gateway =
+        start_gateway(&discovery, &[entry("s0", first_server.address, "ready")], &long_timeout_settings());
     let padded_list = list(4, true, &[entry("s1", second_server.address, "ready")])
         .replace(",", ",\r\n\t ")
         .replace(":{", ": {");
