--- a/crates/gateway/tests/agreement.rs
+++ b/crates/gateway/tests/agreement.rs
@@ -300,7 +300,7 @@
 /// A fleet with four listed servers, each of which takes 4 ms to serve an RPC.
 fn fleet_with_servers() -> (Fleet, Vec<Peer>) {
     let mut fleet = fleet();
-    let peers: Vec<Peer> = (0..4)
+    let servers: Vec<Peer> = (0..4)
         .map(|_| {
             Peer::new(|_, _| {
                 std::thread::sleep(std::time::Duration::from_millis(4));
@@ -308,31 +308,31 @@
             })
         })
         .collect();
-    for (number, peer) in peers.iter().enumerate() {
-        fleet.list_server(&format!("s{number}"), peer.address, "ready");
+    for (number, server) in servers.iter().enumerate() {
+        fleet.list_server(&format!("s{number}"), server.address, "ready");
     }
-    (fleet, peers)
+    (fleet, servers)
 }
 
 /// Sends `count` RPCs through a gateway, asserts that all are served, and returns how many of them
 /// each server received.
-fn served_by_server(fleet: &Fleet, peers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
-    let take_received_count = |peer: &Peer| std::iter::from_fn(|| peer.try_next()).count();
-    peers.iter().for_each(|peer| _ = take_received_count(peer));
+fn served_by_server(fleet: &Fleet, servers: &[Peer], gateway: usize, count: usize) -> Vec<usize> {
+    let take_received_count = |server: &Peer| std::iter::from_fn(|| server.try_next()).count();
+    servers.iter().for_each(|server| _ = take_received_count(server));
     let mut client = Client::new(fleet.address(gateway).unwrap());
     for _ in 0..count {
         let message = rpc("read", 2000).replace("units=2", "units=0.1");
         let response = client.ask(&message);
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
-    peers.iter().map(take_received_count).collect()
+    servers.iter().map(take_received_count).collect()
 }
 
 /// Waits until a gateway sends attempts to all servers. It avoids a server for a while after a slow
 /// response.
-fn wait_until_all_servers_reached(fleet: &Fleet, peers: &[Peer], gateway: usize) {
+fn wait_until_all_servers_reached(fleet: &Fleet, servers: &[Peer], gateway: usize) {
     let until = unix_now() + 40 * SEC;
-    while served_by_server(fleet, peers, gateway, 12).contains(&0) {
+    while served_by_server(fleet, servers, gateway, 12).contains(&0) {
         assert!(unix_now() < until, "gateway {gateway} does not send attempts to all servers");
         fleet.sleep(50 * MS);
     }
@@ -340,55 +340,55 @@
 
 #[test]
 fn a_gateway_on_a_delayed_list_sends_nothing_new_to_a_server_that_a_newer_list_drains() {
-    let (mut fleet, peers) = fleet_with_servers();
+    let (mut fleet, servers) = fleet_with_servers();
     let delayed = GATEWAY_WITH_ALL_SERVERS;
-    wait_until_all_servers_reached(&fleet, &peers, delayed);
+    wait_until_all_servers_reached(&fleet, &servers, delayed);
     // The discovery agent of this gateway delivers every change six seconds late.
     fleet.set_agent_mode(delayed, Mode::Late(6 * SEC), None).unwrap();
-    fleet.list_server("s1", peers[1].address, "draining");
+    fleet.list_server("s1", servers[1].address, "draining");
     let drained_at = unix_now();
     fleet.wait_for_line(delayed, "\"why\":\"late\"").unwrap();
     assert!(
         unix_now() < drained_at + 2 * SEC,
         "the gateway learned of the drain too late to stop new work in time"
     );
-    assert_eq!(served_by_server(&fleet, &peers, delayed, 30)[1], 0);
+    assert_eq!(served_by_server(&fleet, &servers, delayed, 30)[1], 0);
     // The server is ready again: this gateway uses it once its own list says so.
-    fleet.list_server("s1", peers[1].address, "ready");
+    fleet.list_server("s1", servers[1].address, "ready");
     fleet.set_agent_mode(delayed, Mode::Late(0), None).unwrap();
-    wait_until_all_servers_reached(&fleet, &peers, delayed);
+    wait_until_all_servers_reached(&fleet, &servers, delayed);
 }
 
 #[test]
 fn discovery_restored_to_an_older_list_brings_no_removed_server_back() {
-    let (mut fleet, peers) = fleet_with_servers();
+    let (mut fleet, servers) = fleet_with_servers();
     let before = fleet.discovery_index();
-    wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
-    fleet.list_server("s2", peers[2].address, "draining");
-    fleet.list_server("s2", peers[2].address, "gone");
-    while served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2] > 0 {}
+    wait_until_all_servers_reached(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS);
+    fleet.list_server("s2", servers[2].address, "draining");
+    fleet.list_server("s2", servers[2].address, "gone");
+    while served_by_server(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS, 30)[2] > 0 {}
     fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(before)).unwrap();
     fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"went-back\"").unwrap();
-    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
+    assert_eq!(served_by_server(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
     // Discovery is restored to an empty list: the gateway keeps the list that it has.
     fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Still, Some(0)).unwrap();
     fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"empty\"").unwrap();
-    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
+    assert_eq!(served_by_server(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS, 30)[2], 0);
 }
 
 #[test]
 fn a_gateway_restarted_on_a_stale_list_sends_nothing_to_a_draining_server() {
-    let (mut fleet, peers) = fleet_with_servers();
-    wait_until_all_servers_reached(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS);
+    let (mut fleet, servers) = fleet_with_servers();
+    wait_until_all_servers_reached(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS);
     fleet.save_known_list(GATEWAY_WITH_ALL_SERVERS);
     fleet.kill(&[GATEWAY_WITH_ALL_SERVERS]);
     fleet.set_agent_mode(GATEWAY_WITH_ALL_SERVERS, Mode::Down, None).unwrap();
-    fleet.list_server("s3", peers[3].address, "draining");
+    fleet.list_server("s3", servers[3].address, "draining");
     // It starts on the stored list and cannot reach discovery: the voters report that the list is
     // out of date.
     fleet.restart(&[GATEWAY_WITH_ALL_SERVERS]).unwrap();
     fleet.wait_for_line(GATEWAY_WITH_ALL_SERVERS, "\"why\":\"late\"").unwrap();
-    assert_eq!(served_by_server(&fleet, &peers, GATEWAY_WITH_ALL_SERVERS, 30)[3], 0);
+    assert_eq!(served_by_server(&fleet, &servers, GATEWAY_WITH_ALL_SERVERS, 30)[3], 0);
 }
 
 #[test]
--- a/crates/gateway/tests/discovery_terms.rs
+++ b/crates/gateway/tests/discovery_terms.rs
@@ -216,7 +216,7 @@
 fn connect_idle_clients(gateway: &Program) -> Vec<Client> {
     let served = |_| {
         let mut client = gateway.client();
-        assert_eq!(status(&client.ask(HEALTH_REQUEST)), 200, "a new client is served");
+        assert_eq!(status(&client.ask(HEALTH_REQUEST)), 200, "a new client must be served");
         client
     };
     (0..60).map(served).collect()
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -25,12 +25,12 @@
     let overrides: Vec<String> =
         SMALL_FLEET.iter().chain(overrides).map(|setting| setting.to_string()).collect();
     let scenario = Scenario::load(&file, &overrides).unwrap();
-    let outcome = run_scenario(&scenario, Path::new(BIN)).unwrap();
-    let figures = Figures::compute(&scenario, &outcome);
+    let result = run_scenario(&scenario, Path::new(BIN)).unwrap();
+    let figures = Figures::compute(&scenario, &result);
     println!("{}", figures.summary_text());
-    assert_eq!(outcome.crashed, Vec::<String>::new());
+    assert_eq!(result.crashed, Vec::<String>::new());
     assert_eq!((figures.run.unexpected_answers, figures.run.executed_twice), (0, 0));
-    (outcome, figures)
+    (result, figures)
 }
 
 fn ratio(count: usize, total: usize) -> f64 {
@@ -38,23 +38,23 @@
 }
 
 /// Of all attempts from a time on, the share that went to the servers that the predicate selects.
-fn attempt_share(outcome: &RunResult, from: u64, is_selected: impl Fn(usize) -> bool) -> f64 {
-    let rows: Vec<_> = outcome
+fn attempt_share(result: &RunResult, from: u64, is_selected: impl Fn(usize) -> bool) -> f64 {
+    let rows: Vec<_> = result
         .server_rpcs
         .iter()
-        .filter(|row| row.received_at >= from && row.received_at < outcome.measured_until)
+        .filter(|row| row.received_at >= from && row.received_at < result.measured_until)
         .collect();
     ratio(rows.iter().filter(|row| is_selected(row.server as usize)).count(), rows.len())
 }
 
-fn fault_time(outcome: &RunResult) -> u64 {
-    outcome.first_fault_at.unwrap()
+fn fault_time(result: &RunResult) -> u64 {
+    result.first_fault_at.unwrap()
 }
 
 #[test]
 fn gateways_keep_their_subsets_after_seven_in_ten_are_killed_and_restarted() {
-    let (outcome, figures) = run_small_fleet("kill70", &["seconds=20.0"]);
-    assert_eq!(outcome.starts.iter().filter(|starts| **starts == 2).count(), 14);
+    let (result, figures) = run_small_fleet("kill70", &["seconds=20.0"]);
+    assert_eq!(result.starts.iter().filter(|starts| **starts == 2).count(), 14);
     // The load generator detects the killed gateways within a second; nothing else is lost.
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.9 && figures.run.lost == 0, "{:?}", figures.run);
     // Each gateway sends to the subset that the subsetting table assigns to it, also after its
@@ -72,8 +72,8 @@
         .into_iter()
         .map(|subset| subset.into_iter().collect())
         .collect();
-    for from in [outcome.measured_from, fault_time(&outcome) + 2 * SEC] {
-        let rows: Vec<_> = outcome
+    for from in [result.measured_from, fault_time(&result) + 2 * SEC] {
+        let rows: Vec<_> = result
             .server_rpcs
             .iter()
             .filter(|row| row.received_at >= from && row.received_at < from + 8 * SEC)
@@ -87,10 +87,10 @@
 
 #[test]
 fn replaced_servers_get_nothing_new_and_their_replacements_get_load() {
-    let (outcome, figures) = run_small_fleet("replace-half", &["seconds=24.0"]);
+    let (result, figures) = run_small_fleet("replace-half", &["seconds=24.0"]);
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
-    for (index, server) in outcome.servers.iter().enumerate() {
-        let rows = outcome.server_rpcs.iter().filter(|row| row.server as usize == index);
+    for (index, server) in result.servers.iter().enumerate() {
+        let rows = result.server_rpcs.iter().filter(|row| row.server as usize == index);
         let last_attempt_at = rows.clone().map(|row| row.received_at).max().unwrap_or(0);
         let drained_at = server.ready_spans.last().unwrap().1;
         assert!(
@@ -104,15 +104,15 @@
 
 #[test]
 fn a_zone_that_returns_cold_is_not_overloaded() {
-    let (outcome, figures) = run_small_fleet("zone-cold", &["seconds=24.0"]);
+    let (result, figures) = run_small_fleet("zone-cold", &["seconds=24.0"]);
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.93 && figures.run.lost == 0, "{:?}", figures.run);
     assert_eq!(figures.run.refused_attempts, 0);
     // While the zone is down it receives no attempts. Once it is up it receives RPCs again, but no
     // more than its share.
-    let (zone_down, zone_up) = (fault_time(&outcome), fault_time(&outcome) + 5 * SEC);
+    let (zone_down, zone_up) = (fault_time(&result), fault_time(&result) + 5 * SEC);
     // The script takes each server down some milliseconds after the fault's time.
     let down_at = |server: u32| {
-        let spans = &outcome.servers[server as usize].ready_spans;
+        let spans = &result.servers[server as usize].ready_spans;
         spans
             .iter()
             .map(|span| span.1)
@@ -121,40 +121,40 @@
     };
     let is_down = |server: u32, time: u64| time > down_at(server) && time < zone_up;
     let attempts_while_down =
-        outcome.server_rpcs.iter().filter(|row| row.server % 2 == 0 && is_down(row.server, row.received_at));
+        result.server_rpcs.iter().filter(|row| row.server % 2 == 0 && is_down(row.server, row.received_at));
     assert_eq!(attempts_while_down.count(), 0);
-    let share_after_return = attempt_share(&outcome, zone_up + 2 * SEC, |server| server % 2 == 0);
+    let share_after_return = attempt_share(&result, zone_up + 2 * SEC, |server| server % 2 == 0);
     assert!(share_after_return > 0.1 && share_after_return < 0.6, "{share_after_return}");
 }
 
 #[test]
 fn gateways_with_different_lists_keep_serving_and_use_new_servers() {
-    let (outcome, figures) = run_small_fleet("lists", &["seconds=24.0"]);
+    let (result, figures) = run_small_fleet("lists", &["seconds=24.0"]);
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0, "{:?}", figures.run);
-    let new_server_share = attempt_share(&outcome, outcome.measured_until - 5 * SEC, |server| server >= 40);
+    let new_server_share = attempt_share(&result, result.measured_until - 5 * SEC, |server| server >= 40);
     assert!(new_server_share > 0.1, "share of attempts to the new servers: {new_server_share}");
 }
 
 #[test]
 fn a_fleet_that_doubles_keeps_serving_while_half_of_the_old_gateways_are_not_informed() {
-    let (outcome, figures) = run_small_fleet("grow", &["seconds=20.0", "gateways=16"]);
+    let (result, figures) = run_small_fleet("grow", &["seconds=20.0", "gateways=16"]);
     // Gateways that still have the smaller fleet's size respond 400 to customers beyond it
     // (`docs/ROADMAP.md`, versions).
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.85 && figures.run.lost == 0, "{:?}", figures.run);
-    assert_eq!(outcome.log_lines.len(), 56, "16 gateways at the start and 40 that join");
-    let served: BTreeSet<usize> = outcome.server_rpcs.iter().map(|row| row.gateway()).collect();
+    assert_eq!(result.log_lines.len(), 56, "16 gateways at the start and 40 that join");
+    let served: BTreeSet<usize> = result.server_rpcs.iter().map(|row| row.gateway()).collect();
     assert!(served.len() > 50, "{} gateways served", served.len());
     assert_eq!(figures.run.idle_server_windows, 0);
 }
 
 #[test]
 fn a_fleet_that_doubles_by_a_settings_version_fails_no_rpc() {
-    let (outcome, figures) = run_small_fleet("grow-agreed", &["seconds=20.0", "gateways=16"]);
+    let (result, figures) = run_small_fleet("grow-agreed", &["seconds=20.0", "gateways=16"]);
     // Half of the old gateways never receive the version, but the fallback that they act on allows
     // for the largest fleet.
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.99, "{:?}", figures.run);
     assert_eq!((figures.run.failed, figures.run.lost, figures.run.idle_server_windows), (0, 0, 0));
-    let served: BTreeSet<usize> = outcome.server_rpcs.iter().map(|row| row.gateway()).collect();
+    let served: BTreeSet<usize> = result.server_rpcs.iter().map(|row| row.gateway()).collect();
     assert!(served.len() > 50, "{} gateways served", served.len());
 }
 
@@ -167,8 +167,8 @@
 
 #[test]
 fn servers_that_fail_fast_attract_no_extra_load() {
-    let (outcome, figures) = run_small_fleet("fails-fast", &["seconds=18.0"]);
-    let failing: BTreeSet<u32> = outcome
+    let (result, figures) = run_small_fleet("fails-fast", &["seconds=18.0"]);
+    let failing: BTreeSet<u32> = result
         .server_rpcs
         .iter()
         .filter(|row| row.outcome == standins::servers::RpcOutcome::Failed)
@@ -176,7 +176,7 @@
         .collect();
     assert_eq!(failing.len(), 5);
     let sent_share =
-        attempt_share(&outcome, fault_time(&outcome) + 4 * SEC, |server| failing.contains(&(server as u32)));
+        attempt_share(&result, fault_time(&result) + 4 * SEC, |server| failing.contains(&(server as u32)));
     assert!(
         sent_share < 0.1,
         "failing servers received {sent_share} of all attempts; an even share is 0.125"
@@ -186,34 +186,34 @@
 
 #[test]
 fn slow_servers_get_less_load() {
-    let (outcome, figures) = run_small_fleet("slow", &["seconds=18.0"]);
-    let from = fault_time(&outcome) + 4 * SEC;
+    let (result, figures) = run_small_fleet("slow", &["seconds=18.0"]);
+    let from = fault_time(&result) + 4 * SEC;
     // The slow servers are identified by their median service time.
     let slow: BTreeSet<usize> = (0..40)
         .filter(|index| {
-            let rows = outcome
+            let rows = result
                 .server_rpcs
                 .iter()
-                .filter(|row| row.server as usize == *index && row.received_at >= fault_time(&outcome));
+                .filter(|row| row.server as usize == *index && row.received_at >= fault_time(&result));
             let mut service_times: Vec<u64> = rows.map(|row| row.finished_at - row.received_at).collect();
             service_times.sort_unstable();
             service_times.get(service_times.len() / 2).is_some_and(|median| *median > 80_000_000)
         })
         .collect();
     assert!((3..=7).contains(&slow.len()), "{slow:?}");
-    let sent_share = attempt_share(&outcome, from, |server| slow.contains(&server));
+    let sent_share = attempt_share(&result, from, |server| slow.contains(&server));
     assert!(sent_share < 0.9 * slow.len() as f64 / 40.0, "{sent_share}");
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.95 && figures.run.lost == 0);
 }
 
 #[test]
 fn load_follows_weights_from_a_tenth_to_ten() {
-    let (outcome, _) = run_small_fleet("weights", &["seconds=14.0"]);
-    let total: f64 = outcome.servers.iter().map(|server| server.weight).sum();
+    let (result, _) = run_small_fleet("weights", &["seconds=14.0"]);
+    let total: f64 = result.servers.iter().map(|server| server.weight).sum();
     for weight in [1.0, 3.0, 10.0] {
-        let has_weight = |server: usize| outcome.servers[server].weight == weight;
+        let has_weight = |server: usize| result.servers[server].weight == weight;
         let expected = weight * (0..40).filter(|server| has_weight(*server)).count() as f64 / total;
-        let sent_share = attempt_share(&outcome, outcome.measured_from, has_weight);
+        let sent_share = attempt_share(&result, result.measured_from, has_weight);
         assert!(
             sent_share > 0.5 * expected && sent_share < 1.6 * expected,
             "weight {weight}: share {sent_share}, expected {expected}"
@@ -231,10 +231,10 @@
 
 #[test]
 fn paused_gateways_resume_and_serve() {
-    let (outcome, figures) = run_small_fleet("pause", &["seconds=16.0"]);
-    let after = fault_time(&outcome) + 4 * SEC;
+    let (result, figures) = run_small_fleet("pause", &["seconds=16.0"]);
+    let after = fault_time(&result) + 4 * SEC;
     let served: BTreeSet<usize> =
-        outcome.server_rpcs.iter().filter(|row| row.received_at > after).map(|row| row.gateway()).collect();
+        result.server_rpcs.iter().filter(|row| row.received_at > after).map(|row| row.gateway()).collect();
     assert_eq!(served.len(), 20, "not all gateways serve after the pause");
     // RPCs that were held during the pause are answered late rather than lost.
     assert!(ratio(figures.run.lost, figures.run.rpcs) < 0.02, "{:?}", figures.run);
@@ -242,14 +242,14 @@
 
 #[test]
 fn one_way_cuts_run_no_rpc_twice_and_fail_only_attempts_in_flight() {
-    let (outcome, figures) = run_small_fleet("one-way", &["seconds=24.0"]);
+    let (result, figures) = run_small_fleet("one-way", &["seconds=24.0"]);
     assert!(figures.run.lost == 0, "{:?}", figures.run);
     assert!(ratio(figures.run.ok, figures.run.rpcs) > 0.85, "{:?}", figures.run);
     // Once the connections work again, RPCs are served throughout the fleet.
-    let last_calls: Vec<_> = outcome
+    let last_calls: Vec<_> = result
         .client_rpcs
         .iter()
-        .filter(|call| call.scheduled_at > outcome.measured_until - 2 * SEC)
+        .filter(|call| call.scheduled_at > result.measured_until - 2 * SEC)
         .collect();
     assert!(
         ratio(last_calls.iter().filter(|call| call.outcome == RpcOutcome::Ok).count(), last_calls.len())
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -87,7 +87,7 @@
     assert_eq!(
         status(&client.answer().unwrap()),
         502,
-        "an RPC that may have run is not reported as harmless to retry"
+        "an RPC that may have run must not be reported as harmless to retry"
     );
     assert!(server.nothing_received());
 }
@@ -98,7 +98,7 @@
     let settings = long_timeout_settings().replace("\"attemptsCap\":2", "\"attemptsCap\":1");
     let gateway = start_gateway(&discovery, &[entry("s0", late_server.address, "ready")], &settings);
     let response = gateway.client().ask(&rpc("verify", 300));
-    assert_eq!(status(&response), 503, "an RPC that was never written is harmless to retry");
+    assert_eq!(status(&response), 503, "an RPC that was never written must be reported as harmless to retry");
     let mut next = gateway.client();
     next.send(&rpc("read", 20_000));
     let response = late_server.open().answer().unwrap();
@@ -155,7 +155,7 @@
     let response = client.answer().unwrap();
     assert!(
         status(&response) == 200 && response.ends_with("half of it"),
-        "an orderly close completes the response: {response}"
+        "an orderly close must complete the response: {response}"
     );
     assert!(server.nothing_received(), "an RPC that may have run and must not run twice was sent again");
 }
@@ -255,7 +255,7 @@
         start_gateway(&discovery, &[entry("s0", refusing_address(), "draining")], &long_timeout_settings());
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
-    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, far more than all buffers on the path hold
+    let flood = rpc("read", 20_000).repeat(20_000); // five megabytes, more than all buffers on the path hold
     client.send(&flood);
     drop(client);
     gateway.wait_for_line("left-before-answer");
@@ -292,7 +292,7 @@
     let mut client = gateway.client();
     client.send(&rpc("verify", 20_000));
     gateway.wait_until_processed();
-    client.send("GET /api/"); // followed by half a message
+    client.send("GET /api/"); // half of a further message
     client.reset();
     gateway.wait_for_line("left-before-answer");
     let server = Peer::new(|_, _| answer(200, "", "on"));
