--- a/crates/lab/benches/throughput.rs
+++ b/crates/lab/benches/throughput.rs
@@ -1,7 +1,7 @@
 //! Emulated events per second of wall time: the example scenario grown to 50 gateways and 40 servers.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use lab::gates::Kind;
+use lab::policies::Kind;
 use lab::scenario::Scenario;
 
 fn grown() -> Scenario {
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,6 +1,6 @@
 //! `martenramp lab`: run a scenario, sweep one of its parameters, or draw a report from kept tables.
 
-use crate::gates::Kind;
+use crate::policies::Kind;
 use crate::report::{self, Summary};
 use crate::scenario::Scenario;
 use lexopt::prelude::*;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -9,22 +9,22 @@
 //! ```
 //! let text = lab::scenario::EXAMPLE;
 //! let scenario = lab::scenario::Scenario::from_toml(text).unwrap();
-//! let record = lab::world::play(&scenario, lab::gates::Kind::Design, None);
+//! let record = lab::world::play(&scenario, lab::policies::Kind::Design, None);
 //! assert!(record.total.arrived > 0);
 //! assert_eq!(record.total.arrived, record.total.finals() + record.total.left + record.total.cut);
 //! ```
 #![deny(missing_docs)]
 
-pub mod chance;
 pub mod cli;
 mod clients;
 pub mod counter;
-pub mod gates;
 pub mod lifecycle;
 mod network;
+pub mod policies;
 pub mod queue;
 pub mod record;
 pub mod report;
+pub mod rng;
 pub mod scenario;
 pub mod servers;
 pub mod sweep;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,7 +1,7 @@
 //! Tables and charts: a CSV of rows over time for each run, one summary row for each run, and SVG charts drawn
 //! from those CSV files alone, so that a report can be made again from kept results.
 
-use crate::gates::Kind;
+use crate::policies::Kind;
 use crate::record::{Counts, Record};
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,6 +1,6 @@
 //! A scenario played over a range of one parameter, with each policy: the table `sweep.csv` and its charts.
 
-use crate::gates::Kind;
+use crate::policies::Kind;
 use crate::report::{self, Summary};
 use crate::scenario::Scenario;
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -4,18 +4,18 @@
 mod attempts;
 mod counter_calls;
 mod discovery;
+mod faults;
 mod gateways;
 mod rpcs;
-mod troubles;
 
-use crate::chance::{self, Stream};
 use crate::clients::Clients;
 use crate::counter::Counter;
-use crate::gates::{Gate, Kind, Ledger, Wishes};
 use crate::lifecycle::Lifecycle;
 use crate::network::Network;
+use crate::policies::{Gate, Kind, Ledger, Wishes};
 use crate::queue::Queue;
 use crate::record::Record;
+use crate::rng::{self, Stream};
 use crate::scenario::{Method, Plan, Scenario};
 use crate::servers::{AttemptRef, Servers};
 use crate::{MS, Nanos, SEC, nanos};
@@ -184,16 +184,16 @@
         let mut world = World {
             kind,
             queue: Queue::default(),
-            clients: Clients::new(scenario, &methods, &plans, chance::stream(seed, Stream::Arrivals)),
-            servers: Servers::new(&scenario.servers, chance::stream(seed, Stream::Servers)),
+            clients: Clients::new(scenario, &methods, &plans, rng::stream(seed, Stream::Arrivals)),
+            servers: Servers::new(&scenario.servers, rng::stream(seed, Stream::Servers)),
             counter: Counter::new(scenario.counter.enabled),
-            network: Network::new(&scenario.network, zones, chance::stream(seed, Stream::Network)),
+            network: Network::new(&scenario.network, zones, rng::stream(seed, Stream::Network)),
             gateways,
             rpcs: BTreeMap::new(),
             next_rpc: 1,
             record: Record::new(nanos(scenario.bucket_seconds), window),
             ledger: Ledger::shared(nanos(scenario.baselines.late_ms / 1e3)),
-            troubles: chance::stream(seed, Stream::Troubles),
+            troubles: rng::stream(seed, Stream::Troubles),
             picked: BTreeMap::new(),
             list_due: false,
             list_late: 0,
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -1,9 +1,9 @@
 //! Gateways: what their policies ask for is carried out, and they start, drain, stop and are killed.
 
 use super::{Event, Refusal, RpcState, World};
-use crate::gates::{self, Gate, Wish, Wishes};
 use crate::lifecycle::Phase;
-use crate::{Nanos, chance};
+use crate::policies::{self, Gate, Wish, Wishes};
+use crate::{Nanos, rng};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl World {
@@ -46,8 +46,8 @@
 
     pub(super) fn start_gate(&mut self, gateway: u32) {
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-        let seed = chance::gateway_seed(self.scenario.seed, gateway, incarnation);
-        let gate = gates::make(self.kind, gateway, seed, &self.settings, &self.ledger);
+        let seed = rng::gateway_seed(self.scenario.seed, gateway, incarnation);
+        let gate = policies::make(self.kind, gateway, seed, &self.settings, &self.ledger);
         self.gateways[gateway as usize].gate = Some(gate);
     }
 
--- a/crates/lab/tests/stories.rs
+++ b/crates/lab/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Stories of the lab: determinism, conservation, and for each model a play that shows its failure happens.
 
-use lab::gates::Kind;
+use lab::policies::Kind;
 use lab::record::Record;
 use lab::report;
 use lab::scenario::{EXAMPLE, Scenario};
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -13,9 +13,9 @@
 use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use gateway::services::Services;
-use lab::chance::{self, Stream};
 use lab::counter::Counter;
 use lab::queue::Queue;
+use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Servers};
 use martenramp::host::{CallOutcome, Settings};
 use rand::Rng;
@@ -130,7 +130,7 @@
             versions_in_force: InForce::new(from),
             counts: Counts::default(),
             memory: Memory { before: alloc::counts().held, ..Memory::default() },
-            draws: chance::stream(scenario.seed, Stream::Troubles),
+            draws: rng::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
             terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
@@ -243,7 +243,7 @@
         let start = Start {
             number: gateway as u32,
             zone: place.zone,
-            seed: chance::gateway_seed(self.scenario.seed, gateway as u32, life),
+            seed: rng::gateway_seed(self.scenario.seed, gateway as u32, life),
             settings: &self.settings,
             zones: &self.zones,
             services: self.scenario.services as u32,
@@ -494,7 +494,7 @@
         cold_share: scenario.server.cold_share,
         error_share: 0.0,
     };
-    let mut servers = Servers::new(&model, chance::stream(scenario.seed, Stream::Servers));
+    let mut servers = Servers::new(&model, rng::stream(scenario.seed, Stream::Servers));
     (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.down(spare as u32));
     servers
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -10,7 +10,7 @@
 use gateway::list::{self, ListUpdate, Watch};
 use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
-use lab::gates::Wishes;
+use lab::policies::Wishes;
 use martenramp::admission::AdmissionController;
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, Settings};
 use martenramp::subsetting;
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -6,8 +6,8 @@
 use super::scenario::Scenario;
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
-use lab::chance::{self, Stream};
-use lab::gates::Wish;
+use lab::policies::Wish;
+use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Disposition};
 use martenramp::host::{Arrival, CallOutcome};
 use rand::Rng;
@@ -65,7 +65,7 @@
 impl Load {
     /// The scenario is checked: its shares are above nought.
     pub fn new(scenario: &Scenario) -> Load {
-        let mut draws = chance::stream(scenario.seed, Stream::Arrivals);
+        let mut draws = rng::stream(scenario.seed, Stream::Arrivals);
         let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is checked");
         let count = scenario.tenants_played();
         let shares: Vec<f64> = (0..count).map(|_| shares.sample(&mut draws)).collect();
