--- a/crates/lab/benches/throughput.rs
+++ b/crates/lab/benches/throughput.rs
@@ -1,7 +1,7 @@
 //! Emulated events per second of wall time: the example scenario grown to 50 gateways and 40 servers.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use lab::policies::Kind;
+use lab::policies::PolicyKind;
 use lab::scenario::Scenario;
 
 fn grown() -> Scenario {
@@ -15,10 +15,12 @@
     let scenario = grown();
     let mut group = c.benchmark_group("lab");
     group.sample_size(10);
-    for kind in Kind::ALL {
-        let events = lab::world::play(&scenario, kind, None).events;
+    for kind in PolicyKind::ALL {
+        let events = lab::world::run_scenario(&scenario, kind, None).events;
         group.throughput(Throughput::Elements(events));
-        group.bench_function(kind.name(), |bench| bench.iter(|| lab::world::play(&scenario, kind, None)));
+        group.bench_function(kind.name(), |bench| {
+            bench.iter(|| lab::world::run_scenario(&scenario, kind, None))
+        });
     }
     group.finish();
 }
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,6 +1,6 @@
 //! `martenramp lab`: run a scenario, sweep one of its parameters, or draw a report from kept tables.
 
-use crate::policies::Kind;
+use crate::policies::PolicyKind;
 use crate::report::{self, Summary};
 use crate::scenario::Scenario;
 use lexopt::prelude::*;
@@ -62,10 +62,10 @@
         Ok(options)
     }
 
-    fn policies(&self) -> Result<Vec<Kind>, String> {
+    fn policies(&self) -> Result<Vec<PolicyKind>, String> {
         match self.policy.as_deref() {
-            None | Some("all") => Ok(Kind::ALL.to_vec()),
-            Some(name) => Ok(vec![Kind::parse(name)?]),
+            None | Some("all") => Ok(PolicyKind::ALL.to_vec()),
+            Some(name) => Ok(vec![PolicyKind::parse(name)?]),
         }
     }
 
@@ -111,7 +111,7 @@
 }
 
 /// Plays a scenario at each value of a parameter, and writes and prints the table.
-fn sweep(options: &Options, kinds: &[Kind]) -> Result<(), String> {
+fn sweep(options: &Options, kinds: &[PolicyKind]) -> Result<(), String> {
     let text = options.scenario_text()?;
     let set = options.set.as_ref().ok_or("sweep needs --set PATH=V1,V2,...")?;
     let (path, values) = set.split_once('=').ok_or("--set wants PATH=V1,V2,...")?;
@@ -145,14 +145,14 @@
 }
 
 /// Plays one scenario with each policy, writes its tables and prints each run's line with ratios to the baselines.
-pub fn run(scenario: &Scenario, kinds: &[Kind], out: &std::path::Path) -> Result<(), String> {
+pub fn run(scenario: &Scenario, kinds: &[PolicyKind], out: &std::path::Path) -> Result<(), String> {
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let mut summaries = Vec::new();
     for &kind in kinds {
         let bar = indicatif::ProgressBar::new(scenario.seconds.ceil() as u64);
         bar.set_message(kind.name());
         let started = std::time::Instant::now();
-        let record = crate::world::play(scenario, kind, Some(&bar));
+        let record = crate::world::run_scenario(scenario, kind, Some(&bar));
         bar.finish_and_clear();
         let wall = started.elapsed();
         report::write_csv(&report::run_path(out, &scenario.name, kind), &report::rows(&record))?;
--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -31,7 +31,7 @@
     }
 
     /// Which copy a gateway reaches.
-    pub fn side(&self, gateway: u32) -> usize {
+    pub fn copy_index(&self, gateway: u32) -> usize {
         if self.split { (gateway % 2) as usize } else { 0 }
     }
 
@@ -44,7 +44,7 @@
         if self.adds.is_multiple_of(4096) {
             self.sides.iter_mut().for_each(|side| side.retain(|_, count| count.forget_at > now));
         }
-        let side = self.side(gateway);
+        let side = self.copy_index(gateway);
         let fresh = Count { total: 0.0, forget_at: now + forget.max(1) };
         let count = self.sides[side].entry(name).or_insert(fresh);
         if count.forget_at <= now {
@@ -55,7 +55,7 @@
     }
 
     /// Each half goes on from a copy of what was.
-    pub fn split_now(&mut self) {
+    pub fn split(&mut self) {
         self.sides[1] = self.sides[0].clone();
         self.split = true;
     }
@@ -77,7 +77,7 @@
     }
 
     /// Names held, over both copies: what the counter's memory grows with.
-    pub fn names(&self) -> usize {
+    pub fn name_count(&self) -> usize {
         self.sides.iter().map(BTreeMap::len).sum()
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -9,7 +9,7 @@
 //! ```
 //! let text = lab::scenario::EXAMPLE;
 //! let scenario = lab::scenario::Scenario::from_toml(text).unwrap();
-//! let record = lab::world::play(&scenario, lab::policies::Kind::Design, None);
+//! let record = lab::world::run_scenario(&scenario, lab::policies::PolicyKind::Design, None);
 //! assert!(record.total.arrived > 0);
 //! assert_eq!(record.total.arrived, record.total.finals() + record.total.left + record.total.cut);
 //! ```
--- a/crates/lab/src/lifecycle.rs
+++ b/crates/lab/src/lifecycle.rs
@@ -29,7 +29,7 @@
 }
 
 /// What a drain gives the gateway to answer what it holds, as `martenramp serve` does.
-pub const DRAIN: Nanos = 500_000_000;
+pub const DRAIN_TIME: Nanos = 500_000_000;
 
 impl Lifecycle {
     /// A gateway that is up for the first time.
@@ -38,12 +38,12 @@
     }
 
     /// Whether new clients reach it.
-    pub fn takes_clients(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.phase == Phase::Up
     }
 
     /// Whether it is there at all.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.phase != Phase::Down
     }
 
@@ -55,7 +55,7 @@
     /// SIGTERM: it takes no new clients from now on.
     pub fn drain(&mut self, now: Nanos) {
         if self.phase == Phase::Up {
-            self.phase = Phase::Draining { until: now + DRAIN };
+            self.phase = Phase::Draining { until: now + DRAIN_TIME };
         }
     }
 
@@ -73,7 +73,7 @@
 }
 
 /// `share` of `count` things, drawn without repeats by the chance given; in order of number.
-pub fn pick(count: u32, share: f64, chance: &mut impl rand::Rng) -> Vec<u32> {
+pub fn sample_share(count: u32, share: f64, chance: &mut impl rand::Rng) -> Vec<u32> {
     let want = ((f64::from(count) * share.clamp(0.0, 1.0)).round() as usize).min(count as usize);
     let mut picked = rand::seq::index::sample(chance, count as usize, want).into_vec();
     picked.sort_unstable();
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -33,7 +33,7 @@
     }
 
     /// Cuts a zone off from the others, or heals the cut.
-    pub fn cut_off(&mut self, zone: u32, cut: bool) {
+    pub fn set_cut_off(&mut self, zone: u32, cut: bool) {
         if let Some(at) = self.cut.get_mut(zone as usize) {
             *at = cut;
         }
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -12,7 +12,7 @@
 /// Which policy a run plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum PolicyKind {
     /// The decision module, `martenramp::admission`.
     #[default]
     Design,
@@ -22,43 +22,46 @@
     Late,
 }
 
-impl Kind {
+impl PolicyKind {
     /// All policies.
-    pub const ALL: [Kind; 3] = [Kind::Design, Kind::Plain, Kind::Late];
+    pub const ALL: [PolicyKind; 3] = [PolicyKind::Design, PolicyKind::Plain, PolicyKind::Late];
 
     /// Its name on the command line and in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Design => "design",
-            Kind::Plain => "plain",
-            Kind::Late => "late",
+            PolicyKind::Design => "design",
+            PolicyKind::Plain => "plain",
+            PolicyKind::Late => "late",
         }
     }
 
     /// The policy of that name.
-    pub fn parse(text: &str) -> Result<Kind, String> {
-        Kind::ALL.into_iter().find(|kind| kind.name() == text).ok_or_else(|| format!("no policy '{text}'"))
+    pub fn parse(text: &str) -> Result<PolicyKind, String> {
+        PolicyKind::ALL
+            .into_iter()
+            .find(|kind| kind.name() == text)
+            .ok_or_else(|| format!("no policy '{text}'"))
     }
 }
 
 /// One thing a gate asked of its host, kept until the gate's call is over so that it is never entered twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wish {
+pub enum HostAction {
     /// Send an attempt of an RPC to a server.
-    CallOut {
+    SendAttempt {
         /// The RPC.
         rpc: u32,
         /// The server.
         server: u32,
         /// How long the attempt may take; 0 is until the deadline.
-        limit: Nanos,
+        timeout: Nanos,
     },
     /// Reject an RPC.
-    PushBack {
+    Reject {
         /// The RPC.
         rpc: u32,
         /// When the client may send it again, from now.
-        come_back: Nanos,
+        retry_after: Nanos,
     },
     /// Abort an RPC: nothing is promised of it.
     Abort {
@@ -66,14 +69,14 @@
         rpc: u32,
     },
     /// Call the gate again later.
-    Wake {
+    SetTimer {
         /// When, from now.
         after: Nanos,
         /// Handed back then.
         token: u32,
     },
     /// Add to a count of the shared counter.
-    Count {
+    AddToCounter {
         /// The name of the count.
         name: u64,
         /// What is added.
@@ -85,59 +88,73 @@
 
 /// The host side of a gate: it only collects.
 #[derive(Default)]
-pub struct Wishes(pub Vec<Wish>);
+pub struct HostActions(pub Vec<HostAction>);
 
-impl Host for Wishes {
-    fn send_attempt(&mut self, rpc: u32, server: u32, limit: Nanos, _before: Nanos) {
-        self.0.push(Wish::CallOut { rpc, server, limit });
+impl Host for HostActions {
+    fn send_attempt(&mut self, rpc: u32, server: u32, timeout: Nanos, _before: Nanos) {
+        self.0.push(HostAction::SendAttempt { rpc, server, timeout });
     }
-    fn reject(&mut self, rpc: u32, come_back: Nanos) {
-        self.0.push(Wish::PushBack { rpc, come_back });
+    fn reject(&mut self, rpc: u32, retry_after: Nanos) {
+        self.0.push(HostAction::Reject { rpc, retry_after });
     }
     fn abort(&mut self, rpc: u32) {
-        self.0.push(Wish::Abort { rpc });
+        self.0.push(HostAction::Abort { rpc });
     }
     fn set_timer(&mut self, after: Nanos, token: u32) {
-        self.0.push(Wish::Wake { after, token });
+        self.0.push(HostAction::SetTimer { after, token });
     }
     fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
-        self.0.push(Wish::Count { name, add, forget });
+        self.0.push(HostAction::AddToCounter { name, add, forget });
     }
 }
 
 /// What an emulated gateway is told, as the real gateway tells the module.
-pub trait Gate {
+pub trait Policy {
     /// Discovery sent a list, whole or only what changed.
-    fn listed(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]);
+    fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]);
     /// An RPC arrived.
-    fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival);
+    fn on_arrival(&mut self, host: &mut HostActions, now: Nanos, arrival: &Arrival);
     /// A time that was asked for has come.
-    fn woke(&mut self, host: &mut Wishes, now: Nanos, token: u32);
+    fn on_timer(&mut self, host: &mut HostActions, now: Nanos, token: u32);
     /// An attempt ended.
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult);
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult);
     /// A call to the counter ended.
-    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: CallOutcome, total: f64);
+    fn on_counter_reply(
+        &mut self,
+        host: &mut HostActions,
+        now: Nanos,
+        name: u64,
+        how: CallOutcome,
+        total: f64,
+    );
     /// A client gave its RPC up.
-    fn client_left(&mut self, id: u32);
+    fn on_client_left(&mut self, id: u32);
 }
 
-impl Gate for AdmissionController {
-    fn listed(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
+impl Policy for AdmissionController {
+    fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]) {
         AdmissionController::on_server_list(self, now, whole, list);
     }
-    fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival) {
+    fn on_arrival(&mut self, host: &mut HostActions, now: Nanos, arrival: &Arrival) {
         AdmissionController::on_arrival(self, host, now, arrival);
     }
-    fn woke(&mut self, host: &mut Wishes, now: Nanos, token: u32) {
+    fn on_timer(&mut self, host: &mut HostActions, now: Nanos, token: u32) {
         AdmissionController::on_timer(self, host, now, token);
     }
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult) {
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult) {
         AdmissionController::on_attempt_end(self, host, now, ended);
     }
-    fn counted(&mut self, host: &mut Wishes, now: Nanos, name: u64, how: CallOutcome, total: f64) {
+    fn on_counter_reply(
+        &mut self,
+        host: &mut HostActions,
+        now: Nanos,
+        name: u64,
+        how: CallOutcome,
+        total: f64,
+    ) {
         AdmissionController::on_counter_reply(self, host, now, name, how, total);
     }
-    fn client_left(&mut self, id: u32) {
+    fn on_client_left(&mut self, id: u32) {
         AdmissionController::on_client_left(self, id);
     }
 }
@@ -214,7 +231,7 @@
 /// The two baselines. Both retry only idempotent methods, on another server, while time is left and the attempts cap
 /// allows; what finds no room is pushed back with the time until there is room.
 pub struct Baseline {
-    kind: Kind,
+    kind: PolicyKind,
     gateway: u32,
     settings: Settings,
     ledger: Rc<RefCell<Ledger>>,
@@ -228,7 +245,7 @@
 
 impl Baseline {
     /// A baseline policy for one gateway.
-    pub fn new(kind: Kind, gateway: u32, settings: Settings, ledger: Rc<RefCell<Ledger>>) -> Baseline {
+    pub fn new(kind: PolicyKind, gateway: u32, settings: Settings, ledger: Rc<RefCell<Ledger>>) -> Baseline {
         let (parts, rpcs, open) = (HashMap::new(), HashMap::new(), BTreeMap::new());
         Baseline { kind, gateway, settings, ledger, parts, rpcs, ready: Vec::new(), open, turn: 0 }
     }
@@ -240,11 +257,13 @@
     /// Takes `units` from the customer's store if there is room; else the time until there is.
     fn take(&mut self, now: Nanos, arrival: &Arrival) -> Result<(), Nanos> {
         // The late one sees the whole store; a plain gateway keeps its even part of it.
-        let share = if self.kind == Kind::Late { 1.0 } else { f64::from(arrival.gateway_count.max(1)) };
+        let share = if self.kind == PolicyKind::Late { 1.0 } else { f64::from(arrival.gateway_count.max(1)) };
         let rate = self.number(&format!("tariffs.{}.perSecond", arrival.plan), 0.0) / share;
         let burst = self.number(&format!("tariffs.{}.depth", arrival.plan), 0.0) / share;
         let room = match self.kind {
-            Kind::Late => self.ledger.borrow_mut().room(now, self.gateway, arrival.customer, rate, burst),
+            PolicyKind::Late => {
+                self.ledger.borrow_mut().room(now, self.gateway, arrival.customer, rate, burst)
+            }
             _ => {
                 let part = self.parts.entry(arrival.customer).or_insert(Part { level: burst, at: now });
                 part.level = (part.level + secs(now - part.at) * rate).min(burst);
@@ -257,7 +276,9 @@
             return Err(crate::nanos(wait.min(60.0)));
         }
         match self.kind {
-            Kind::Late => self.ledger.borrow_mut().draw(now, self.gateway, arrival.customer, arrival.units),
+            PolicyKind::Late => {
+                self.ledger.borrow_mut().draw(now, self.gateway, arrival.customer, arrival.units)
+            }
             _ => {
                 self.parts.get_mut(&arrival.customer).into_iter().for_each(|part| part.level -= arrival.units)
             }
@@ -269,7 +290,7 @@
     fn pick(&mut self, besides: Option<u32>) -> Option<u32> {
         self.turn = self.turn.wrapping_add(1);
         let ledger = self.ledger.borrow();
-        let open = if self.kind == Kind::Late { &ledger.open } else { &self.open };
+        let open = if self.kind == PolicyKind::Late { &ledger.open } else { &self.open };
         let count = self.ready.len();
         let order = (0..count).map(|at| self.ready[(at + self.turn) % count]);
         order
@@ -277,7 +298,7 @@
             .min_by_key(|server| open.get(server).copied().unwrap_or(0))
     }
 
-    fn send(&mut self, host: &mut Wishes, now: Nanos, id: u32) {
+    fn send(&mut self, host: &mut HostActions, now: Nanos, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (besides, deadline) = (rpc.server, rpc.deadline);
         match self.pick(besides).filter(|_| now < deadline) {
@@ -297,18 +318,18 @@
 
     fn opened(&mut self, server: u32, by: i64) {
         let mut ledger = self.ledger.borrow_mut();
-        let open = if self.kind == Kind::Late { &mut ledger.open } else { &mut self.open };
+        let open = if self.kind == PolicyKind::Late { &mut ledger.open } else { &mut self.open };
         let count = open.entry(server).or_default();
         *count = (i64::from(*count) + by).max(0) as u32;
     }
 }
 
-impl Gate for Baseline {
-    fn listed(&mut self, _now: Nanos, _whole: bool, list: &[DiscoveredServer]) {
+impl Policy for Baseline {
+    fn on_server_list(&mut self, _now: Nanos, _whole: bool, list: &[DiscoveredServer]) {
         self.ready = list.iter().filter(|listed| listed.ready).map(|listed| listed.server).collect();
     }
 
-    fn rpc(&mut self, host: &mut Wishes, now: Nanos, arrival: &Arrival) {
+    fn on_arrival(&mut self, host: &mut HostActions, now: Nanos, arrival: &Arrival) {
         if let Err(wait) = self.take(now, arrival) {
             return host.reject(arrival.id, wait);
         }
@@ -317,9 +338,9 @@
         self.send(host, now, arrival.id);
     }
 
-    fn woke(&mut self, _host: &mut Wishes, _now: Nanos, _token: u32) {}
+    fn on_timer(&mut self, _host: &mut HostActions, _now: Nanos, _token: u32) {}
 
-    fn ended(&mut self, host: &mut Wishes, now: Nanos, ended: &AttemptResult) {
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult) {
         self.opened(ended.server, -1);
         if ended.rpc_answered || ended.outcome == CallOutcome::Ok {
             self.rpcs.remove(&ended.rpc);
@@ -338,23 +359,31 @@
         host.reject(ended.rpc, 0);
     }
 
-    fn counted(&mut self, _host: &mut Wishes, _now: Nanos, _name: u64, _how: CallOutcome, _total: f64) {}
+    fn on_counter_reply(
+        &mut self,
+        _host: &mut HostActions,
+        _now: Nanos,
+        _name: u64,
+        _how: CallOutcome,
+        _total: f64,
+    ) {
+    }
 
-    fn client_left(&mut self, id: u32) {
+    fn on_client_left(&mut self, id: u32) {
         self.rpcs.remove(&id);
     }
 }
 
 /// A gate of the kind asked for; the seed is the module's for this life of this gateway.
-pub fn make(
-    kind: Kind,
+pub fn new_policy(
+    kind: PolicyKind,
     gateway: u32,
     seed: u64,
     settings: &Settings,
     ledger: &Rc<RefCell<Ledger>>,
-) -> Box<dyn Gate> {
+) -> Box<dyn Policy> {
     match kind {
-        Kind::Design => {
+        PolicyKind::Design => {
             let mut settings = settings.clone();
             settings.insert("me".to_string(), gateway.to_string());
             Box::new(AdmissionController::new(seed, settings))
--- a/crates/lab/src/queue.rs
+++ b/crates/lab/src/queue.rs
@@ -29,45 +29,45 @@
 }
 
 /// Events of type `E` by time. `now` never goes back: an event put in for the past comes at once.
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     serial: u64,
     now: Nanos,
     /// Events taken out so far: the lab's measure of work.
-    pub taken: u64,
+    pub events_popped: u64,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), serial: 0, now: 0, taken: 0 }
+        EventQueue { heap: BinaryHeap::new(), serial: 0, now: 0, events_popped: 0 }
     }
 }
 
-impl<E> Queue<E> {
+impl<E> EventQueue<E> {
     /// The time of the last event taken.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
     /// Puts an event in at clock time `at`.
-    pub fn at(&mut self, at: Nanos, event: E) {
+    pub fn schedule_at(&mut self, at: Nanos, event: E) {
         self.serial += 1;
         self.heap.push(Entry { at: at.max(self.now), serial: self.serial, event });
     }
 
     /// Puts an event in `after` nanoseconds from now.
-    pub fn after(&mut self, after: Nanos, event: E) {
-        self.at(self.now.saturating_add(after), event);
+    pub fn schedule_after(&mut self, after: Nanos, event: E) {
+        self.schedule_at(self.now.saturating_add(after), event);
     }
 
     /// The next event if it comes no later than `until`; the clock moves to its time.
-    pub fn next(&mut self, until: Nanos) -> Option<(Nanos, E)> {
+    pub fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, E)> {
         if self.heap.peek()?.at > until {
             return None;
         }
         let entry = self.heap.pop()?;
         self.now = entry.at;
-        self.taken += 1;
+        self.events_popped += 1;
         Some((entry.at, entry.event))
     }
 }
--- a/crates/lab/src/queue/tests.rs
+++ b/crates/lab/src/queue/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn earliest_first_and_ties_in_order() {
-    let mut queue = Queue::default();
-    queue.at(20, "c");
-    queue.at(10, "a");
-    queue.at(10, "b");
-    let order: Vec<_> = std::iter::from_fn(|| queue.next(u64::MAX)).collect();
+    let mut queue = EventQueue::default();
+    queue.schedule_at(20, "c");
+    queue.schedule_at(10, "a");
+    queue.schedule_at(10, "b");
+    let order: Vec<_> = std::iter::from_fn(|| queue.pop_until(u64::MAX)).collect();
     assert_eq!(order, [(10, "a"), (10, "b"), (20, "c")]);
-    queue.at(5, "past");
-    assert_eq!(queue.next(u64::MAX), Some((20, "past")), "an event for the past comes now");
+    queue.schedule_at(5, "past");
+    assert_eq!(queue.pop_until(u64::MAX), Some((20, "past")), "an event for the past comes now");
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,7 +1,7 @@
 //! Tables and charts: a CSV of rows over time for each run, one summary row for each run, and SVG charts drawn
 //! from those CSV files alone, so that a report can be made again from kept results.
 
-use crate::policies::Kind;
+use crate::policies::PolicyKind;
 use crate::record::{Counts, Record};
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -119,7 +119,7 @@
 
 impl Summary {
     /// The summary of a run.
-    pub fn of(scenario: &crate::scenario::Scenario, kind: Kind, record: &Record) -> Summary {
+    pub fn of(scenario: &crate::scenario::Scenario, kind: PolicyKind, record: &Record) -> Summary {
         let Counts { arrived, ok, pushed_back, aborted, lost, left, cut, twice, call_outs, .. } =
             record.total;
         let quantile = |q| round(Record::quantile_ms(&record.latency, q));
@@ -202,7 +202,7 @@
 }
 
 /// The table of one run's rows: `DIR/SCENARIO-POLICY.csv`.
-pub fn run_path(dir: &Path, scenario: &str, kind: Kind) -> PathBuf {
+pub fn run_path(dir: &Path, scenario: &str, kind: PolicyKind) -> PathBuf {
     dir.join(format!("{scenario}-{}.csv", kind.name()))
 }
 
@@ -258,7 +258,7 @@
     let summaries: Vec<Summary> = read_csv(&dir.join("summary.csv"))?;
     let mut tables = Vec::new();
     for summary in &summaries {
-        let kind = Kind::parse(&summary.policy)?;
+        let kind = PolicyKind::parse(&summary.policy)?;
         let rows: Vec<TimeRow> = read_csv(&run_path(dir, &summary.scenario, kind))?;
         tables.push((format!("{} {}", summary.scenario, summary.policy), rows));
     }
--- a/crates/lab/src/rng.rs
+++ b/crates/lab/src/rng.rs
@@ -13,7 +13,7 @@
     /// Delays and losses.
     Network = 4,
     /// Whom a trouble hits.
-    Troubles = 5,
+    Faults = 5,
 }
 
 /// The stream of one model: the same seed and model give the same draws on every platform.
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -18,7 +18,7 @@
     /// The RPC.
     pub rpc: u32,
     /// Which attempt of that RPC, from 0.
-    pub nth: u16,
+    pub number: u16,
 }
 
 /// What a server does with an attempt that reaches it.
@@ -48,7 +48,7 @@
     /// Each replacement is a new incarnation, with its own start time.
     pub incarnation: u32,
     /// When this incarnation started.
-    pub came_up: Nanos,
+    pub started_at: Nanos,
     /// Whether it is there.
     pub up: bool,
     busy: u32,
@@ -75,7 +75,7 @@
                 id,
                 zone: id % model.zones,
                 incarnation: 0,
-                came_up: 0,
+                started_at: 0,
                 up: true,
                 busy: 0,
                 slow: 1.0,
@@ -94,7 +94,7 @@
     pub fn slots(&self, server: u32, now: Nanos) -> u32 {
         let server = &self.all[server as usize];
         let warm = nanos(self.model.cold_seconds);
-        let since = now.saturating_sub(server.came_up);
+        let since = now.saturating_sub(server.started_at);
         if server.incarnation == 0 || warm == 0 || since >= warm {
             return self.model.slots;
         }
@@ -127,7 +127,7 @@
     }
 
     /// An attempt is over at the server; one of an earlier incarnation frees nothing.
-    pub fn free(&mut self, server: u32, incarnation: u32) {
+    pub fn release_slot(&mut self, server: u32, incarnation: u32) {
         let at = &mut self.all[server as usize];
         if at.incarnation == incarnation {
             at.busy = at.busy.saturating_sub(1);
@@ -137,29 +137,30 @@
     /// A new incarnation: the server starts again cold; what it held is gone.
     pub fn replace(&mut self, server: u32, now: Nanos) {
         let at = &mut self.all[server as usize];
-        (at.incarnation, at.came_up, at.up, at.busy, at.paused) = (at.incarnation + 1, now, true, 0, false);
+        (at.incarnation, at.started_at, at.up, at.busy, at.paused) =
+            (at.incarnation + 1, now, true, 0, false);
         at.held.clear();
     }
 
     /// The server is gone with all that it held.
-    pub fn down(&mut self, server: u32) {
+    pub fn take_down(&mut self, server: u32) {
         let at = &mut self.all[server as usize];
         (at.up, at.busy) = (false, 0);
         at.held.clear();
     }
 
     /// From now on it serves so many times slower.
-    pub fn set_slow(&mut self, server: u32, factor: f64) {
+    pub fn set_slow_factor(&mut self, server: u32, factor: f64) {
         self.all[server as usize].slow = factor.max(0.0);
     }
 
     /// From now on this share of its attempts ends in errors.
-    pub fn set_errors(&mut self, server: u32, share: f64) {
+    pub fn set_error_share(&mut self, server: u32, share: f64) {
         self.all[server as usize].errors = share.clamp(0.0, 1.0);
     }
 
     /// The share of attempts that ends in errors when nothing is wrong.
-    pub fn usual_errors(&self) -> f64 {
+    pub fn base_error_share(&self) -> f64 {
         self.model.error_share
     }
 
@@ -177,14 +178,14 @@
     }
 
     /// The list as discovery has it now.
-    pub fn listed(&self) -> Vec<DiscoveredServer> {
+    pub fn discovery_list(&self) -> Vec<DiscoveredServer> {
         let entry = |server: &Server| DiscoveredServer {
             server: server.id,
             key: u64::from(server.id),
             zone: server.zone as u16,
             ready: server.up,
             weight: 1.0,
-            started_at: server.came_up,
+            started_at: server.started_at,
             ..DiscoveredServer::default()
         };
         self.all.iter().map(entry).collect()
--- a/crates/lab/src/servers/tests.rs
+++ b/crates/lab/src/servers/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_cold_server_bears_only_its_share_and_a_paused_one_holds() {
     let mut servers = Servers::new(&model(), crate::rng::stream(1, crate::rng::Stream::Servers));
-    let attempt = AttemptRef { gateway: 0, incarnation: 0, rpc: 1, nth: 0 };
+    let attempt = AttemptRef { gateway: 0, incarnation: 0, rpc: 1, number: 0 };
     servers.replace(0, 0);
     assert_eq!(servers.accept(1, 0, 1, attempt), Disposition::Serving { after: 10_000_000, ok: true });
     assert_eq!(servers.accept(1, 0, 1, attempt), Disposition::Full, "a quarter of four slots, cold");
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,6 +1,6 @@
 //! A scenario played over a range of one parameter, with each policy: the table `sweep.csv` and its charts.
 
-use crate::policies::Kind;
+use crate::policies::PolicyKind;
 use crate::report::{self, Summary};
 use crate::scenario::Scenario;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
     text: &str,
     path: &str,
     values: &[String],
-    kinds: &[Kind],
+    kinds: &[PolicyKind],
     mut told: impl FnMut(&Point),
 ) -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
@@ -23,7 +23,7 @@
             Scenario::from_toml_with(text, path, value).map_err(|e| format!("{path}={value}: {e}"))?;
         for &kind in kinds {
             let started = Instant::now();
-            let record = crate::world::play(&scenario, kind, None);
+            let record = crate::world::run_scenario(&scenario, kind, None);
             let wall = started.elapsed();
             let mut point = Summary::of(&scenario, kind, &record);
             point.events_per_s = (point.events as f64 / wall.as_secs_f64().max(1e-9)) as u64;
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -12,8 +12,8 @@
 use crate::counter::Counter;
 use crate::lifecycle::Lifecycle;
 use crate::network::Network;
-use crate::policies::{Gate, Kind, Ledger, Wishes};
-use crate::queue::Queue;
+use crate::policies::{HostActions, Ledger, Policy, PolicyKind};
+use crate::queue::EventQueue;
 use crate::record::Record;
 use crate::rng::{self, Stream};
 use crate::scenario::{Method, Plan, Scenario};
@@ -68,7 +68,7 @@
 
 struct Gateway {
     lifecycle: Lifecycle,
-    gate: Option<Box<dyn Gate>>,
+    gate: Option<Box<dyn Policy>>,
     attempts: BTreeMap<(u32, u16), Attempt>,
     /// Serials of the calls to the counter that are open.
     counter_calls: BTreeSet<u64>,
@@ -130,8 +130,8 @@
 /// The state of an emulation.
 pub struct World {
     scenario: Scenario,
-    kind: Kind,
-    queue: Queue<Event>,
+    kind: PolicyKind,
+    queue: EventQueue<Event>,
     settings: Settings,
     methods: Vec<Method>,
     plans: Vec<Plan>,
@@ -154,11 +154,15 @@
     counter_timeout: Nanos,
     dial_timeout: Nanos,
     next_serial: u64,
-    wishes: Wishes,
+    wishes: HostActions,
 }
 
 /// Plays a scenario with one policy to its end and gives what was measured.
-pub fn play(scenario: &Scenario, kind: Kind, progress: Option<&indicatif::ProgressBar>) -> Record {
+pub fn run_scenario(
+    scenario: &Scenario,
+    kind: PolicyKind,
+    progress: Option<&indicatif::ProgressBar>,
+) -> Record {
     let mut world = World::new(scenario, kind);
     world.run(progress);
     world.record
@@ -166,7 +170,7 @@
 
 impl World {
     /// A world in which nothing has happened yet.
-    pub fn new(scenario: &Scenario, kind: Kind) -> World {
+    pub fn new(scenario: &Scenario, kind: PolicyKind) -> World {
         let seed = scenario.seed;
         let methods = scenario.methods().unwrap_or_default();
         let plans = scenario.plans().unwrap_or_default();
@@ -183,7 +187,7 @@
         let window = nanos(60.0).min(end.max(1));
         let mut world = World {
             kind,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             clients: Clients::new(scenario, &methods, &plans, rng::stream(seed, Stream::Arrivals)),
             servers: Servers::new(&scenario.servers, rng::stream(seed, Stream::Servers)),
             counter: Counter::new(scenario.counter.enabled),
@@ -193,7 +197,7 @@
             next_rpc: 1,
             record: Record::new(nanos(scenario.bucket_seconds), window),
             ledger: Ledger::shared(nanos(scenario.baselines.late_ms / 1e3)),
-            troubles: rng::stream(seed, Stream::Troubles),
+            troubles: rng::stream(seed, Stream::Faults),
             picked: BTreeMap::new(),
             list_due: false,
             list_late: 0,
@@ -202,7 +206,7 @@
             counter_timeout,
             dial_timeout,
             next_serial: 0,
-            wishes: Wishes::default(),
+            wishes: HostActions::default(),
             settings,
             methods,
             plans,
@@ -216,18 +220,18 @@
         for gateway in 0..self.scenario.gateways {
             self.start_gate(gateway);
         }
-        self.queue.at(0, Event::List);
-        self.queue.at(0, Event::Tick);
+        self.queue.schedule_at(0, Event::List);
+        self.queue.schedule_at(0, Event::Tick);
         for stream in 0..self.clients.streams.len() {
             if let Some(gap) = self.clients.gap(stream) {
-                self.queue.at(gap, Event::Arrive { stream: stream as u32 });
+                self.queue.schedule_at(gap, Event::Arrive { stream: stream as u32 });
             }
         }
         for (index, trouble) in self.scenario.troubles.iter().enumerate() {
             let (starts, ends) = trouble.span();
-            self.queue.at(starts, Event::Trouble { index, starts: true });
+            self.queue.schedule_at(starts, Event::Trouble { index, starts: true });
             if let Some(ends) = ends {
-                self.queue.at(ends, Event::Trouble { index, starts: false });
+                self.queue.schedule_at(ends, Event::Trouble { index, starts: false });
             }
         }
     }
@@ -235,7 +239,7 @@
     /// Handles events until the horizon: arrivals stop at the scenario's end, and every RPC then has until its
     /// deadline and the grace to end.
     pub fn run(&mut self, progress: Option<&indicatif::ProgressBar>) {
-        while let Some((now, event)) = self.queue.next(self.horizon) {
+        while let Some((now, event)) = self.queue.pop_until(self.horizon) {
             if let (Event::Tick, Some(bar)) = (&event, progress) {
                 bar.set_position(now / SEC);
             }
@@ -244,7 +248,7 @@
                 break;
             }
         }
-        self.record.events = self.queue.taken;
+        self.record.events = self.queue.events_popped;
         let streams = &self.clients.streams;
         let plans = &self.plans;
         let mut by_customer = BTreeMap::new();
@@ -268,7 +272,7 @@
             Event::AttemptEnd { attempt, how } => self.attempt_ended(now, attempt, how),
             Event::AttemptTimeout { attempt } => self.attempt_ended(now, attempt, CallOutcome::TimedOut),
             Event::ServerFreed { server, server_incarnation } => {
-                self.servers.free(server, server_incarnation)
+                self.servers.release_slot(server, server_incarnation)
             }
             Event::CounterRequest(call) => self.counter_request(now, call),
             Event::CounterReply { call, total } => self.counter_call_ended(now, call, CallOutcome::Ok, total),
@@ -283,10 +287,10 @@
     }
 
     fn tick(&mut self, now: Nanos) {
-        let up = self.gateways.iter().filter(|gateway| gateway.lifecycle.takes_clients()).count() as u32;
+        let up = self.gateways.iter().filter(|gateway| gateway.lifecycle.accepts_clients()).count() as u32;
         self.record.gauge(now, up, self.rpcs.len() as u64);
         if now < self.end {
-            self.queue.after(nanos(self.scenario.bucket_seconds), Event::Tick);
+            self.queue.schedule_after(nanos(self.scenario.bucket_seconds), Event::Tick);
         }
     }
 }
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -14,7 +14,7 @@
             self.set_state(rpc, RpcState::Attempting);
         }
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-        let attempt = AttemptRef { gateway, incarnation, rpc, nth };
+        let attempt = AttemptRef { gateway, incarnation, rpc, number: nth };
         self.record.add(now, |counts| counts.call_outs += 1);
         if nth == 0 {
             let at = &self.clients.streams[stream as usize];
@@ -22,23 +22,25 @@
             self.record.sent(now, at.customer, at.units, plan.rate, plan.burst);
         }
         let ends = if limit > 0 { (now + limit).min(deadline) } else { deadline };
-        self.queue.at(ends.max(now + 1), Event::AttemptTimeout { attempt });
+        self.queue.schedule_at(ends.max(now + 1), Event::AttemptTimeout { attempt });
         let Some(at) = self.servers.all.get(server as usize) else {
-            return self
-                .queue
-                .after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection });
+            return self.queue.schedule_after(
+                self.network.refuse,
+                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+            );
         };
         let (zone, server_incarnation) = (self.gateways[gateway as usize].lifecycle.zone, at.incarnation);
         self.gateways[gateway as usize]
             .attempts
             .insert((rpc, nth), Attempt { server, server_incarnation, sent: now });
         if !self.network.reaches(zone, at.zone) {
-            return self
-                .queue
-                .after(self.dial_timeout, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection });
+            return self.queue.schedule_after(
+                self.dial_timeout,
+                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+            );
         }
         if let Some(hop) = self.network.hop() {
-            self.queue.after(hop, Event::AttemptAtServer { attempt, server, server_incarnation });
+            self.queue.schedule_after(hop, Event::AttemptAtServer { attempt, server, server_incarnation });
         }
     }
 
@@ -50,12 +52,13 @@
         server_incarnation: u32,
     ) {
         match self.servers.accept(now, server, server_incarnation, attempt) {
-            Disposition::Refused => self
-                .queue
-                .after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::NoConnection }),
+            Disposition::Refused => self.queue.schedule_after(
+                self.network.refuse,
+                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+            ),
             Disposition::Full => self.answer(attempt, 0, CallOutcome::Full),
             Disposition::Serving { after, ok } => {
-                self.queue.after(after, Event::ServerFreed { server, server_incarnation });
+                self.queue.schedule_after(after, Event::ServerFreed { server, server_incarnation });
                 self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
             Disposition::Held => {}
@@ -64,17 +67,17 @@
 
     pub(super) fn answer(&mut self, attempt: AttemptRef, after: Nanos, how: CallOutcome) {
         if let Some(hop) = self.network.hop() {
-            self.queue.after(after + hop, Event::AttemptEnd { attempt, how });
+            self.queue.schedule_after(after + hop, Event::AttemptEnd { attempt, how });
         }
     }
 
     /// An attempt ended at its gateway: answered, failed, or its time over. One that ended before is passed over.
     pub(super) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptRef, how: CallOutcome) {
         let gateway = &mut self.gateways[attempt.gateway as usize];
-        if gateway.lifecycle.incarnation != attempt.incarnation || !gateway.lifecycle.runs() {
+        if gateway.lifecycle.incarnation != attempt.incarnation || !gateway.lifecycle.is_running() {
             return;
         }
-        let Some(out) = gateway.attempts.remove(&(attempt.rpc, attempt.nth)) else { return };
+        let Some(out) = gateway.attempts.remove(&(attempt.rpc, attempt.number)) else { return };
         let took = now - out.sent;
         let live = self
             .rpcs
@@ -100,14 +103,14 @@
         let ended = AttemptResult {
             rpc: attempt.rpc,
             server: out.server,
-            attempt: attempt.nth,
+            attempt: attempt.number,
             outcome: how,
             duration: took,
             rpc_answered: closed,
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.with_gate(attempt.gateway, |gate, wishes| gate.ended(wishes, now, &ended));
+        self.with_gate(attempt.gateway, |gate, wishes| gate.on_attempt_end(wishes, now, &ended));
         self.carry(now, attempt.gateway);
     }
 }
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -13,12 +13,12 @@
         let (incarnation, zone) = (at.lifecycle.incarnation, at.lifecycle.zone);
         at.counter_calls.insert(serial);
         let call = CounterCall { gateway, incarnation, serial, name, add, forget };
-        self.queue.at(now + self.counter_timeout.max(1), Event::CounterTimeout(call));
+        self.queue.schedule_at(now + self.counter_timeout.max(1), Event::CounterTimeout(call));
         if !(self.counter.enabled && self.network.reaches_counter(zone)) {
             return;
         }
         if let Some(hop) = self.network.hop() {
-            self.queue.after(hop, Event::CounterRequest(call));
+            self.queue.schedule_after(hop, Event::CounterRequest(call));
         }
     }
 
@@ -29,7 +29,7 @@
         };
         let latency = nanos(self.scenario.counter.latency_ms / 1e3);
         if let Some(hop) = self.network.hop() {
-            self.queue.after(latency + hop, Event::CounterReply { call, total });
+            self.queue.schedule_after(latency + hop, Event::CounterReply { call, total });
         }
     }
 
@@ -44,7 +44,9 @@
             counts.count_calls += 1;
             counts.count_missed += missed;
         });
-        self.with_gate(call.gateway, |gate, wishes| gate.counted(wishes, now, call.name, how, total));
+        self.with_gate(call.gateway, |gate, wishes| {
+            gate.on_counter_reply(wishes, now, call.name, how, total)
+        });
         self.carry(now, call.gateway);
     }
 }
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -10,16 +10,16 @@
         if !self.list_due {
             self.list_due = true;
             let delay = nanos(self.scenario.discovery.delay_ms / 1e3) + self.list_late;
-            self.queue.after(delay, Event::List);
+            self.queue.schedule_after(delay, Event::List);
         }
     }
 
     pub(super) fn list(&mut self, now: Nanos) {
         self.list_due = false;
-        let list: Vec<DiscoveredServer> = self.servers.listed();
+        let list: Vec<DiscoveredServer> = self.servers.discovery_list();
         for gateway in &mut self.gateways {
             if let Some(gate) = gateway.gate.as_deref_mut() {
-                gate.listed(now, true, &list);
+                gate.on_server_list(now, true, &list);
             }
         }
     }
@@ -35,13 +35,14 @@
                         gateway: number as u32,
                         incarnation: gateway.lifecycle.incarnation,
                         rpc,
-                        nth,
+                        number: nth,
                     });
                 }
             }
         }
         for attempt in reset {
-            self.queue.after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::Reset });
+            self.queue
+                .schedule_after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::Reset });
         }
     }
 
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -11,22 +11,22 @@
     pub(super) fn trouble(&mut self, now: Nanos, index: usize, starts: bool) {
         match self.scenario.troubles[index].clone() {
             Trouble::CounterStall { .. } => self.counter.stalled = starts,
-            Trouble::CounterSplit { .. } if starts => self.counter.split_now(),
+            Trouble::CounterSplit { .. } if starts => self.counter.split(),
             Trouble::CounterSplit { .. } => self.counter.heal(),
             Trouble::CounterReplace { .. } => self.counter.replace(),
             Trouble::Kill { share, back_after, .. } => self.kill_gateways(now, index, share, back_after),
             Trouble::Drain { share, back_after, .. } => self.drain_gateways(now, index, share, back_after),
             Trouble::ZoneDown { zone, .. } => self.zone_down(now, zone, starts),
-            Trouble::Partition { zone, .. } => self.network.cut_off(zone, starts),
+            Trouble::Partition { zone, .. } => self.network.set_cut_off(zone, starts),
             Trouble::Slow { share, factor, .. } => {
                 let factor = if starts { factor } else { 1.0 };
                 let hit = self.servers_hit(index, share, starts);
-                hit.into_iter().for_each(|server| self.servers.set_slow(server, factor));
+                hit.into_iter().for_each(|server| self.servers.set_slow_factor(server, factor));
             }
             Trouble::Fail { share, error_share, .. } => {
-                let error_share = if starts { error_share } else { self.servers.usual_errors() };
+                let error_share = if starts { error_share } else { self.servers.base_error_share() };
                 let hit = self.servers_hit(index, share, starts);
-                hit.into_iter().for_each(|server| self.servers.set_errors(server, error_share));
+                hit.into_iter().for_each(|server| self.servers.set_error_share(server, error_share));
             }
             Trouble::Pause { share, .. } => {
                 let hit = self.servers_hit(index, share, starts);
@@ -50,7 +50,7 @@
         self.cut(now, &killed);
         let Some(back_after) = back_after else { return };
         for gateway in killed {
-            self.queue.after(nanos(back_after), Event::Start { gateway });
+            self.queue.schedule_after(nanos(back_after), Event::Start { gateway });
         }
     }
 
@@ -59,9 +59,9 @@
             let lifecycle = &mut self.gateways[gateway as usize].lifecycle;
             lifecycle.drain(now);
             let incarnation = lifecycle.incarnation;
-            self.queue.after(lifecycle::DRAIN, Event::Stop { gateway, incarnation });
+            self.queue.schedule_after(lifecycle::DRAIN_TIME, Event::Stop { gateway, incarnation });
             if let Some(back) = back_after {
-                self.queue.after(lifecycle::DRAIN + nanos(back), Event::Start { gateway });
+                self.queue.schedule_after(lifecycle::DRAIN_TIME + nanos(back), Event::Start { gateway });
             }
         }
     }
@@ -71,7 +71,7 @@
         let in_zone: Vec<u32> = (0..model.count).filter(|server| server % model.zones == zone).collect();
         if starts {
             self.reset_attempts_on(&in_zone);
-            in_zone.iter().for_each(|&server| self.servers.down(server));
+            in_zone.iter().for_each(|&server| self.servers.take_down(server));
         } else {
             in_zone.iter().for_each(|&server| self.servers.replace(server, now));
         }
@@ -83,7 +83,7 @@
         let server_incarnation = self.servers.all[server as usize].incarnation;
         for (attempt, disposition) in self.servers.resume(server) {
             if let Disposition::Serving { after, ok } = disposition {
-                self.queue.after(after, Event::ServerFreed { server, server_incarnation });
+                self.queue.schedule_after(after, Event::ServerFreed { server, server_incarnation });
                 self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
         }
@@ -93,7 +93,7 @@
         let replaced = self.pick(index, self.scenario.servers.count, share);
         let step = nanos(seconds) / (replaced.len() as Nanos).max(1);
         for (at, server) in replaced.into_iter().enumerate() {
-            self.queue.after(step * at as Nanos, Event::Replace { server });
+            self.queue.schedule_after(step * at as Nanos, Event::Replace { server });
         }
     }
 
@@ -106,14 +106,14 @@
     }
 
     fn pick(&mut self, index: usize, count: u32, share: f64) -> Vec<u32> {
-        let picked = lifecycle::pick(count, share, &mut self.troubles);
+        let picked = lifecycle::sample_share(count, share, &mut self.troubles);
         self.picked.insert(index, picked.clone());
         picked
     }
 
     fn pick_running(&mut self, index: usize, share: f64) -> Vec<u32> {
         let gateways = self.gateways.iter().zip(0u32..);
-        let running = gateways.filter(|(gateway, _)| gateway.lifecycle.runs());
+        let running = gateways.filter(|(gateway, _)| gateway.lifecycle.is_running());
         let running: Vec<u32> = running.map(|(_, number)| number).collect();
         let picked = self.pick(index, running.len() as u32, share);
         picked.into_iter().map(|at| running[at as usize]).collect()
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, Refusal, RpcState, World};
 use crate::lifecycle::Phase;
-use crate::policies::{self, Gate, Wish, Wishes};
+use crate::policies::{self, HostAction, HostActions, Policy};
 use crate::{Nanos, rng};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
     pub(super) fn with_gate<T>(
         &mut self,
         gateway: u32,
-        call: impl FnOnce(&mut dyn Gate, &mut Wishes) -> T,
+        call: impl FnOnce(&mut dyn Policy, &mut HostActions) -> T,
     ) -> Option<T> {
         let gate = self.gateways[gateway as usize].gate.as_deref_mut()?;
         Some(call(gate, &mut self.wishes))
@@ -22,16 +22,20 @@
         let mut wishes = std::mem::take(&mut self.wishes.0);
         for wish in wishes.drain(..) {
             match wish {
-                Wish::CallOut { rpc, server, limit } => self.send_attempt(now, gateway, rpc, server, limit),
-                Wish::PushBack { rpc, come_back } => {
-                    self.refuse(now, rpc, Refusal::Rejected { retry_after: come_back })
+                HostAction::SendAttempt { rpc, server, timeout } => {
+                    self.send_attempt(now, gateway, rpc, server, timeout)
                 }
-                Wish::Abort { rpc } => self.refuse(now, rpc, Refusal::Aborted),
-                Wish::Wake { after, token } => {
+                HostAction::Reject { rpc, retry_after } => {
+                    self.refuse(now, rpc, Refusal::Rejected { retry_after })
+                }
+                HostAction::Abort { rpc } => self.refuse(now, rpc, Refusal::Aborted),
+                HostAction::SetTimer { after, token } => {
                     let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-                    self.queue.after(after.max(1), Event::Wake { gateway, incarnation, token });
+                    self.queue.schedule_after(after.max(1), Event::Wake { gateway, incarnation, token });
+                }
+                HostAction::AddToCounter { name, add, forget } => {
+                    self.call_counter(now, gateway, name, add, forget)
                 }
-                Wish::Count { name, add, forget } => self.call_counter(now, gateway, name, add, forget),
             }
         }
         self.wishes.0 = wishes;
@@ -39,7 +43,7 @@
 
     pub(super) fn wake(&mut self, now: Nanos, gateway: u32, incarnation: u32, token: u32) {
         if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
-            self.with_gate(gateway, |gate, wishes| gate.woke(wishes, now, token));
+            self.with_gate(gateway, |gate, wishes| gate.on_timer(wishes, now, token));
             self.carry(now, gateway);
         }
     }
@@ -47,7 +51,7 @@
     pub(super) fn start_gate(&mut self, gateway: u32) {
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
         let seed = rng::gateway_seed(self.scenario.seed, gateway, incarnation);
-        let gate = policies::make(self.kind, gateway, seed, &self.settings, &self.ledger);
+        let gate = policies::new_policy(self.kind, gateway, seed, &self.settings, &self.ledger);
         self.gateways[gateway as usize].gate = Some(gate);
     }
 
@@ -93,7 +97,7 @@
         }
         self.gateways[gateway as usize].lifecycle.start();
         self.start_gate(gateway);
-        let list = self.servers.listed();
-        self.with_gate(gateway, |gate, _| gate.listed(now, true, &list));
+        let list = self.servers.discovery_list();
+        self.with_gate(gateway, |gate, _| gate.on_server_list(now, true, &list));
     }
 }
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -17,7 +17,7 @@
 
     pub(super) fn arrive(&mut self, now: Nanos, stream: u32, tries: u32, fresh: bool) {
         if let Some(gap) = (fresh && now < self.end).then(|| self.clients.gap(stream as usize)).flatten() {
-            self.queue.after(gap, Event::Arrive { stream });
+            self.queue.schedule_after(gap, Event::Arrive { stream });
         }
         if now >= self.end {
             return;
@@ -34,7 +34,7 @@
         let (gateways, lives) = (self.scenario.gateways, &self.gateways);
         let Some(gateway) = self.clients.gateway(
             stream as usize,
-            |at| lives[at as usize].lifecycle.takes_clients(),
+            |at| lives[at as usize].lifecycle.accepts_clients(),
             gateways,
         ) else {
             self.record.add(now, |counts| counts.cut += 1);
@@ -54,9 +54,9 @@
             state: RpcState::Waiting,
         };
         self.rpcs.insert(rpc, live);
-        self.queue.at(deadline + GRACE, Event::Overdue { rpc });
+        self.queue.schedule_at(deadline + GRACE, Event::Overdue { rpc });
         if let Some(after) = self.clients.leave_delay(deadline - now) {
-            self.queue.after(after, Event::Leave { rpc });
+            self.queue.schedule_after(after, Event::Leave { rpc });
         }
         let arrival = Arrival {
             id: rpc,
@@ -69,7 +69,7 @@
             gateway_count: width,
             first_gateway: first,
         };
-        self.with_gate(gateway, |gate, wishes| gate.rpc(wishes, now, &arrival));
+        self.with_gate(gateway, |gate, wishes| gate.on_arrival(wishes, now, &arrival));
         self.carry(now, gateway);
     }
 
@@ -81,7 +81,7 @@
             self.record.add(now, |counts| counts.left += 1);
             self.set_state(rpc, RpcState::Abandoned);
             if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
-                self.with_gate(gateway, |gate, _| gate.client_left(rpc));
+                self.with_gate(gateway, |gate, _| gate.on_client_left(rpc));
             }
         }
     }
@@ -93,7 +93,7 @@
             let now = self.queue.now();
             self.record.add(now, |counts| counts.lost += 1);
             if self.gateways[live.gateway as usize].lifecycle.incarnation == live.incarnation {
-                self.with_gate(live.gateway, |gate, _| gate.client_left(rpc));
+                self.with_gate(live.gateway, |gate, _| gate.on_client_left(rpc));
             }
         }
     }
@@ -119,7 +119,7 @@
 
     pub(super) fn schedule_retry(&mut self, stream: u32, tries: u32, retry_after: Nanos) {
         if let Some(after) = self.clients.retry_delay(tries, retry_after) {
-            self.queue.after(after, Event::Retry { stream, tries: tries + 1 });
+            self.queue.schedule_after(after, Event::Retry { stream, tries: tries + 1 });
         }
     }
 }
--- a/crates/lab/tests/stories.rs
+++ b/crates/lab/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Stories of the lab: determinism, conservation, and for each model a play that shows its failure happens.
 
-use lab::policies::Kind;
+use lab::policies::PolicyKind;
 use lab::record::Record;
 use lab::report;
 use lab::scenario::{EXAMPLE, Scenario};
@@ -76,18 +76,20 @@
 #[test]
 fn the_same_scenario_and_seed_give_the_same_bytes() {
     let scenario = scenario(ALL_TROUBLES);
-    for kind in Kind::ALL {
-        let (first, second) =
-            (lab::world::play(&scenario, kind, None), lab::world::play(&scenario, kind, None));
+    for kind in PolicyKind::ALL {
+        let (first, second) = (
+            lab::world::run_scenario(&scenario, kind, None),
+            lab::world::run_scenario(&scenario, kind, None),
+        );
         assert_eq!(csv_of(&first), csv_of(&second), "{kind:?}");
         assert_eq!(first.events, second.events);
     }
     let mut other = scenario.clone();
     other.seed += 1;
-    let design = lab::world::play(&scenario, Kind::Design, None);
+    let design = lab::world::run_scenario(&scenario, PolicyKind::Design, None);
     assert_ne!(
         csv_of(&design),
-        csv_of(&lab::world::play(&other, Kind::Design, None)),
+        csv_of(&lab::world::run_scenario(&other, PolicyKind::Design, None)),
         "the seed moves the draws"
     );
 }
@@ -95,11 +97,11 @@
 #[test]
 fn every_rpc_ends_once_under_every_trouble() {
     let scenario = scenario(ALL_TROUBLES);
-    for kind in Kind::ALL {
-        let record = lab::world::play(&scenario, kind, None);
+    for kind in PolicyKind::ALL {
+        let record = lab::world::run_scenario(&scenario, kind, None);
         conserved(&record);
         assert!(record.total.left > 0 && record.total.cut > 0, "{kind:?}: {:?}", record.total);
-        if kind == Kind::Design {
+        if kind == PolicyKind::Design {
             assert_eq!(record.total.lost, 0, "the module gives up on time: {:?}", record.total);
         }
     }
@@ -107,9 +109,9 @@
 
 #[test]
 fn a_stalled_counter_answers_nothing() {
-    let record = lab::world::play(
+    let record = lab::world::run_scenario(
         &scenario("[[troubles]]\nkind = \"counter_stall\"\nat = 10.0\nseconds = 5.0\n"),
-        Kind::Design,
+        PolicyKind::Design,
         None,
     );
     let (before, during) = (rows_between(&record, 2.0, 10.0), rows_between(&record, 10.5, 15.0));
@@ -121,7 +123,7 @@
 #[test]
 fn killed_gateways_take_no_rpcs_until_they_start_again() {
     let troubles = "[[troubles]]\nkind = \"kill\"\nat = 10.0\nshare = 0.7\nback_after = 5.0\n";
-    let record = lab::world::play(&scenario(troubles), Kind::Design, None);
+    let record = lab::world::run_scenario(&scenario(troubles), PolicyKind::Design, None);
     let up = |second: usize| record.rows[second].gateways_up;
     assert_eq!((up(9), up(11), up(16)), (6, 2, 6), "seven in ten of six gateways are four");
     assert!(record.total.cut > 0);
@@ -134,8 +136,8 @@
     let mut scenario = scenario(troubles);
     scenario.servers =
         lab::scenario::Servers { zones: 2, cold_seconds: 10.0, cold_share: 0.1, ..scenario.servers };
-    let record = lab::world::play(&scenario, Kind::Design, None);
-    let calm = lab::world::play(&scenario_without_troubles(&scenario), Kind::Design, None);
+    let record = lab::world::run_scenario(&scenario, PolicyKind::Design, None);
+    let calm = lab::world::run_scenario(&scenario_without_troubles(&scenario), PolicyKind::Design, None);
     let hit = rows_between(&record, 10.0, 20.0);
     assert!(hit.call_outs > hit.arrived, "call-outs to the lost zone end and are tried again: {hit:?}");
     assert!(calm.total.call_outs <= calm.total.arrived, "without the loss none takes more than one");
@@ -149,12 +151,12 @@
 #[test]
 fn a_partition_and_a_lossy_network_end_call_outs_without_answers() {
     let mut lossy = scenario("[network]\nloss = 0.2\n");
-    let plain = lab::world::play(&lossy, Kind::Plain, None);
+    let plain = lab::world::run_scenario(&lossy, PolicyKind::Plain, None);
     assert!(
         plain.total.pushed_back > plain.total.arrived / 10,
         "a lost message leaves its call-out without end"
     );
-    let design = lab::world::play(&lossy, Kind::Design, None);
+    let design = lab::world::run_scenario(&lossy, PolicyKind::Design, None);
     let total = design.total;
     assert!(total.ok * 10 < total.arrived * 9, "a fifth of the messages lost: {total:?}");
     conserved(&design);
@@ -165,33 +167,33 @@
     ))
     .map(|example| example.troubles)
     .unwrap_or_default();
-    let cut = lab::world::play(&lossy, Kind::Design, None);
+    let cut = lab::world::run_scenario(&lossy, PolicyKind::Design, None);
     assert!(rows_between(&cut, 6.0, 25.0).count_missed > 0, "the cut-off zone's gateways reach no counter");
     conserved(&cut);
 }
 
 #[test]
 fn slow_and_paused_servers_show_in_latency() {
-    let calm = lab::world::play(&scenario(""), Kind::Plain, None);
+    let calm = lab::world::run_scenario(&scenario(""), PolicyKind::Plain, None);
     let slow =
         scenario("[[troubles]]\nkind = \"slow\"\nat = 0.0\nshare = 1.0\nfactor = 10.0\nseconds = 30.0\n");
-    let slow = lab::world::play(&slow, Kind::Plain, None);
+    let slow = lab::world::run_scenario(&slow, PolicyKind::Plain, None);
     let p50 = |record: &Record| Record::quantile_ms(&record.latency, 0.5);
     assert!(p50(&slow) > 5.0 * p50(&calm), "{} against {}", p50(&slow), p50(&calm));
     let paused = scenario("[[troubles]]\nkind = \"pause\"\nat = 10.0\nshare = 1.0\nseconds = 0.5\n");
-    let paused = lab::world::play(&paused, Kind::Plain, None);
+    let paused = lab::world::run_scenario(&paused, PolicyKind::Plain, None);
     assert!(Record::quantile_ms(&paused.rows[10].latency, 1.0) >= 400.0, "held through the pause");
 }
 
 #[test]
 fn bursts_and_retry_storms_bring_more_rpcs() {
-    let calm = lab::world::play(&scenario(""), Kind::Design, None).total.arrived;
+    let calm = lab::world::run_scenario(&scenario(""), PolicyKind::Design, None).total.arrived;
     let burst = scenario("[[troubles]]\nkind = \"burst\"\nat = 0.0\nfactor = 3.0\nseconds = 30.0\n");
-    let burst = lab::world::play(&burst, Kind::Design, None).total.arrived;
+    let burst = lab::world::run_scenario(&burst, PolicyKind::Design, None).total.arrived;
     assert!(burst > 2 * calm, "{burst} against {calm}");
     let mut storm = scenario("[clients]\nretry_share = 1.0\nretry_at_once = true\nretries_most = 5\n");
     storm.customers[0].load[0].rate = 40.0;
-    let record = lab::world::play(&storm, Kind::Design, None);
+    let record = lab::world::run_scenario(&storm, PolicyKind::Design, None);
     assert!(record.total.pushed_back > 0);
     conserved(&record);
 }
@@ -200,7 +202,7 @@
 fn a_split_counter_lets_each_half_count_alone() {
     let mut counter = lab::counter::Counter::new(true);
     counter.add(0, 0, 1, 10.0, lab::SEC);
-    counter.split_now();
+    counter.split();
     assert_eq!(counter.add(1, 1, 1, 1.0, lab::SEC), Some(11.0));
     assert_eq!(counter.add(1, 2, 1, 1.0, lab::SEC), Some(11.0), "the other half does not see that add");
 }
@@ -211,12 +213,12 @@
     let _ = std::fs::remove_dir_all(&dir);
     let text = EXAMPLE.replace("seconds = 20.0", "seconds = 5.0");
     let scenario = Scenario::from_toml(&text).unwrap();
-    lab::cli::run(&scenario, &Kind::ALL, &dir).unwrap();
+    lab::cli::run(&scenario, &PolicyKind::ALL, &dir).unwrap();
     let drawn = report::chart_runs(&dir).unwrap();
     assert_eq!(drawn.len(), 3);
     assert!(std::fs::read_to_string(&drawn[0]).unwrap().starts_with("<svg"));
     let values = ["2".to_string(), "4".to_string()];
-    let points = lab::sweep::sweep(&text, "servers.count", &values, &[Kind::Design], |_| {}).unwrap();
+    let points = lab::sweep::sweep(&text, "servers.count", &values, &[PolicyKind::Design], |_| {}).unwrap();
     report::write_csv(&dir.join("sweep.csv"), &points).unwrap();
     assert_eq!(lab::sweep::chart(&dir).unwrap().len(), 3);
     let kept: Vec<report::Summary> = report::read_csv(&dir.join("sweep.csv")).unwrap();
@@ -232,8 +234,9 @@
         scenario.servers.zones = 2;
         scenario
     };
-    let prompt = lab::world::play(&two_zones(scenario(lost)), Kind::Plain, None);
-    let slow = lab::world::play(&two_zones(scenario(&format!("{lost}{late}"))), Kind::Plain, None);
+    let prompt = lab::world::run_scenario(&two_zones(scenario(lost)), PolicyKind::Plain, None);
+    let slow =
+        lab::world::run_scenario(&two_zones(scenario(&format!("{lost}{late}"))), PolicyKind::Plain, None);
     let (prompt, slow) = (rows_between(&prompt, 10.0, 13.0), rows_between(&slow, 10.0, 13.0));
     let extra = |counts: &lab::record::Counts| counts.call_outs - counts.arrived.min(counts.call_outs);
     assert!(
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -14,7 +14,7 @@
 use agreement::version::{Fallback, Version};
 use gateway::services::Services;
 use lab::counter::Counter;
-use lab::queue::Queue;
+use lab::queue::EventQueue;
 use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Servers};
 use martenramp::host::{CallOutcome, Settings};
@@ -82,7 +82,7 @@
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub frame: Frame,
-    pub(super) queue: Queue<Event>,
+    pub(super) queue: EventQueue<Event>,
     pub(super) places: Vec<Place>,
     pub discovery: Discovery,
     pub(super) servers: Servers,
@@ -117,7 +117,7 @@
         let mut fleet = Fleet {
             scenario,
             frame,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             places: Vec::with_capacity(played),
             discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
             servers: servers(scenario),
@@ -130,7 +130,7 @@
             versions_in_force: InForce::new(from),
             counts: Counts::default(),
             memory: Memory { before: alloc::counts().held, ..Memory::default() },
-            draws: rng::stream(scenario.seed, Stream::Troubles),
+            draws: rng::stream(scenario.seed, Stream::Faults),
             settings: scenario.settings(),
             zones,
             terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
@@ -142,8 +142,8 @@
             apart: None,
             end: from + nanos(scenario.seconds),
         };
-        fleet.queue.at(EPOCH, Event::Arrive);
-        fleet.queue.at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
+        fleet.queue.schedule_at(EPOCH, Event::Arrive);
+        fleet.queue.schedule_at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
         if fleet.terms.is_some() {
             fleet.versions.push(Arc::new(VersionFile::new(fleet.version(1, 0), 0)));
         }
@@ -176,7 +176,7 @@
 
     /// Plays until the scenario's end.
     pub fn run(&mut self) {
-        while let Some((now, event)) = self.queue.next(self.end - 1) {
+        while let Some((now, event)) = self.queue.pop_until(self.end - 1) {
             self.handle(now, event);
         }
         let counts = alloc::counts();
@@ -192,7 +192,7 @@
             }
             Event::AtServer { call, server, server_life } => self.at_server(now, call, server, server_life),
             Event::Back { call, how } => self.call_ended(now, call, how),
-            Event::Freed { server, server_life } => self.servers.free(server, server_life),
+            Event::Freed { server, server_life } => self.servers.release_slot(server, server_life),
             Event::CountAt(call) => self.count_at(now, call),
             Event::CountBack { gateway, life, line, bytes } => {
                 self.count_back(now, gateway, life, line, &bytes)
@@ -261,12 +261,12 @@
             };
             let rest = self.enter(now, gateway, life, Work::List, read).unwrap_or(0);
             self.lists_reached(now, gateway, &changes);
-            self.queue.after(rest, Event::AskList { gateway, life });
+            self.queue.schedule_after(rest, Event::AskList { gateway, life });
         } else {
-            self.queue.at(now, Event::AskList { gateway, life });
+            self.queue.schedule_at(now, Event::AskList { gateway, life });
         }
         let phase = self.draws.random_range(0..SWEEP_EVERY);
-        self.queue.at(now + phase, Event::Sweep { gateway, life });
+        self.queue.schedule_at(now + phase, Event::Sweep { gateway, life });
         self.agree(now, gateway, life);
     }
 
@@ -297,7 +297,7 @@
     pub(super) fn agent_goes_on(&mut self, now: Nanos, agent: usize) {
         let open = self.places[agent].hollow.as_ref().is_some_and(|hollow| hollow.watching);
         if open && let Some(at) = self.discovery.writes_next(now, agent) {
-            self.queue.at(at, Event::AgentWrites { agent });
+            self.queue.schedule_at(at, Event::AgentWrites { agent });
         }
     }
 
@@ -328,7 +328,7 @@
     }
 
     fn heartbeat(&mut self, now: Nanos) {
-        self.queue.at(now + HEARTBEAT_EVERY, Event::Heartbeat);
+        self.queue.schedule_at(now + HEARTBEAT_EVERY, Event::Heartbeat);
         let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
         for gateway in 0..self.places.len() {
             let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
@@ -356,14 +356,14 @@
         let rests = |hollow: &mut HollowGateway| hollow.ask_again_after(now);
         if let Some(rest) = self.enter(now, gateway, life, Work::List, rests) {
             self.counts.watches_broken += u64::from(now >= self.frame.from);
-            self.queue.after(rest, Event::AskList { gateway, life });
+            self.queue.schedule_after(rest, Event::AskList { gateway, life });
         }
     }
 
     fn sweep(&mut self, now: Nanos, gateway: usize, life: u32) {
         let look = |hollow: &mut HollowGateway| hollow.sweep(now);
         let Some(outcome) = self.enter(now, gateway, life, Work::Counter, look) else { return };
-        self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, life });
+        self.queue.schedule_after(SWEEP_EVERY, Event::Sweep { gateway, life });
         for ping in outcome.pings {
             self.ping(now, gateway, life, ping.line, &ping.bytes);
         }
@@ -395,7 +395,7 @@
         let version = self.versions.len() - 1;
         for gateway in 0..self.places.len() {
             let after = self.draws.random_range(0..=spread);
-            self.queue.after(after, Event::FileCame { gateway, version });
+            self.queue.schedule_after(after, Event::FileCame { gateway, version });
         }
     }
 
@@ -424,11 +424,12 @@
             let bytes = Rc::new(bytes);
             for region in 0..self.scenario.regions {
                 let after = self.delay(self.places[gateway].region, region);
-                self.queue.after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
+                self.queue
+                    .schedule_after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
             }
         }
         if let Some(next) = outcome.looks_next {
-            self.queue.at(next, Event::Agree { gateway, life });
+            self.queue.schedule_at(next, Event::Agree { gateway, life });
         }
         if let Some(version) = outcome.in_force {
             self.version_in_force(now, gateway, version);
@@ -495,6 +496,6 @@
         error_share: 0.0,
     };
     let mut servers = Servers::new(&model, rng::stream(scenario.seed, Stream::Servers));
-    (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.down(spare as u32));
+    (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.take_down(spare as u32));
     servers
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -10,7 +10,7 @@
 use gateway::list::{self, ListUpdate, Watch};
 use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
-use lab::policies::Wishes;
+use lab::policies::HostActions;
 use martenramp::admission::AdmissionController;
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, Settings};
 use martenramp::subsetting;
@@ -93,7 +93,7 @@
     pub watch: Watch,
     /// A watch is open, or being asked for.
     pub watching: bool,
-    pub wishes: Wishes,
+    pub wishes: HostActions,
     pub rpcs: BTreeMap<u32, OpenRpc>,
     pub call_outs: BTreeMap<(u32, u16), CallOut>,
     pub agreeing: Option<Agreeing>,
@@ -143,7 +143,7 @@
             brain: AdmissionController::new(start.seed, settings),
             watch: Watch::new(0, ENTRIES_MEMORY),
             watching: false,
-            wishes: Wishes::default(),
+            wishes: HostActions::default(),
             rpcs: BTreeMap::new(),
             call_outs: BTreeMap::new(),
             agreeing,
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -6,7 +6,7 @@
 use super::scenario::Scenario;
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
-use lab::policies::Wish;
+use lab::policies::HostAction;
 use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Disposition};
 use martenramp::host::{Arrival, CallOutcome};
@@ -109,7 +109,7 @@
             return;
         }
         let gap = self.load.gap();
-        self.queue.after(gap, Event::Arrive);
+        self.queue.schedule_after(gap, Event::Arrive);
         let load = &mut self.load;
         let tenant = load.by_tenant.sample(&mut load.draws);
         let number = load.by_method.sample(&mut load.draws);
@@ -168,21 +168,27 @@
         }
     }
 
-    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
+    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: HostAction) {
         let life = self.places[gateway].life;
         let Some(hollow) = &mut self.places[gateway].hollow else { return };
         match wish {
-            Wish::Wake { after, token } => self.queue.after(after, Event::Wake { gateway, life, token }),
-            Wish::PushBack { rpc, .. } => {
+            HostAction::SetTimer { after, token } => {
+                self.queue.schedule_after(after, Event::Wake { gateway, life, token })
+            }
+            HostAction::Reject { rpc, .. } => {
                 let answered = hollow.rpcs.remove(&rpc);
                 self.answered(answered, |counts| &mut counts.pushed_back);
             }
-            Wish::Abort { rpc } => {
+            HostAction::Abort { rpc } => {
                 let answered = hollow.rpcs.remove(&rpc);
                 self.answered(answered, |counts| &mut counts.aborted);
             }
-            Wish::CallOut { rpc, server, limit } => self.call_out(now, gateway, work, rpc, server, limit),
-            Wish::Count { name, add, forget } => self.call_counter(now, gateway, name, add, forget),
+            HostAction::SendAttempt { rpc, server, timeout } => {
+                self.call_out(now, gateway, work, rpc, server, timeout)
+            }
+            HostAction::AddToCounter { name, add, forget } => {
+                self.call_counter(now, gateway, name, add, forget)
+            }
         }
     }
 
@@ -196,7 +202,7 @@
         let nth = open.call_outs;
         open.call_outs += 1;
         hollow.call_outs.insert((rpc, nth), CallOut { server, sent: now });
-        let call = AttemptRef { gateway: gateway as u32, incarnation: life, rpc, nth };
+        let call = AttemptRef { gateway: gateway as u32, incarnation: life, rpc, number: nth };
         let Some(to) = hollow.server(server).filter(|_| until > now) else {
             self.enter(now, gateway, life, work, |hollow| {
                 hollow.call_out_ended(now, rpc, nth, CallOutcome::NotSent)
@@ -206,12 +212,14 @@
         self.count(now, |counts| counts.call_outs += 1);
         let (region, server_region) = (self.places[gateway].region, self.region_of_server(to));
         if self.is_apart(region, server_region) {
-            return self.queue.after(self.load.dial, Event::Back { call, how: CallOutcome::NoConnection });
+            return self
+                .queue
+                .schedule_after(self.load.dial, Event::Back { call, how: CallOutcome::NoConnection });
         }
         let server_life = self.servers.all[to as usize].incarnation;
         let after = self.delay(region, server_region);
-        self.queue.after(after, Event::AtServer { call, server: to, server_life });
-        self.queue.at(until, Event::Back { call, how: CallOutcome::TimedOut });
+        self.queue.schedule_after(after, Event::AtServer { call, server: to, server_life });
+        self.queue.schedule_at(until, Event::Back { call, how: CallOutcome::TimedOut });
     }
 
     fn region_of_server(&self, server: u32) -> usize {
@@ -233,23 +241,23 @@
                         ended_at: now + after,
                     });
                 }
-                self.queue.after(after, Event::Freed { server, server_life });
+                self.queue.schedule_after(after, Event::Freed { server, server_life });
                 (after + back, if ok { CallOutcome::Ok } else { CallOutcome::Error })
             }
         };
-        self.queue.after(after, Event::Back { call, how });
+        self.queue.schedule_after(after, Event::Back { call, how });
     }
 
     pub(super) fn call_ended(&mut self, now: Nanos, call: AttemptRef, how: CallOutcome) {
         let (gateway, life) = (call.gateway as usize, call.incarnation);
         let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| {
-            self.places[gateway].life == life && hollow.call_outs.contains_key(&(call.rpc, call.nth))
+            self.places[gateway].life == life && hollow.call_outs.contains_key(&(call.rpc, call.number))
         });
         if !open {
             return; // its time was over, or it had ended before its time
         }
         let ended = self.enter(now, gateway, life, Work::Rpcs, |hollow| {
-            hollow.call_out_ended(now, call.rpc, call.nth, how)
+            hollow.call_out_ended(now, call.rpc, call.number, how)
         });
         self.answered(ended.flatten(), |counts| &mut counts.ok);
     }
@@ -265,11 +273,11 @@
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.queue.after(self.load.count_wait, Event::CountLimit { gateway, life, line, serial });
+        self.queue.schedule_after(self.load.count_wait, Event::CountLimit { gateway, life, line, serial });
         if !self.is_apart(region, HOME_REGION) {
             let after = self.delay(region, HOME_REGION);
             let call = CounterCall { gateway, life, line, name, add, forget };
-            self.queue.after(after, Event::CountAt(call));
+            self.queue.schedule_after(after, Event::CountAt(call));
         }
     }
 
@@ -291,7 +299,7 @@
     fn answer_later(&mut self, gateway: usize, life: u32, line: usize, bytes: Vec<u8>) {
         let after = nanos(self.scenario.counter.latency_ms / 1e3)
             + self.delay(self.places[gateway].region, HOME_REGION);
-        self.queue.after(after, Event::CountBack { gateway, life, line, bytes });
+        self.queue.schedule_after(after, Event::CountBack { gateway, life, line, bytes });
     }
 
     pub(super) fn count_back(&mut self, now: Nanos, gateway: usize, life: u32, line: usize, bytes: &[u8]) {
--- a/crates/scale/src/hollow/script.rs
+++ b/crates/scale/src/hollow/script.rs
@@ -5,7 +5,7 @@
 use super::rpcs::HOME_REGION;
 use super::scenario::Event as Scripted;
 use super::{Nanos, nanos};
-use lab::lifecycle::pick;
+use lab::lifecycle::sample_share;
 use rand::Rng;
 
 const MS: Nanos = 1_000_000;
@@ -82,7 +82,7 @@
         let mut spare = self.scenario.servers as u32;
         for event in &self.scenario.events {
             for (at, step) in self.steps(event, &mut spare) {
-                self.queue.at(from + at, Event::Step(step));
+                self.queue.schedule_at(from + at, Event::Step(step));
             }
         }
     }
@@ -111,7 +111,7 @@
                 vec![(nanos(*at), Step::Fail { servers, told_after, down })]
             }
             Scripted::Replace { at, share, seconds, drain } => {
-                let old = pick(self.scenario.servers as u32, *share, &mut self.draws);
+                let old = sample_share(self.scenario.servers as u32, *share, &mut self.draws);
                 let gap = seconds / old.len().max(1) as f64;
                 let drain = nanos(*drain);
                 let each = old.into_iter().enumerate().map(|(nth, old)| {
@@ -159,7 +159,7 @@
             }
             Step::Gone { servers } => {
                 for server in servers {
-                    self.servers.down(server);
+                    self.servers.take_down(server);
                     self.list(now, server, Status::Gone);
                 }
             }
@@ -173,7 +173,7 @@
                 self.list(now, old, Status::Draining);
                 self.servers.replace(new, now);
                 self.list(now, new, Status::Ready);
-                self.queue.after(drain, Event::Step(Step::Gone { servers: vec![old] }));
+                self.queue.schedule_after(drain, Event::Step(Step::Gone { servers: vec![old] }));
             }
             Step::PutOutVersion => self.put_out_version(now),
             Step::Apart { region } => self.cut_region(now, region),
@@ -196,10 +196,10 @@
     }
 
     fn list(&mut self, now: Nanos, server: u32, status: Status) {
-        let came_up = self.servers.all[server as usize].came_up;
+        let came_up = self.servers.all[server as usize].started_at;
         self.counts.list_changes += u64::from(now >= self.frame.from);
         for write in self.discovery.change(now, server, status, came_up / MS) {
-            self.queue.at(write.at, Event::AgentWrites { agent: write.agent });
+            self.queue.schedule_at(write.at, Event::AgentWrites { agent: write.agent });
         }
     }
 
@@ -214,28 +214,28 @@
             return self.fail(now, servers, drain, down);
         }
         self.list(now, server, Status::Draining);
-        self.queue.after(drain, Event::Step(Step::Gone { servers: servers.clone() }));
-        self.queue.after(down, Event::Step(Step::Back { servers }));
+        self.queue.schedule_after(drain, Event::Step(Step::Gone { servers: servers.clone() }));
+        self.queue.schedule_after(down, Event::Step(Step::Back { servers }));
     }
 
     fn fail(&mut self, now: Nanos, servers: Vec<u32>, told_after: Nanos, down: Nanos) {
-        servers.iter().for_each(|server| self.servers.down(*server));
+        servers.iter().for_each(|server| self.servers.take_down(*server));
         let told = Step::List { servers: servers.clone(), status: Status::Gone };
-        self.queue.at(now + told_after, Event::Step(told));
-        self.queue.at(now + down, Event::Step(Step::Back { servers }));
+        self.queue.schedule_at(now + told_after, Event::Step(told));
+        self.queue.schedule_at(now + down, Event::Step(Step::Back { servers }));
     }
 
     // ---- Gateways, control machines and regions
 
     fn kill_gateways(&mut self, share: f64, first: usize, down: Nanos) {
-        let drawn = pick(self.places.len() as u32, share, &mut self.draws);
+        let drawn = sample_share(self.places.len() as u32, share, &mut self.draws);
         let gateways: Vec<usize> = (0..first).chain(drawn.into_iter().map(|at| at as usize)).collect();
         gateways.iter().for_each(|gateway| self.kill(*gateway));
-        self.queue.after(down, Event::Step(Step::StartGateways { gateways }));
+        self.queue.schedule_after(down, Event::Step(Step::StartGateways { gateways }));
     }
 
     fn lose_machines(&mut self, now: Nanos, share: f64, seconds: Nanos) {
-        let machines = pick(self.scenario.control_machines as u32, share, &mut self.draws);
+        let machines = sample_share(self.scenario.control_machines as u32, share, &mut self.draws);
         let lost = |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
         let gateways: Vec<usize> = (0..self.places.len()).filter(lost).collect();
         for gateway in &gateways {
@@ -246,7 +246,7 @@
                 self.watch_broke(now, *gateway, life);
             }
         }
-        self.queue.after(seconds, Event::Step(Step::MachinesBack { gateways }));
+        self.queue.schedule_after(seconds, Event::Step(Step::MachinesBack { gateways }));
     }
 
     fn cut_region(&mut self, now: Nanos, region: Option<usize>) {
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -267,7 +267,7 @@
         call_outs: counts.call_outs,
         count_calls: counts.count_calls,
         count_calls_per_rpc: round(counts.count_calls as f64 / counts.rpcs.max(1) as f64),
-        counter_names: fleet.counter.names(),
+        counter_names: fleet.counter.name_count(),
         list_changes: counts.list_changes,
         list_bytes_each: round(counts.list_bytes as f64 / scenario.played() as f64),
         versions: counts.versions,
