--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -2,11 +2,11 @@
 
 use super::agreeing::VersionFile;
 use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
-use super::figures::{Counts, InForce, Processor, Work, processor_now};
 use super::gateway::{Agreed, HollowGateway, Start};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
-use super::script::Step;
+use super::stats::{Counts, InForce, Processor, Work, processor_now};
+use super::steps::Step;
 use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -8,12 +8,12 @@
 
 mod agreeing;
 mod discovery;
-mod figures;
 mod fleet;
 mod gateway;
 mod rpcs;
 pub mod scenario;
-mod script;
+mod stats;
+mod steps;
 mod tables;
 mod traffic;
 
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -1,9 +1,9 @@
 //! The load on a hollow fleet: arrivals of RPCs, their call-outs to servers, and calls to the counter.
 
-use super::figures::{Counts, Work};
 use super::fleet::{Event, Fleet};
 use super::gateway::{CallOut, OpenRpc, WrittenCall};
 use super::scenario::Scenario;
+use super::stats::{Counts, Work};
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
 use lab::chance::{self, Stream};
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -1,8 +1,8 @@
 //! Tables of a run. All but `processor.csv` come from the emulated clock and are the same for the same scenario and seed.
 
 use super::discovery::Status;
-use super::figures::{InForce, Work};
 use super::fleet::Fleet;
+use super::stats::{InForce, Work};
 use super::traffic::{ControlLoad, Direction, Peer, Tally};
 use super::{Nanos, SEC};
 use crate::ScaleError;
--- a/crates/scale/src/slopes/rpcs.rs
+++ b/crates/scale/src/slopes/rpcs.rs
@@ -4,8 +4,8 @@
 use super::scenario::Rpcs;
 use crate::ScaleError;
 use crate::deployment::Service;
+use crate::gateway_driver::Player;
 use crate::measure::{Operation, Traffic};
-use crate::player::Player;
 use martenramp::host::Nanos;
 
 /// RPCs in a step.
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -4,8 +4,8 @@
 use super::scenario::Tenants;
 use crate::ScaleError;
 use crate::deployment::Service;
+use crate::gateway_driver::Player;
 use crate::measure::{Operation, Traffic};
-use crate::player::Player;
 use martenramp::host::Nanos;
 
 /// Servers listed and gateways in the fleet.
