--- a/crates/scale/src/gateway_driver.rs
+++ b/crates/scale/src/gateway_driver.rs
@@ -3,7 +3,7 @@
 
 use crate::ScaleError;
 use crate::alloc;
-use crate::deployment::{START, Service};
+use crate::deployment::{START_TIME, ServiceConfig};
 use crate::measure::Traffic;
 use crate::replica::Replica;
 use gateway::counter::{Call, CounterConnection};
@@ -19,7 +19,7 @@
 
 /// A call-out that is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallOut {
+pub struct OpenAttempt {
     pub rpc: u32,
     pub server: u32,
     pub attempt: u16,
@@ -28,27 +28,27 @@
 
 /// The module's host: keeps what it asks for.
 #[derive(Default)]
-pub struct Asked {
+pub struct RecordingHost {
     pub now: Nanos,
-    pub call_outs: VecDeque<CallOut>,
+    pub attempts: VecDeque<OpenAttempt>,
     /// RPCs answered without a server.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Calls to the counter that have not been written: name, amount, and for how long it is remembered.
-    pub counts: VecDeque<(u64, f64, Nanos)>,
+    pub counter_calls: VecDeque<(u64, f64, Nanos)>,
     pub timers: Timers<u32>,
 }
 
-impl Host for Asked {
+impl Host for RecordingHost {
     fn send_attempt(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) {
-        self.call_outs.push_back(CallOut { rpc, server, attempt: 0, sent: self.now });
+        self.attempts.push_back(OpenAttempt { rpc, server, attempt: 0, sent: self.now });
     }
 
     fn reject(&mut self, _rpc: u32, _come_back: Nanos) {
-        self.turned_away += 1;
+        self.rejected += 1;
     }
 
     fn abort(&mut self, _rpc: u32) {
-        self.turned_away += 1;
+        self.rejected += 1;
     }
 
     fn set_timer(&mut self, after: Nanos, token: u32) {
@@ -56,18 +56,18 @@
     }
 
     fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
-        self.counts.push_back((name, add, forget));
+        self.counter_calls.push_back((name, add, forget));
     }
 }
 
 /// One gateway that serves RPCs on its own clock.
-pub struct Player {
+pub struct GatewayDriver {
     pub replica: Replica,
-    pub asked: Asked,
+    pub host: RecordingHost,
     pub traffic: Traffic,
     /// Time between two RPCs, and that a server takes.
-    pub every: Nanos,
-    pub served_in: Nanos,
+    pub arrival_interval: Nanos,
+    pub service_time: Nanos,
     /// The line to the counter, what is written on it, and the totals that the emulated counter holds.
     line: CounterConnection,
     written: Vec<u8>,
@@ -76,21 +76,25 @@
     last_call: u64,
 }
 
-impl Player {
+impl GatewayDriver {
     /// A gateway of this service with all servers listed.
-    pub fn new(service: &Service, servers: usize, every: Nanos) -> Result<Player, ScaleError> {
+    pub fn new(
+        service: &ServiceConfig,
+        servers: usize,
+        arrival_interval: Nanos,
+    ) -> Result<GatewayDriver, ScaleError> {
         let mut replica = Replica::new(service)?;
-        let list = alloc::uncounted(|| crate::deployment::whole_list(servers));
-        replica.take(START, &list);
+        let list = alloc::uncounted(|| crate::deployment::full_list(servers));
+        replica.apply(START_TIME, &list);
         alloc::uncounted(|| drop(list));
         let mut line = CounterConnection::default();
-        line.connected(&mut Vec::new(), START);
-        Ok(Player {
+        line.connected(&mut Vec::new(), START_TIME);
+        Ok(GatewayDriver {
             replica,
-            asked: Asked { now: START, ..Asked::default() },
+            host: RecordingHost { now: START_TIME, ..RecordingHost::default() },
             traffic: Traffic::default(),
-            every,
-            served_in: SERVED_IN.min(every),
+            arrival_interval,
+            service_time: SERVED_IN.min(arrival_interval),
             line,
             written: Vec::new(),
             totals: HashMap::new(),
@@ -100,19 +104,19 @@
     }
 
     /// Time goes on by one step; timers that come due ring.
-    pub fn step(&mut self) {
-        self.asked.now += self.every;
-        let now = self.asked.now;
-        while let Some(token) = self.asked.timers.pop_due(now) {
-            self.replica.brain.on_timer(&mut self.asked, now, token);
+    pub fn advance(&mut self) {
+        self.host.now += self.arrival_interval;
+        let now = self.host.now;
+        while let Some(token) = self.host.timers.pop_due(now) {
+            self.replica.controller.on_timer(&mut self.host, now, token);
             self.answer_counts();
         }
     }
 
     /// An RPC of a tenant comes in and goes as far as it can now.
-    pub fn begin(&mut self, tenant: u64, plan: u16) {
+    pub fn start_rpc(&mut self, tenant: u64, plan: u16) {
         self.last_rpc += 1;
-        let now = self.asked.now;
+        let now = self.host.now;
         let deadline = now + PATIENCE;
         let (id, width) = (self.last_rpc, WIDTH);
         let arrival = Arrival {
@@ -124,15 +128,15 @@
             gateway_count: width,
             ..Arrival::default()
         };
-        self.replica.brain.on_arrival(&mut self.asked, now, &arrival);
+        self.replica.controller.on_arrival(&mut self.host, now, &arrival);
         self.answer_counts();
     }
 
     /// The oldest open call-out ends well; false if there is none.
-    pub fn end_oldest(&mut self) -> bool {
-        let Some(open) = self.asked.call_outs.pop_front() else { return false };
-        let now = self.asked.now.max(open.sent + self.served_in);
-        self.asked.now = now;
+    pub fn complete_oldest_attempt(&mut self) -> bool {
+        let Some(open) = self.host.attempts.pop_front() else { return false };
+        let now = self.host.now.max(open.sent + self.service_time);
+        self.host.now = now;
         let ended = AttemptResult {
             rpc: open.rpc,
             server: open.server,
@@ -143,33 +147,33 @@
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.replica.brain.on_attempt_end(&mut self.asked, now, &ended);
+        self.replica.controller.on_attempt_end(&mut self.host, now, &ended);
         self.answer_counts();
         true
     }
 
     /// An RPC from its arrival to its answer; an error if no server answered it.
-    pub fn serve(&mut self, tenant: u64, plan: u16) -> Result<(), ScaleError> {
-        self.step();
-        self.begin(tenant, plan);
-        let turned_away = self.asked.turned_away;
-        if !self.end_oldest() {
-            let why = format!("an RPC was not called out ({turned_away} turned away)");
+    pub fn serve_rpc(&mut self, tenant: u64, plan: u16) -> Result<(), ScaleError> {
+        self.advance();
+        self.start_rpc(tenant, plan);
+        let rejected = self.host.rejected;
+        if !self.complete_oldest_attempt() {
+            let why = format!("an RPC was not called out ({rejected} turned away)");
             return Err(ScaleError::Measurement { what: "serving RPCs".to_string(), why });
         }
         Ok(())
     }
 
     /// Traffic since the last look.
-    pub fn traffic(&mut self) -> Traffic {
+    pub fn take_traffic(&mut self) -> Traffic {
         std::mem::take(&mut self.traffic)
     }
 
     /// Calls to the counter are written on the line, and answered at once.
     fn answer_counts(&mut self) {
-        while let Some((name, add, forget)) = self.asked.counts.pop_front() {
+        while let Some((name, add, forget)) = self.host.counter_calls.pop_front() {
             self.last_call += 1;
-            let now = self.asked.now;
+            let now = self.host.now;
             self.written.clear();
             self.line.send_call(
                 &mut self.written,
@@ -182,26 +186,26 @@
                 *total += add;
                 *total
             });
-            let answer = alloc::uncounted(|| counter_answer(total));
+            let answer = alloc::uncounted(|| counter_reply(total));
             self.traffic.received.add(answer.len());
             let mut ended = Vec::new();
             let _ = self.line.feed(now, &answer, &mut ended);
             alloc::uncounted(|| drop(answer));
             for (call, how, total) in ended {
-                self.replica.brain.on_counter_reply(&mut self.asked, now, call.name, how, total);
+                self.replica.controller.on_counter_reply(&mut self.host, now, call.name, how, total);
             }
         }
     }
 }
 
-impl Drop for Player {
+impl Drop for GatewayDriver {
     fn drop(&mut self) {
         alloc::uncounted(|| drop(std::mem::take(&mut self.totals)));
     }
 }
 
 /// A total as the counter answers it.
-pub fn counter_answer(total: f64) -> Vec<u8> {
+pub fn counter_reply(total: f64) -> Vec<u8> {
     let text = total.to_string();
     format!("${}\r\n{text}\r\n", text.len()).into_bytes()
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -4,7 +4,7 @@
 use super::Nanos;
 use super::agreeing::{Agreeing, VersionFile};
 use super::discovery::number_of;
-use crate::replica::batches;
+use crate::replica::apply_update;
 use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, CounterConnection};
 use gateway::list::{self, ListUpdate, Watch};
@@ -212,7 +212,7 @@
     fn list(&mut self, now: Nanos, told: ListUpdate) {
         let named = told.entries.iter();
         self.servers_by_key.extend(named.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
-        for mut list in batches(told, &mut self.servers, &mut self.directory) {
+        for mut list in apply_update(told, &mut self.servers, &mut self.directory) {
             for listed in &mut list {
                 let server = self.servers_by_key.get(&listed.key).copied().unwrap_or(u32::MAX);
                 listed.service = server % self.services;
--- a/crates/scale/src/replica.rs
+++ b/crates/scale/src/replica.rs
@@ -2,7 +2,7 @@
 //! decision module, fed the bytes of the watch's answer.
 
 use crate::ScaleError;
-use crate::deployment::{START, Service, zones};
+use crate::deployment::{START_TIME, ServiceConfig, zone_names};
 use gateway::list::{ListUpdate, Watch};
 use gateway::list_diff::{ListDiff, ServerChange};
 use gateway::name_ids::NameIds;
@@ -18,12 +18,12 @@
 const ENTRIES_MEMORY: usize = (128 << 20) / 4;
 
 /// Reads the bytes of an answer, from its head on, as they come through a gateway's buffer.
-pub fn read_watch(bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
-    read_watch_within(ENTRIES_MEMORY, bytes)
+pub fn parse_watch(bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
+    parse_watch_within(ENTRIES_MEMORY, bytes)
 }
 
 /// The same where the entries of one object may take so many bytes.
-pub fn read_watch_within(entries_memory: usize, bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
+pub fn parse_watch_within(entries_memory: usize, bytes: &[u8]) -> Result<Vec<ListUpdate>, ScaleError> {
     let mut watch = Watch::new(0, entries_memory);
     let mut told = Vec::new();
     feed(&mut watch, WATCH_HEAD, &mut told)?;
@@ -35,7 +35,7 @@
     let mut rest = bytes;
     while !rest.is_empty() {
         let piece = &rest[..rest.len().min(BUFFER)];
-        let used = watch.feed(START, piece, told).map_err(refused)?;
+        let used = watch.feed(START_TIME, piece, told).map_err(refused)?;
         if used == 0 {
             return Err(refused("cut short"));
         }
@@ -53,20 +53,20 @@
     watch: Watch,
     servers: Servers,
     directory: NameIds,
-    pub brain: AdmissionController,
+    pub controller: AdmissionController,
 }
 
 impl Replica {
     /// A gateway of this service that knows no server yet, with its watch answered.
-    pub fn new(service: &Service) -> Result<Replica, ScaleError> {
+    pub fn new(service: &ServiceConfig) -> Result<Replica, ScaleError> {
         let mut watch = Watch::new(0, ENTRIES_MEMORY);
         feed(&mut watch, WATCH_HEAD, &mut Vec::new())?;
-        let directory = NameIds::new(zones(), Vec::new());
+        let directory = NameIds::new(zone_names(), Vec::new());
         Ok(Replica {
             watch,
             servers: Servers::default(),
             directory,
-            brain: AdmissionController::new(1, service.settings()),
+            controller: AdmissionController::new(1, service.flat_settings()),
         })
     }
 
@@ -74,21 +74,21 @@
     pub fn feed(&mut self, now: Nanos, bytes: &[u8]) -> Result<(), ScaleError> {
         let mut told = Vec::new();
         feed(&mut self.watch, bytes, &mut told)?;
-        told.iter().for_each(|told| self.take(now, told));
+        told.iter().for_each(|told| self.apply(now, told));
         Ok(())
     }
 
     /// Takes a list or a change, as the gateway does for its connections' sake and the module's, but all in one turn.
-    pub fn take(&mut self, now: Nanos, told: &ListUpdate) {
-        for list in batches(told.clone(), &mut self.servers, &mut self.directory) {
-            self.brain.on_server_list(now, false, &list);
+    pub fn apply(&mut self, now: Nanos, told: &ListUpdate) {
+        for list in apply_update(told.clone(), &mut self.servers, &mut self.directory) {
+            self.controller.on_server_list(now, false, &list);
         }
         self.servers.remove_unused();
     }
 }
 
 /// Brings a list or a change into force in the table of servers: what the module is to be told, batch by batch.
-pub fn batches(
+pub fn apply_update(
     told: ListUpdate,
     servers: &mut Servers,
     directory: &mut NameIds,
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -4,7 +4,7 @@
 use super::scenario::{Agreement as Sizes, List};
 use crate::ScaleError;
 use crate::alloc::uncounted;
-use crate::deployment::{START, WHOLE_INDEX};
+use crate::deployment::{SNAPSHOT_INDEX, START_TIME};
 use crate::measure::{Operation, Traffic};
 use agreement::config::AgreementConfig;
 use agreement::lease::ContentId;
@@ -69,7 +69,7 @@
     let terms =
         AgreementConfig { voters: (0..voters).collect(), lease_duration: LEASE, max_clock_error: CLOCK };
     let content = ContentId { version: 1, digest: 1 };
-    let mut member = Agreement::new(terms, Some(number), number, START, content, 0);
+    let mut member = Agreement::new(terms, Some(number), number, START_TIME, content, 0);
     member.skip_recovery();
     member
 }
@@ -80,7 +80,7 @@
     let mut recorded: Vec<Vec<Datagram>> = (0..seconds).map(|_| Vec::new()).collect();
     let every = LEASE / 4;
     for tick in 0..seconds * SECOND / every {
-        let at = START + tick * every;
+        let at = START_TIME + tick * every;
         let words: Vec<LeaseMessage> =
             members.iter_mut().flat_map(|member| member.poll_messages(at)).collect();
         for member in &mut members {
@@ -135,11 +135,11 @@
 pub fn judged_whole(servers: u64) -> Result<Operation, ScaleError> {
     let list = uncounted(|| seen(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
-    let mut index = WHOLE_INDEX;
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
-        std::hint::black_box(lists.apply(START, index, true, &list));
+        std::hint::black_box(lists.apply(START_TIME, index, true, &list));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
@@ -149,14 +149,14 @@
 pub fn judged_change(servers: u64) -> Result<Operation, ScaleError> {
     let list = uncounted(|| seen(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
     let one = list[list.len() / 2];
     uncounted(|| drop(list));
-    let mut index = WHOLE_INDEX;
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
         let ready = index % 2 == 1;
-        std::hint::black_box(lists.apply(START, index, false, &[ListedServer { ready, ..one }]));
+        std::hint::black_box(lists.apply(START_TIME, index, false, &[ListedServer { ready, ..one }]));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -4,8 +4,8 @@
 use super::Cost;
 use super::scenario::Counter;
 use crate::ScaleError;
-use crate::deployment::{START, Service, whole_list};
-use crate::gateway_driver::{Asked, counter_answer};
+use crate::deployment::{START_TIME, ServiceConfig, full_list};
+use crate::gateway_driver::{RecordingHost, counter_reply};
 use crate::measure::{Operation, Traffic};
 use crate::replica::Replica;
 use gateway::counter::{Call, CounterConnection};
@@ -71,7 +71,7 @@
 
 struct Member {
     replica: Replica,
-    asked: Asked,
+    asked: RecordingHost,
 }
 
 /// Gateways that share a tenant, and their counter.
@@ -106,17 +106,17 @@
 impl Group {
     fn new(gateways: usize, rate: u64) -> Result<Group, ScaleError> {
         let plan_rate = PLAN_RATE * rate as f64;
-        let list = whole_list(SERVERS);
+        let list = full_list(SERVERS);
         let member = |number: usize| {
-            let service = Service {
-                number: Some(number),
+            let service = ServiceConfig {
+                gateway_index: Some(number),
                 rate: plan_rate,
                 burst: PLAN_BURST_SECONDS * plan_rate,
-                ..Service::of(gateways)
+                ..ServiceConfig::for_fleet(gateways)
             };
             let mut replica = Replica::new(&service)?;
-            replica.take(START, &list);
-            Ok(Member { replica, asked: Asked::default() })
+            replica.apply(START_TIME, &list);
+            Ok(Member { replica, asked: RecordingHost::default() })
         };
         Ok(Group {
             members: (0..gateways).map(member).collect::<Result<_, ScaleError>>()?,
@@ -133,8 +133,8 @@
 
     /// Plays until all RPCs have their answer, or their clients have gone.
     fn play(&mut self, rpcs: u64) {
-        self.events.set(START, (0, Event::Arrives));
-        let last = START + rpcs * SECOND / self.rate;
+        self.events.set(START_TIME, (0, Event::Arrives));
+        let last = START_TIME + rpcs * SECOND / self.rate;
         while let Some(at) = self.events.next_due().filter(|at| *at < last + PATIENCE) {
             let Some((gateway, event)) = self.events.pop_due(at) else { return };
             self.happens(at, gateway, event, rpcs);
@@ -149,9 +149,9 @@
         asked.now = now;
         match event {
             Event::Arrives => {}
-            Event::Woke(token) => replica.brain.on_timer(asked, now, token),
+            Event::Woke(token) => replica.controller.on_timer(asked, now, token),
             Event::Counted { name, total } => {
-                replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
+                replica.controller.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::Answered { rpc, server, attempt, sent } => {
                 let (how, took) = (CallOutcome::Ok, now - sent);
@@ -166,7 +166,7 @@
                     load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.brain.on_attempt_end(asked, now, &ended);
+                replica.controller.on_attempt_end(asked, now, &ended);
             }
         }
         self.carry_out(now, gateway);
@@ -190,14 +190,14 @@
         };
         let Member { replica, asked } = &mut self.members[gateway];
         asked.now = now;
-        replica.brain.on_arrival(asked, now, &arrival);
+        replica.controller.on_arrival(asked, now, &arrival);
         self.carry_out(now, gateway);
     }
 
     /// What the module asked for becomes events.
     fn carry_out(&mut self, now: Nanos, gateway: usize) {
         let asked = &mut self.members[gateway].asked;
-        for open in asked.call_outs.drain(..) {
+        for open in asked.attempts.drain(..) {
             let event =
                 Event::Answered { rpc: open.rpc, server: open.server, attempt: open.attempt, sent: now };
             self.events.set(now + SERVED_IN, (gateway, event));
@@ -207,12 +207,12 @@
                 self.events.set(at, (gateway, Event::Woke(token)));
             }
         }
-        for (name, add, forget) in asked.counts.drain(..) {
+        for (name, add, forget) in asked.counter_calls.drain(..) {
             self.calls += 1;
             self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, ttl: forget }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
-            self.traffic.received.add(counter_answer(*total).len());
+            self.traffic.received.add(counter_reply(*total).len());
             self.events.set(now + COUNTED_IN, (gateway, Event::Counted { name, total: total.to_bits() }));
         }
     }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -4,9 +4,11 @@
 use super::scenario::List;
 use crate::ScaleError;
 use crate::alloc::uncounted;
-use crate::deployment::{START, Service, Status, ZONES, change, encode, whole_list};
+use crate::deployment::{
+    START_TIME, ServiceConfig, Status, ZONE_COUNT, encode_chunk, full_list, status_update,
+};
 use crate::measure::{Operation, Traffic};
-use crate::replica::{Replica, read_watch};
+use crate::replica::{Replica, parse_watch};
 
 /// Changes are run so many times at most.
 const CHANGES: usize = 200;
@@ -62,11 +64,11 @@
 
 /// The bytes of a whole list are read into entries.
 pub fn read_whole(servers: usize) -> Result<Operation, ScaleError> {
-    let bytes = uncounted(|| encode(&whole_list(servers)));
+    let bytes = uncounted(|| encode_chunk(&full_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(bytes.len());
-        drop(read_watch(&bytes)?);
+        drop(parse_watch(&bytes)?);
         Ok(traffic)
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: WHOLE_LISTS })
@@ -74,12 +76,12 @@
 
 /// A gateway that knows nothing takes a whole list that has been read.
 pub fn taken_whole(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| whole_list(servers));
+    let list = uncounted(|| full_list(servers));
     let mut held: Vec<Replica> = Vec::new();
     let step = move || {
         held.clear();
-        let mut replica = Replica::new(&Service::of(fleet))?;
-        replica.take(START, &list);
+        let mut replica = Replica::new(&ServiceConfig::for_fleet(fleet))?;
+        replica.apply(START_TIME, &list);
         held.push(replica);
         Ok(Traffic::default())
     };
@@ -94,7 +96,7 @@
 
 /// All servers of a zone go in one change, or come back: the bytes are read and taken.
 pub fn zone_gone(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let zone: Vec<usize> = (0..servers).step_by(ZONES).collect();
+    let zone: Vec<usize> = (0..servers).step_by(ZONE_COUNT).collect();
     back_and_forth(servers, fleet, &zone, Status::Gone)
 }
 
@@ -104,13 +106,13 @@
     changed: &[usize],
     away: Status,
 ) -> Result<Operation, ScaleError> {
-    let mut replica = Replica::new(&Service::of(fleet))?;
-    let list = uncounted(|| whole_list(servers));
-    replica.take(START, &list);
+    let mut replica = Replica::new(&ServiceConfig::for_fleet(fleet))?;
+    let list = uncounted(|| full_list(servers));
+    replica.apply(START_TIME, &list);
     uncounted(|| drop(list));
-    let encoded = |status| uncounted(|| encode(&change(changed.iter().copied(), status)));
+    let encoded = |status| uncounted(|| encode_chunk(&status_update(changed.iter().copied(), status)));
     let changes = [encoded(away), encoded(Status::Ready)];
-    let (mut now, mut next) = (START, 0);
+    let (mut now, mut next) = (START_TIME, 0);
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(changes[next].len());
--- a/crates/scale/src/slopes/process.rs
+++ b/crates/scale/src/slopes/process.rs
@@ -3,7 +3,7 @@
 //! by what the system tells of it.
 
 use crate::ScaleError;
-use crate::deployment::{Service, Status, change, encode, whole_list};
+use crate::deployment::{ServiceConfig, Status, encode_chunk, full_list, status_update};
 use crate::replica::WATCH_HEAD;
 use serde::Serialize;
 use standins::scripted::{Peer, Program, raw_reply};
@@ -62,15 +62,15 @@
 }
 
 fn measure(program: &Path, servers: usize, fleet: usize) -> Result<ProcessRow, ScaleError> {
-    let list = encode(&whole_list(servers));
+    let list = encode_chunk(&full_list(servers));
     let one = [servers / 2];
-    let changes = [Status::Draining, Status::Ready].map(|status| encode(&change(one, status)));
+    let changes = [Status::Draining, Status::Ready].map(|status| encode_chunk(&status_update(one, status)));
     let changes = changes.map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     let (list_bytes, change_bytes) = (list.len(), changes[0].len());
     let mut answer = String::from_utf8_lossy(WATCH_HEAD).into_owned();
     answer += &String::from_utf8_lossy(&list);
     let discovery = Peer::new(move |_, _| raw_reply(&answer));
-    let settings = serde_json::Value::Object(Service::of(fleet).nested()).to_string();
+    let settings = serde_json::Value::Object(ServiceConfig::for_fleet(fleet).nested_settings()).to_string();
     let start = Instant::now();
     let process = Program::run(&mut Command::new(program), discovery.address, "", &settings);
     let mut watched = Watched { discovery, process, asked: 0, pulsed: Instant::now() };
--- a/crates/scale/src/slopes/rpcs.rs
+++ b/crates/scale/src/slopes/rpcs.rs
@@ -3,8 +3,8 @@
 use super::Cost;
 use super::scenario::Rpcs;
 use crate::ScaleError;
-use crate::deployment::Service;
-use crate::gateway_driver::Player;
+use crate::deployment::ServiceConfig;
+use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
 use martenramp::host::Nanos;
 
@@ -46,15 +46,15 @@
 /// RPCs one after the other, each served. The gateway is not told its number, so that its part is drawn without the table of
 /// all parts, which at these sizes could not be worked out: the part is as large as with one.
 pub fn served(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let service = Service { number: None, ..Service::of(fleet) };
-    let mut player = Player::new(&service, servers, EVERY)?;
+    let service = ServiceConfig { gateway_index: None, ..ServiceConfig::for_fleet(fleet) };
+    let mut driver = GatewayDriver::new(&service, servers, EVERY)?;
     let mut next = 0;
     let step = move || {
         for _ in 0..BATCH {
             next += 1;
-            player.serve(next % TENANTS, 0)?;
+            driver.serve_rpc(next % TENANTS, 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
 }
@@ -62,23 +62,23 @@
 /// So many RPCs are open: one comes in, the oldest ends.
 pub fn in_flight(count: usize) -> Result<Operation, ScaleError> {
     let every = IN_FLIGHT_FOR / count as Nanos;
-    let mut player = Player::new(&Service::of(SMALL_FLEET), IN_FLIGHT_SERVERS, every)?;
-    player.served_in = 0;
+    let mut driver = GatewayDriver::new(&ServiceConfig::for_fleet(SMALL_FLEET), IN_FLIGHT_SERVERS, every)?;
+    driver.service_time = 0;
     let mut next = 0;
     let mut one_more = move |fill: bool| -> Result<Traffic, ScaleError> {
         next += 1;
-        player.step();
-        player.begin(next % TENANTS, 0);
-        let open = player.asked.call_outs.len();
+        driver.advance();
+        driver.start_rpc(next % TENANTS, 0);
+        let open = driver.host.attempts.len();
         // While it fills, an answer comes for two of three RPCs, so that the module knows how long servers take.
         if !(fill && open < count && next % 3 == 0) {
-            player.end_oldest();
+            driver.complete_oldest_attempt();
         }
-        if !fill && player.asked.call_outs.len() < count / 2 {
+        if !fill && driver.host.attempts.len() < count / 2 {
             let why = format!("only {open} of {count} RPCs are in flight");
             return Err(ScaleError::Measurement { what: "RPCs in flight".to_string(), why });
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     for _ in 0..4 * count {
         one_more(true)?;
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -4,8 +4,8 @@
 use super::scenario::{List, Settings};
 use crate::ScaleError;
 use crate::alloc::uncounted;
-use crate::deployment::{START, Service, whole_list};
-use crate::gateway_driver::Player;
+use crate::deployment::{START_TIME, ServiceConfig, full_list};
+use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
 use crate::replica::Replica;
 use agreement::rules::objections;
@@ -50,19 +50,19 @@
     ]
 }
 
-fn service(plans: usize) -> Service {
-    Service { plans, ..Service::of(FLEET) }
+fn service(plans: usize) -> ServiceConfig {
+    ServiceConfig { plan_count: plans, ..ServiceConfig::for_fleet(FLEET) }
 }
 
 fn version(number: u64, plans: usize) -> Version {
-    let settings = service(plans).settings();
+    let settings = service(plans).flat_settings();
     Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
 /// The file is read, as at a start and at SIGHUP.
 pub fn file_read(plans: usize) -> Result<Operation, ScaleError> {
     let text = uncounted(|| {
-        let settings = service(plans).nested();
+        let settings = service(plans).nested_settings();
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1, "settings": settings})
             .to_string()
     });
@@ -105,14 +105,14 @@
 /// The module acts on a version from now on.
 pub fn in_force(plans: usize, servers: usize) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&service(plans))?;
-    let list = uncounted(|| whole_list(servers));
-    replica.take(START, &list);
+    let list = uncounted(|| full_list(servers));
+    replica.apply(START_TIME, &list);
     uncounted(|| drop(list));
-    let next = uncounted(|| service(plans).settings());
-    let mut now = START;
+    let next = uncounted(|| service(plans).flat_settings());
+    let mut now = START_TIME;
     let step = move || {
         now += 1_000_000;
-        replica.brain.update_settings(now, next.clone());
+        replica.controller.update_settings(now, next.clone());
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
@@ -120,14 +120,14 @@
 
 /// An RPC while the settings hold so many plans.
 pub fn rpc_under(plans: usize) -> Result<Operation, ScaleError> {
-    let mut player = Player::new(&service(plans), SERVERS, 1_000_000)?;
+    let mut driver = GatewayDriver::new(&service(plans), SERVERS, 1_000_000)?;
     let mut next = 0;
     let step = move || {
         for _ in 0..BATCH {
             next += 1;
-            player.serve(next % TENANTS, (next % plans as u64) as u16)?;
+            driver.serve_rpc(next % TENANTS, (next % plans as u64) as u16)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: VERSIONS })
 }
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -3,8 +3,8 @@
 use super::Cost;
 use super::scenario::Tenants;
 use crate::ScaleError;
-use crate::deployment::Service;
-use crate::gateway_driver::Player;
+use crate::deployment::ServiceConfig;
+use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
 use martenramp::host::Nanos;
 
@@ -43,28 +43,28 @@
 }
 
 /// A gateway that has seen so many tenants, each `times` times.
-fn known(tenants: u64, times: u64) -> Result<Player, ScaleError> {
+fn known(tenants: u64, times: u64) -> Result<GatewayDriver, ScaleError> {
     let every = (SEEN_WITHIN / (tenants * times)).max(1);
-    let mut player = Player::new(&Service::of(FLEET), SERVERS, every)?;
+    let mut driver = GatewayDriver::new(&ServiceConfig::for_fleet(FLEET), SERVERS, every)?;
     for _ in 0..times {
         for tenant in 0..tenants {
-            player.serve(tenant, 0)?;
+            driver.serve_rpc(tenant, 0)?;
         }
     }
-    player.traffic();
-    Ok(player)
+    driver.take_traffic();
+    Ok(driver)
 }
 
 /// The next RPC is of a tenant not seen before.
 pub fn seen_once(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
+    let mut driver = known(tenants, 1)?;
     let mut next = tenants;
     let step = move || {
         for _ in 0..BATCH {
             next += 1;
-            player.serve(next, 0)?;
+            driver.serve_rpc(next, 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     // Few steps, so that the number known stays near the size.
     let steps_most = (tenants / BATCH / 10).clamp(1, STEPS as u64) as usize;
@@ -73,41 +73,41 @@
 
 /// The next RPC is of any tenant that is known.
 pub fn seen_again(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
+    let mut driver = known(tenants, 1)?;
     let mut chance = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..BATCH {
-            player.serve(chance.u64(..tenants), 0)?;
+            driver.serve_rpc(chance.u64(..tenants), 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
 }
 
 /// Every tenant has had many RPCs; the next is of one of them.
 pub fn busy(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, BUSY_RPCS)?;
+    let mut driver = known(tenants, BUSY_RPCS)?;
     let mut chance = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..BATCH {
-            player.serve(chance.u64(..tenants), 0)?;
+            driver.serve_rpc(chance.u64(..tenants), 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
 }
 
 /// The one RPC in which all tenants that rest are forgotten.
 pub fn forgotten(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
+    let mut driver = known(tenants, 1)?;
     // Timers that are still set count as use when they ring: they ring out first.
     for _ in 0..RINGS {
-        player.asked.now += RESTED_FOR;
-        player.step();
+        driver.host.now += RESTED_FOR;
+        driver.advance();
     }
     let step = move || {
-        player.serve(tenants, 0)?;
-        let left = player.replica.brain.customer_count();
+        driver.serve_rpc(tenants, 0)?;
+        let left = driver.replica.controller.customer_count();
         if left > 1 {
             let why = format!("{left} of {tenants} tenants are left");
             return Err(ScaleError::Measurement { what: "forgetting tenants".to_string(), why });
--- a/crates/scale/tests/guard.rs
+++ b/crates/scale/tests/guard.rs
@@ -3,9 +3,9 @@
 
 use scale::ScaleError;
 use scale::alloc::Counting;
-use scale::deployment::{encode, whole_list};
+use scale::deployment::{encode_chunk, full_list};
 use scale::measure::{Figures, Operation, measure};
-use scale::replica::read_watch_within;
+use scale::replica::parse_watch_within;
 use scale::slopes::{agreement, counter, list, rpcs, settings, tenants};
 use std::time::Duration;
 
@@ -234,8 +234,8 @@
 
 #[test]
 fn a_list_whose_entries_outgrow_their_memory_is_refused_with_nothing_of_it_taken() {
-    let bytes = encode(&whole_list(20_000));
-    assert_eq!(read_watch_within(16 << 20, &bytes).unwrap()[0].entries.len(), 20_000);
-    let refused = read_watch_within(1 << 20, &bytes);
+    let bytes = encode_chunk(&full_list(20_000));
+    assert_eq!(parse_watch_within(16 << 20, &bytes).unwrap()[0].entries.len(), 20_000);
+    let refused = parse_watch_within(1 << 20, &bytes);
     assert!(matches!(refused, Err(ScaleError::Refused { why: "list-too-long" })), "{refused:?}");
 }
