--- a/crates/scale/src/deployment.rs
+++ b/crates/scale/src/deployment.rs
@@ -17,7 +17,7 @@
 /// Settings of a service, before they are flattened.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceConfig {
-    /// How many gateways there are, and which of them this one is; none where it is not update.
+    /// How many gateways there are, and which of them this one is; none where it is not told.
     pub fleet_size: usize,
     pub gateway_index: Option<usize>,
     /// How many plans the settings hold, and what each lets in: units a second, and so many at once.
--- a/crates/scale/src/hollow/discovery.rs
+++ b/crates/scale/src/hollow/discovery.rs
@@ -48,11 +48,11 @@
 }
 
 /// The name of a server by its number, and the other way round.
-pub fn name_of(server: u32) -> String {
+pub fn server_name(server: u32) -> String {
     format!("s{server:04}")
 }
 
-pub fn number_of(name: &str) -> u32 {
+pub fn server_number(name: &str) -> u32 {
     name.trim_start_matches('s').parse().unwrap_or(u32::MAX)
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// Lines that an agent writes at once, and which changes they bring into force.
-pub struct Lines {
+pub struct WatchData {
     pub bytes: Rc<Vec<u8>>,
     pub changes: Vec<u32>,
 }
@@ -150,18 +150,18 @@
     }
 
     /// Servers that were ever listed or are to be.
-    pub fn servers(&self) -> usize {
+    pub fn server_count(&self) -> usize {
         self.listed.len()
     }
 
     /// Changes since `from` that gateways have yet to be told.
-    pub fn untold(&self, from: Nanos) -> usize {
+    pub fn undelivered_changes(&self, from: Nanos) -> usize {
         let all = self.agents.iter().flat_map(|agent| &agent.untold);
         all.filter(|place| self.changes[**place as usize].at >= from).count()
     }
 
     /// Changes the true list. Agents that are to write for it and were not yet.
-    pub fn change(&mut self, now: Nanos, server: u32, status: Status, since_ms: u64) -> Vec<DueWrite> {
+    pub fn record_change(&mut self, now: Nanos, server: u32, status: Status, since_ms: u64) -> Vec<DueWrite> {
         self.listed[server as usize] = Listed { status, since_ms };
         let place = self.changes.len() as u32;
         self.changes.push(Change { at: now, server, status, since_ms });
@@ -178,7 +178,7 @@
     }
 
     /// An agent writes what it may know by now and has not told; nothing if no watch is open or nothing is new.
-    pub fn write(&mut self, now: Nanos, agent: usize, watch_is_open: bool) -> Option<Lines> {
+    pub fn take_due_changes(&mut self, now: Nanos, agent: usize, watch_is_open: bool) -> Option<WatchData> {
         let at = &mut self.agents[agent];
         at.writes_at = None;
         if !watch_is_open || !at.is_up || at.is_cut {
@@ -187,11 +187,11 @@
         let (changes, delay) = (&self.changes, at.delay);
         let known = at.untold.partition_point(|place| changes[*place as usize].at + delay <= now);
         let told: Vec<u32> = at.untold.drain(..known).collect();
-        (!told.is_empty()).then(|| Lines { bytes: self.object(&told), changes: told })
+        (!told.is_empty()).then(|| WatchData { bytes: self.object(&told), changes: told })
     }
 
     /// When an agent has to write what it holds back, if it does.
-    pub fn writes_next(&mut self, now: Nanos, agent: usize) -> Option<Nanos> {
+    pub fn schedule_next_write(&mut self, now: Nanos, agent: usize) -> Option<Nanos> {
         let at = &mut self.agents[agent];
         let first = self.changes[*at.untold.first()? as usize].at;
         if at.writes_at.is_some() || at.is_cut || !at.is_up {
@@ -215,7 +215,7 @@
 
     fn entry(&self, server: u32, status: Status, since_ms: u64) -> Entry {
         Entry {
-            name: name_of(server),
+            name: server_name(server),
             address: SocketAddr::from((std::net::Ipv4Addr::from(0x0a00_0000 | server), 7070)),
             zone: self.zones[server as usize % self.zones.len()].clone(),
             status: status.name(),
@@ -225,7 +225,7 @@
     }
 
     /// The whole list of an agent's gateway as it stands now, without a chunk's frame.
-    pub fn whole(&self, agent: usize) -> String {
+    pub fn snapshot(&self, agent: usize) -> String {
         let services = &self.agents[agent].services;
         let all = self.listed.iter().enumerate().filter(|(server, listed)| {
             listed.status != Status::Gone && services.contains(&self.service_of(*server as u32))
@@ -235,7 +235,7 @@
     }
 
     /// The answer to a watch request for what comes after a version, if the agent takes it.
-    pub fn answer(&mut self, agent: usize, from: u64) -> Option<Lines> {
+    pub fn watch_response(&mut self, agent: usize, from: u64) -> Option<WatchData> {
         if !self.agents[agent].is_up {
             return None;
         }
@@ -245,7 +245,7 @@
         let cut = self.agents[agent].is_cut;
         if !cut && (from == 0 || from > self.index()) {
             changes = std::mem::take(&mut self.agents[agent].untold);
-            bytes.extend_from_slice(&chunk(&self.whole(agent)));
+            bytes.extend_from_slice(&chunk(&self.snapshot(agent)));
         } else if !cut {
             let untold = std::mem::take(&mut self.agents[agent].untold);
             let missed = untold.iter().filter(|place| u64::from(**place) + 2 > from);
@@ -255,28 +255,28 @@
             }
             changes = untold;
         }
-        Some(Lines { bytes: Rc::new(bytes), changes })
+        Some(WatchData { bytes: Rc::new(bytes), changes })
     }
 
     /// A gateway starts on the list as it stands: what was untold is known to it.
-    pub fn known(&mut self, agent: usize) -> (String, Vec<u32>) {
+    pub fn initial_list(&mut self, agent: usize) -> (String, Vec<u32>) {
         let untold = std::mem::take(&mut self.agents[agent].untold);
-        (self.whole(agent), untold)
+        (self.snapshot(agent), untold)
     }
 
-    pub fn set_up(&mut self, agent: usize, is_up: bool) {
+    pub fn set_agent_up(&mut self, agent: usize, is_up: bool) {
         self.agents[agent].is_up = is_up;
     }
 
-    pub fn is_up(&self, agent: usize) -> bool {
+    pub fn is_agent_up(&self, agent: usize) -> bool {
         self.agents[agent].is_up
     }
 
-    pub fn set_cut(&mut self, agent: usize, is_cut: bool) {
+    pub fn set_disconnected(&mut self, agent: usize, is_cut: bool) {
         self.agents[agent].is_cut = is_cut;
     }
 
-    pub fn is_cut(&self, agent: usize) -> bool {
+    pub fn is_disconnected(&self, agent: usize) -> bool {
         self.agents[agent].is_cut
     }
 }
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -1,11 +1,11 @@
 //! A hollow fleet on one emulated clock: gateways, their agents, the servers and the counter, and every event between them.
 
 use super::agreeing::VersionFile;
-use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
+use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, WatchData};
 use super::gateway::{Agreed, HollowGateway, Start};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
-use super::stats::{Counts, InForce, Processor, Work, processor_now};
+use super::stats::{CpuUsage, PropagationDelays, RunCounters, WorkKind, thread_cpu_time};
 use super::steps::Step;
 use super::traffic::{ControlLoad, Direction, Frame, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
@@ -90,10 +90,10 @@
     pub(super) load: Load,
     pub traffic: Traffic,
     pub control: Control,
-    pub processor: Processor,
-    pub lists_in_force: InForce,
-    pub versions_in_force: InForce,
-    pub counts: Counts,
+    pub processor: CpuUsage,
+    pub lists_in_force: PropagationDelays,
+    pub versions_in_force: PropagationDelays,
+    pub counts: RunCounters,
     pub memory: Memory,
     pub(super) draws: ChaCha8Rng,
     settings: Settings,
@@ -111,7 +111,7 @@
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
         let frame = Frame { from, seconds: scenario.seconds.ceil() as usize };
-        let played = scenario.played();
+        let played = scenario.simulated_gateways();
         let machines = || ControlLoad::new(frame, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
@@ -119,24 +119,24 @@
             frame,
             queue: Queue::default(),
             places: Vec::with_capacity(played),
-            discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
+            discovery: Discovery::new(&zones, scenario.services, scenario.total_servers(), scenario.servers),
             servers: servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
             traffic: Traffic::new(frame, played),
             control: Control { discovery: machines(), counter: machines(), datagrams: machines() },
-            processor: Processor::new(frame, played),
-            lists_in_force: InForce::new(from),
-            versions_in_force: InForce::new(from),
-            counts: Counts::default(),
+            processor: CpuUsage::new(frame, played),
+            lists_in_force: PropagationDelays::new(from),
+            versions_in_force: PropagationDelays::new(from),
+            counts: RunCounters::default(),
             memory: Memory { before: alloc::counts().held, ..Memory::default() },
             draws: chance::stream(scenario.seed, Stream::Troubles),
-            settings: scenario.settings(),
+            settings: scenario.flat_settings(),
             zones,
             terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
                 voters: (0..terms.voters as u32).collect(),
                 lease_duration: nanos(terms.lease),
-                max_clock_error: nanos(terms.clock),
+                max_clock_error: nanos(terms.max_clock_error),
             }),
             versions: Vec::new(),
             apart: None,
@@ -152,16 +152,17 @@
         }
         (0..played).for_each(|gateway| fleet.start(EPOCH, gateway, true));
         fleet.memory.started = alloc::counts().held.saturating_sub(fleet.memory.before);
-        fleet.schedule_script(from);
+        fleet.schedule_events(from);
         fleet
     }
 
     fn add_place(&mut self, number: usize) {
         let zone = number % self.scenario.zones;
-        let met =
-            (0..self.scenario.services_each()).map(|nth| self.scenario.service_met(number, nth)).collect();
+        let met = (0..self.scenario.services_per_gateway())
+            .map(|nth| self.scenario.gateway_service(number, nth))
+            .collect();
         let delays = &self.scenario.discovery;
-        let delay = self.draws.random_range(delays.delay_ms_least..=delays.delay_ms_most);
+        let delay = self.draws.random_range(delays.min_delay_ms..=delays.max_delay_ms);
         self.discovery.add_agent(met, nanos(delay / 1e3));
         self.places.push(Place {
             hollow: None,
@@ -188,7 +189,7 @@
         match event {
             Event::Arrive => self.arrive(now),
             Event::Wake { gateway, life, token } => {
-                self.enter(now, gateway, life, Work::Rpcs, |hollow| hollow.woke(now, token));
+                self.enter(now, gateway, life, WorkKind::Rpcs, |hollow| hollow.woke(now, token));
             }
             Event::AtServer { call, server, server_life } => self.at_server(now, call, server, server_life),
             Event::Back { call, how } => self.call_ended(now, call, how),
@@ -199,7 +200,7 @@
             }
             Event::CountLimit { gateway, life, line, serial } => {
                 let timed_out = |hollow: &mut HollowGateway| hollow.count_timed_out(now, line, serial);
-                self.enter(now, gateway, life, Work::Counter, timed_out);
+                self.enter(now, gateway, life, WorkKind::Counter, timed_out);
             }
             Event::AgentWrites { agent } => self.agent_writes(now, agent),
             Event::Heartbeat => self.heartbeat(now),
@@ -208,7 +209,7 @@
             Event::Agree { gateway, life } => self.agree(now, gateway, life),
             Event::Datagram { from, region, bytes } => self.datagram(now, from, region, &bytes),
             Event::FileCame { gateway, version } => self.file_came(now, gateway, version),
-            Event::Step(step) => self.carry_out(now, step),
+            Event::Step(step) => self.run_step(now, step),
         }
     }
 
@@ -219,14 +220,14 @@
         now: Nanos,
         gateway: usize,
         life: u32,
-        work: Work,
+        work: WorkKind,
         does: impl FnOnce(&mut HollowGateway) -> T,
     ) -> Option<T> {
         let place = &mut self.places[gateway];
         let hollow = place.hollow.as_mut().filter(|_| place.life == life)?;
-        let begun = processor_now();
+        let begun = thread_cpu_time();
         let result = does(hollow);
-        self.processor.add(now, gateway, work, processor_now() - begun);
+        self.processor.add(now, gateway, work, thread_cpu_time() - begun);
         self.carry_wishes(now, gateway, work);
         Some(result)
     }
@@ -250,7 +251,8 @@
             agreed: agreed.map(|(file, terms)| Agreed { file, terms, fresh: first }),
         };
         place.hollow = Some(HollowGateway::new(&start, now));
-        let known = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
+        let known = (self.scenario.discovery.starts_with_list || !first)
+            .then(|| self.discovery.initial_list(gateway));
         if let Some((list, changes)) = known {
             let list = serde_json::from_str(&list)
                 .ok()
@@ -259,7 +261,7 @@
                 list.into_iter().for_each(|told| hollow.told(now, told));
                 hollow.ask_again_after(now)
             };
-            let rest = self.enter(now, gateway, life, Work::List, read).unwrap_or(0);
+            let rest = self.enter(now, gateway, life, WorkKind::List, read).unwrap_or(0);
             self.lists_reached(now, gateway, &changes);
             self.queue.after(rest, Event::AskList { gateway, life });
         } else {
@@ -275,7 +277,7 @@
         let place = &mut self.places[gateway];
         if let Some(hollow) = place.hollow.take() {
             let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.frame.from);
-            self.counts.cut += measured.count() as u64;
+            self.counts.lost += measured.count() as u64;
         }
     }
 
@@ -287,7 +289,7 @@
 
     fn agent_writes(&mut self, now: Nanos, agent: usize) {
         let open = self.places[agent].hollow.as_ref().is_some_and(|hollow| hollow.watching);
-        if let Some(lines) = self.discovery.write(now, agent, open) {
+        if let Some(lines) = self.discovery.take_due_changes(now, agent, open) {
             self.list_came(now, agent, &lines);
         }
         self.agent_goes_on(now, agent);
@@ -296,22 +298,22 @@
     /// Sets when an agent writes next, if it holds something back.
     pub(super) fn agent_goes_on(&mut self, now: Nanos, agent: usize) {
         let open = self.places[agent].hollow.as_ref().is_some_and(|hollow| hollow.watching);
-        if open && let Some(at) = self.discovery.writes_next(now, agent) {
+        if open && let Some(at) = self.discovery.schedule_next_write(now, agent) {
             self.queue.at(at, Event::AgentWrites { agent });
         }
     }
 
     /// An agent's bytes come to its gateway.
-    fn list_came(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
+    fn list_came(&mut self, now: Nanos, gateway: usize, lines: &WatchData) {
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Received, lines.bytes.len());
         self.control.discovery.add(now, self.machine(gateway), lines.bytes.len());
         let life = self.places[gateway].life;
-        let begun = processor_now();
+        let begun = thread_cpu_time();
         let came = |hollow: &mut HollowGateway| hollow.list_came(now, &lines.bytes);
-        let Some(outcome) = self.enter(now, gateway, life, Work::List, came) else { return };
+        let Some(outcome) = self.enter(now, gateway, life, WorkKind::List, came) else { return };
         if outcome.entries > 0 && now >= self.frame.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
-            self.processor.list_changes.saturating_record(processor_now() - begun);
+            self.processor.list_changes.saturating_record(thread_cpu_time() - begun);
         }
         if outcome.broken.is_some() {
             return self.watch_broke(now, gateway, life);
@@ -323,16 +325,16 @@
         let started = self.places[gateway].started;
         for place in changes {
             let at = self.discovery.changes[*place as usize].at;
-            self.lists_in_force.reached(at, started, now);
+            self.lists_in_force.record(at, started, now);
         }
     }
 
     fn heartbeat(&mut self, now: Nanos) {
         self.queue.at(now + HEARTBEAT_EVERY, Event::Heartbeat);
-        let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
+        let lines = WatchData { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
         for gateway in 0..self.places.len() {
             let open = self.places[gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
-            if open && self.discovery.is_up(gateway) {
+            if open && self.discovery.is_agent_up(gateway) {
                 self.list_came(now, gateway, &lines);
             }
         }
@@ -340,10 +342,10 @@
 
     fn ask_list(&mut self, now: Nanos, gateway: usize, life: u32) {
         let ask = |hollow: &mut HollowGateway| hollow.ask(now);
-        let Some(request) = self.enter(now, gateway, life, Work::List, ask) else { return };
+        let Some(request) = self.enter(now, gateway, life, WorkKind::List, ask) else { return };
         self.counts.watch_requests += u64::from(now >= self.frame.from);
         let from = self.places[gateway].hollow.as_ref().map_or(0, |hollow| hollow.watch.index);
-        let Some(lines) = self.discovery.answer(gateway, from) else {
+        let Some(lines) = self.discovery.watch_response(gateway, from) else {
             return self.watch_broke(now, gateway, life); // refused
         };
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Sent, request.len());
@@ -354,7 +356,7 @@
     /// The watch is over; it is asked for again after a rest.
     pub(super) fn watch_broke(&mut self, now: Nanos, gateway: usize, life: u32) {
         let rests = |hollow: &mut HollowGateway| hollow.ask_again_after(now);
-        if let Some(rest) = self.enter(now, gateway, life, Work::List, rests) {
+        if let Some(rest) = self.enter(now, gateway, life, WorkKind::List, rests) {
             self.counts.watches_broken += u64::from(now >= self.frame.from);
             self.queue.after(rest, Event::AskList { gateway, life });
         }
@@ -362,7 +364,7 @@
 
     fn sweep(&mut self, now: Nanos, gateway: usize, life: u32) {
         let look = |hollow: &mut HollowGateway| hollow.sweep(now);
-        let Some(outcome) = self.enter(now, gateway, life, Work::Counter, look) else { return };
+        let Some(outcome) = self.enter(now, gateway, life, WorkKind::Counter, look) else { return };
         self.queue.after(SWEEP_EVERY, Event::Sweep { gateway, life });
         for ping in outcome.pings {
             self.ping(now, gateway, life, ping.line, &ping.bytes);
@@ -410,7 +412,7 @@
         let take = |hollow: &mut HollowGateway| {
             hollow.agreeing.as_mut().is_some_and(|agreeing| agreeing.take_file(now, &file))
         };
-        if self.enter(now, gateway, life, Work::Agreement, take).is_some() {
+        if self.enter(now, gateway, life, WorkKind::Agreement, take).is_some() {
             self.agree(now, gateway, life);
         }
     }
@@ -418,7 +420,7 @@
     /// A gateway looks at what it may act on and tells others what there is to tell.
     fn agree(&mut self, now: Nanos, gateway: usize, life: u32) {
         let look = |hollow: &mut HollowGateway| hollow.agree(now);
-        let Some(outcome) = self.enter(now, gateway, life, Work::Agreement, look) else { return };
+        let Some(outcome) = self.enter(now, gateway, life, WorkKind::Agreement, look) else { return };
         for bytes in outcome.datagrams {
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Sent, bytes.len());
             let bytes = Rc::new(bytes);
@@ -441,7 +443,7 @@
         place.version = before.max(version);
         for number in before + 1..=version {
             let put_out = self.versions[number as usize - 1].put_out;
-            self.versions_in_force.reached(put_out, started, now);
+            self.versions_in_force.record(put_out, started, now);
         }
     }
 
@@ -459,7 +461,7 @@
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
             self.control.datagrams.add(now, self.machine(gateway), bytes.len());
             let hear = |hollow: &mut HollowGateway| hollow.hear(now, bytes);
-            self.enter(now, gateway, life, Work::Agreement, hear);
+            self.enter(now, gateway, life, WorkKind::Agreement, hear);
             self.agree(now, gateway, life);
         }
     }
@@ -479,13 +481,13 @@
     /// Pairs of a measured version and a gateway where it never came into force.
     pub fn versions_not_in_force(&self) -> u64 {
         let measured = self.versions.iter().filter(|file| file.put_out >= self.frame.from).count() as u64;
-        (measured * self.places.len() as u64).saturating_sub(self.versions_in_force.times.len())
+        (measured * self.places.len() as u64).saturating_sub(self.versions_in_force.delays.len())
     }
 }
 
 fn servers(scenario: &Scenario) -> Servers {
     let model = lab::scenario::Servers {
-        count: scenario.servers_in_all() as u32,
+        count: scenario.total_servers() as u32,
         zones: scenario.zones as u32,
         slots: scenario.server.slots,
         service_ms: scenario.server.service_ms,
@@ -495,6 +497,6 @@
         error_share: 0.0,
     };
     let mut servers = Servers::new(&model, chance::stream(scenario.seed, Stream::Servers));
-    (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.down(spare as u32));
+    (scenario.servers..scenario.total_servers()).for_each(|spare| servers.down(spare as u32));
     servers
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -3,7 +3,7 @@
 
 use super::Nanos;
 use super::agreeing::{Agreeing, VersionFile};
-use super::discovery::number_of;
+use super::discovery::server_number;
 use crate::replica::apply_update;
 use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, CounterConnection};
@@ -211,7 +211,8 @@
     /// As the program does, but all in one turn: servers get numbers, zones places, and the module hears it.
     fn list(&mut self, now: Nanos, told: ListUpdate) {
         let named = told.entries.iter();
-        self.servers_by_key.extend(named.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
+        self.servers_by_key
+            .extend(named.map(|entry| (subsetting::key(&entry.name), server_number(&entry.name))));
         for mut list in apply_update(told, &mut self.servers, &mut self.directory) {
             for listed in &mut list {
                 let server = self.servers_by_key.get(&listed.key).copied().unwrap_or(u32::MAX);
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -45,7 +45,7 @@
     let begun = Instant::now();
     let tables = play(&scenario);
     tables.write(&args.out.join(&scenario.name))?;
-    print!("{}", tables.shown());
+    print!("{}", tables.summary());
     println!("played in {:.0} s", begun.elapsed().as_secs_f64());
     Ok(())
 }
@@ -54,5 +54,5 @@
 pub fn play(scenario: &Scenario) -> Tables {
     let mut fleet = fleet::Fleet::new(scenario);
     fleet.run();
-    Tables::of(&fleet)
+    Tables::from_fleet(&fleet)
 }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Event, Fleet};
 use super::gateway::{CallOut, OpenRpc, WrittenCall};
 use super::scenario::Scenario;
-use super::stats::{Counts, Work};
+use super::stats::{RunCounters, WorkKind};
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
 use lab::chance::{self, Stream};
@@ -67,22 +67,27 @@
     pub fn new(scenario: &Scenario) -> Load {
         let mut draws = chance::stream(scenario.seed, Stream::Arrivals);
         let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is checked");
-        let count = scenario.tenants_played();
+        let count = scenario.simulated_tenants();
         let shares: Vec<f64> = (0..count).map(|_| shares.sample(&mut draws)).collect();
-        let played = scenario.played() as u32;
+        let played = scenario.simulated_gateways() as u32;
         let tenants = (0..count).map(|_| Tenant { first: draws.random_range(0..played) }).collect();
         let methods = scenario.load.methods.iter().map(|method| {
-            let class = scenario.class(&method.name).unwrap_or(0);
-            Method { class: class as u16, deadline: nanos(scenario.deadline(class)), units: method.units }
+            let class = scenario.class_index(&method.name).unwrap_or(0);
+            Method {
+                class: class as u16,
+                deadline: nanos(scenario.class_deadline(class)),
+                units: method.units,
+            }
         });
-        let settings = scenario.settings();
+        let settings = scenario.flat_settings();
         let time = |name: &str, default: Nanos| {
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
         let rate = scenario.rate * f64::from(played);
-        let whole_fleet = scenario.played() == scenario.gateways && rate * scenario.seconds < VISITS_MOST;
+        let whole_fleet =
+            scenario.simulated_gateways() == scenario.gateways && rate * scenario.seconds < VISITS_MOST;
         Load {
-            plan: scenario.plan().unwrap_or(0),
+            plan: scenario.plan_index().unwrap_or(0),
             methods: methods.collect(),
             tenants,
             by_tenant: WeightedIndex::new(shares).expect("there are tenants"),
@@ -117,19 +122,19 @@
         let start = load.draws.random_range(0..width);
         let set = (0..width).map(|at| (first + (start + at) % width) % self.places.len());
         let Some(gateway) = set.into_iter().find(|at| self.places[*at].hollow.is_some()) else {
-            self.count(now, |counts| (counts.rpcs, counts.cut) = (counts.rpcs + 1, counts.cut + 1));
+            self.count(now, |counts| (counts.rpcs, counts.lost) = (counts.rpcs + 1, counts.lost + 1));
             return;
         };
         let load = &mut self.load;
         load.last_rpc = load.last_rpc.wrapping_add(1);
         let method = &load.methods[number];
-        let nth = load.draws.random_range(0..self.scenario.services_each());
+        let nth = load.draws.random_range(0..self.scenario.services_per_gateway());
         let arrival = Arrival {
             id: load.last_rpc,
             method: method.class,
             plan: load.plan as u16,
             customer: tenant as u64 + 1,
-            service: self.scenario.service_met(gateway, nth),
+            service: self.scenario.gateway_service(gateway, nth),
             deadline: now + method.deadline - MARGIN,
             units: method.units,
             gateway_count: width as u32,
@@ -137,25 +142,25 @@
         };
         self.count(now, |counts| counts.rpcs += 1);
         let life = self.places[gateway].life;
-        self.enter(now, gateway, life, Work::Rpcs, |hollow| hollow.rpc(now, &arrival));
+        self.enter(now, gateway, life, WorkKind::Rpcs, |hollow| hollow.rpc(now, &arrival));
     }
 
     /// Counts something in the measured part of the run.
-    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut Counts)) {
+    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut RunCounters)) {
         if now >= self.frame.from {
             counts(&mut self.counts);
         }
     }
 
     /// An RPC has its final answer: it counts if it came in the measured part of the run.
-    fn answered(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut Counts) -> &mut u64) {
+    fn answered(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut RunCounters) -> &mut u64) {
         if let Some(rpc) = rpc {
             self.count(rpc.arrived, |counts| *counter(counts) += 1);
         }
     }
 
     /// Carries out what a gateway asked of its host; `work` is what it was doing.
-    pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: Work) {
+    pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: WorkKind) {
         loop {
             let Some(hollow) = &mut self.places[gateway].hollow else { return };
             let wishes = std::mem::take(&mut hollow.wishes.0);
@@ -168,14 +173,14 @@
         }
     }
 
-    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
+    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: WorkKind, wish: Wish) {
         let life = self.places[gateway].life;
         let Some(hollow) = &mut self.places[gateway].hollow else { return };
         match wish {
             Wish::Wake { after, token } => self.queue.after(after, Event::Wake { gateway, life, token }),
             Wish::PushBack { rpc, .. } => {
                 let answered = hollow.rpcs.remove(&rpc);
-                self.answered(answered, |counts| &mut counts.pushed_back);
+                self.answered(answered, |counts| &mut counts.rejected);
             }
             Wish::Abort { rpc } => {
                 let answered = hollow.rpcs.remove(&rpc);
@@ -188,7 +193,7 @@
 
     // ---- Call-outs
 
-    fn call_out(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
+    fn call_out(&mut self, now: Nanos, gateway: usize, work: WorkKind, rpc: u32, server: u32, limit: Nanos) {
         let life = self.places[gateway].life;
         let Some(hollow) = &mut self.places[gateway].hollow else { return };
         let Some(open) = hollow.rpcs.get_mut(&rpc) else { return };
@@ -203,7 +208,7 @@
             });
             return;
         };
-        self.count(now, |counts| counts.call_outs += 1);
+        self.count(now, |counts| counts.attempts += 1);
         let (region, server_region) = (self.places[gateway].region, self.region_of_server(to));
         if self.is_apart(region, server_region) {
             return self.queue.after(self.load.dial, Event::Back { call, how: CallOutcome::NoConnection });
@@ -248,7 +253,7 @@
         if !open {
             return; // its time was over, or it had ended before its time
         }
-        let ended = self.enter(now, gateway, life, Work::Rpcs, |hollow| {
+        let ended = self.enter(now, gateway, life, WorkKind::Rpcs, |hollow| {
             hollow.call_out_ended(now, call.rpc, call.nth, how)
         });
         self.answered(ended.flatten(), |counts| &mut counts.ok);
@@ -261,7 +266,7 @@
         let region = self.places[gateway].region;
         let Some(hollow) = &mut self.places[gateway].hollow else { return };
         let WrittenCall { line, serial, bytes } = hollow.count(now, name, add, forget);
-        self.count(now, |counts| counts.count_calls += 1);
+        self.count(now, |counts| counts.counter_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
@@ -299,7 +304,7 @@
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.enter(now, gateway, life, Work::Counter, |hollow| hollow.counter_came(now, line, bytes));
+        self.enter(now, gateway, life, WorkKind::Counter, |hollow| hollow.counter_came(now, line, bytes));
     }
 
     /// A line's sign of life, and its answer.
--- a/crates/scale/src/hollow/scenario.rs
+++ b/crates/scale/src/hollow/scenario.rs
@@ -29,7 +29,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    #[serde(default = "one_seed")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Seconds before anything is measured, and measured ones.
     pub warm_seconds: f64,
@@ -56,10 +56,10 @@
     /// RPCs a second for each gateway on average (Poisson).
     pub rate: f64,
     /// Control machines among which watches and counter calls are spread.
-    #[serde(default = "machines")]
+    #[serde(default = "default_machines")]
     pub control_machines: usize,
     /// Memory that the run may take, megabytes.
-    #[serde(default = "memory_mb")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
     /// The service's settings in the gateway's nested form; `balancers`, `me`, `zone` and `localities` are added.
     pub settings: toml::Table,
@@ -75,7 +75,7 @@
     #[serde(default)]
     pub agreement: Option<Agreement>,
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<ScenarioEvent>,
 }
 
 /// Who sends RPCs, and of which kind.
@@ -99,7 +99,7 @@
     /// A class of the settings.
     pub name: String,
     pub share: f64,
-    #[serde(default = "one_f")]
+    #[serde(default = "one_f64")]
     pub units: f64,
 }
 
@@ -111,9 +111,9 @@
     pub slots: u32,
     /// Median service time (log-normal with sigma `spread`).
     pub service_ms: f64,
-    #[serde(default = "spread")]
+    #[serde(default = "default_spread")]
     pub spread: f64,
-    #[serde(default = "one_f")]
+    #[serde(default = "one_f64")]
     pub cold_share: f64,
     #[serde(default)]
     pub cold_seconds: f64,
@@ -139,15 +139,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    pub delay_ms_least: f64,
-    pub delay_ms_most: f64,
+    #[serde(rename = "delay_ms_least")]
+    pub min_delay_ms: f64,
+    #[serde(rename = "delay_ms_most")]
+    pub max_delay_ms: f64,
     /// Every gateway starts with the list that it held before.
-    pub known: bool,
+    #[serde(rename = "known")]
+    pub starts_with_list: bool,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { delay_ms_least: 50.0, delay_ms_most: 500.0, known: true }
+        Discovery { min_delay_ms: 50.0, max_delay_ms: 500.0, starts_with_list: true }
     }
 }
 
@@ -168,22 +171,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agreement {
-    #[serde(default = "lease")]
+    #[serde(default = "default_lease")]
     pub lease: f64,
-    #[serde(default = "clock")]
-    pub clock: f64,
+    #[serde(rename = "clock", default = "default_clock")]
+    pub max_clock_error: f64,
     /// The first so many gateways vote.
-    #[serde(default = "voters")]
+    #[serde(default = "default_voters")]
     pub voters: usize,
     /// A new file is on each machine after a random part of so many seconds.
-    #[serde(default = "file_seconds")]
+    #[serde(default = "default_file_seconds")]
     pub file_seconds: f64,
 }
 
 /// Something that happens; times in seconds after the warm-up.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Event {
+pub enum ScenarioEvent {
     /// Servers fail (a share of them) or are restarted, one every so often.
     Churn {
         at: f64,
@@ -196,15 +199,28 @@
         down: f64,
     },
     /// Servers of one zone fail at once, and the list says so after a while: a rack or switch.
-    Rack { at: f64, servers: usize, told_after: f64, down: f64 },
+    Rack {
+        at: f64,
+        servers: usize,
+        #[serde(rename = "told_after")]
+        delisted_after: f64,
+        down: f64,
+    },
     /// All servers of a zone fail at once.
-    ZoneDown { at: f64, zone: String, told_after: f64, seconds: f64 },
+    ZoneDown {
+        at: f64,
+        zone: String,
+        #[serde(rename = "told_after")]
+        delisted_after: f64,
+        seconds: f64,
+    },
     /// A share of the servers is replaced, evenly over the time: the old one drains, a new one is listed, and the old one goes.
     Replace { at: f64, share: f64, seconds: f64, drain: f64 },
     /// New versions of the settings are put out, one every so often.
     Versions { at: f64, seconds: f64, every: f64 },
     /// A region is cut off from all others; discovery's source and the counter are in the first region.
-    RegionApart { at: f64, region: usize, seconds: f64 },
+    #[serde(rename = "region_apart")]
+    RegionIsolated { at: f64, region: usize, seconds: f64 },
     /// A share of the gateways is killed and started again after a while.
     RestartGateways { at: f64, share: f64, down: f64 },
     /// The first so many voters are killed and started again after a while.
@@ -215,52 +231,52 @@
     CounterStalled { at: f64, seconds: f64 },
 }
 
-impl Event {
+impl ScenarioEvent {
     /// When it begins and when its last effect is put in force.
     fn span(&self) -> (f64, f64) {
         match self {
-            Event::Churn { at, seconds, .. }
-            | Event::ZoneDown { at, seconds, .. }
-            | Event::Replace { at, seconds, .. }
-            | Event::Versions { at, seconds, .. }
-            | Event::RegionApart { at, seconds, .. }
-            | Event::AgentsLost { at, seconds, .. }
-            | Event::CounterStalled { at, seconds } => (*at, at + seconds),
-            Event::Rack { at, down, .. }
-            | Event::RestartGateways { at, down, .. }
-            | Event::VotersLost { at, down, .. } => (*at, at + down),
+            ScenarioEvent::Churn { at, seconds, .. }
+            | ScenarioEvent::ZoneDown { at, seconds, .. }
+            | ScenarioEvent::Replace { at, seconds, .. }
+            | ScenarioEvent::Versions { at, seconds, .. }
+            | ScenarioEvent::RegionIsolated { at, seconds, .. }
+            | ScenarioEvent::AgentsLost { at, seconds, .. }
+            | ScenarioEvent::CounterStalled { at, seconds } => (*at, at + seconds),
+            ScenarioEvent::Rack { at, down, .. }
+            | ScenarioEvent::RestartGateways { at, down, .. }
+            | ScenarioEvent::VotersLost { at, down, .. } => (*at, at + down),
         }
     }
 }
 
-fn one_seed() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 fn one() -> usize {
     1
 }
-fn one_f() -> f64 {
+fn one_f64() -> f64 {
     1.0
 }
-fn machines() -> usize {
+fn default_machines() -> usize {
     27
 }
-fn memory_mb() -> u64 {
+fn default_memory_mb() -> u64 {
     12_000
 }
-fn spread() -> f64 {
+fn default_spread() -> f64 {
     0.3
 }
-fn lease() -> f64 {
+fn default_lease() -> f64 {
     2.0
 }
-fn clock() -> f64 {
+fn default_clock() -> f64 {
     0.25
 }
-fn voters() -> usize {
+fn default_voters() -> usize {
     7
 }
-fn file_seconds() -> f64 {
+fn default_file_seconds() -> f64 {
     1.0
 }
 
@@ -294,35 +310,35 @@
     }
 
     /// How many gateways are played.
-    pub fn played(&self) -> usize {
+    pub fn simulated_gateways(&self) -> usize {
         if self.sample == 0 { self.gateways } else { self.sample }
     }
 
     /// By how much figures of the played gateways are multiplied to stand for the fleet.
-    pub fn multiplied_by(&self) -> f64 {
-        self.gateways as f64 / self.played() as f64
+    pub fn scale_factor(&self) -> f64 {
+        self.gateways as f64 / self.simulated_gateways() as f64
     }
 
     /// Services that one gateway meets.
-    pub fn services_each(&self) -> usize {
+    pub fn services_per_gateway(&self) -> usize {
         if self.services_met == 0 { self.services } else { self.services_met }
     }
 
     /// The `nth` service that a gateway meets. They are in a row from one that its number tells, so that all are met by about
     /// as many gateways.
-    pub fn service_met(&self, gateway: usize, nth: usize) -> u32 {
-        ((gateway * self.services_each() + nth) % self.services) as u32
+    pub fn gateway_service(&self, gateway: usize, nth: usize) -> u32 {
+        ((gateway * self.services_per_gateway() + nth) % self.services) as u32
     }
 
     /// Servers that one gateway is told of, about.
-    pub fn servers_told(&self) -> usize {
-        (self.servers * self.services_each()).div_ceil(self.services)
+    pub fn servers_per_gateway(&self) -> usize {
+        (self.servers * self.services_per_gateway()).div_ceil(self.services)
     }
 
     /// Servers that are listed during the run, the replacements among them.
-    pub fn servers_in_all(&self) -> usize {
+    pub fn total_servers(&self) -> usize {
         let replaced = self.events.iter().map(|event| match event {
-            Event::Replace { share, .. } => self.share_of_servers(*share),
+            ScenarioEvent::Replace { share, .. } => self.share_of_servers(*share),
             _ => 0,
         });
         self.servers + replaced.sum::<usize>()
@@ -333,8 +349,8 @@
     }
 
     /// Tenants whose RPCs come in through the played gateways.
-    pub fn tenants_played(&self) -> usize {
-        (self.tenants * self.played() / self.gateways).max(1)
+    pub fn simulated_tenants(&self) -> usize {
+        (self.tenants * self.simulated_gateways() / self.gateways).max(1)
     }
 
     /// Names of the zones: `a` to `z`, then `ba`, `bb` and so on.
@@ -343,7 +359,7 @@
     }
 
     /// The settings as the gateways get them, without what each is told for itself.
-    pub fn settings(&self) -> Settings {
+    pub fn flat_settings(&self) -> Settings {
         let nested = serde_json::to_value(&self.settings).unwrap_or_default();
         let mut flat = nested.as_object().map(martenramp::settings::flatten).unwrap_or_default();
         flat.insert("balancers".to_string(), self.gateways.to_string());
@@ -352,12 +368,12 @@
     }
 
     /// The number of a class of the settings by its name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.place("classes", name)
     }
 
     /// The number of the load's tariff.
-    pub fn plan(&self) -> Option<usize> {
+    pub fn plan_index(&self) -> Option<usize> {
         self.place("tariffs", &self.load.plan)
     }
 
@@ -367,7 +383,7 @@
     }
 
     /// The deadline that clients of a class give, seconds.
-    pub fn deadline(&self, class: usize) -> f64 {
+    pub fn class_deadline(&self, class: usize) -> f64 {
         let told = self.settings.get("classes").and_then(|classes| classes.get(class));
         let told = told.and_then(|class| class.get("deadline"));
         told.and_then(|told| told.as_float().or(told.as_integer().map(|whole| whole as f64))).unwrap_or(3.0)
@@ -399,23 +415,23 @@
         within("rate", self.rate, 0.0, RATE_MOST)?;
         within("network.delay_ms", self.network.delay_ms, 0.0, 10_000.0)?;
         within("network.far_delay_ms", self.network.far_delay_ms, 0.0, 10_000.0)?;
-        within("discovery.delay_ms_least", self.discovery.delay_ms_least, 0.0, 60_000.0)?;
-        let least = self.discovery.delay_ms_least;
-        within("discovery.delay_ms_most", self.discovery.delay_ms_most, least, 60_000.0)?;
+        within("discovery.delay_ms_least", self.discovery.min_delay_ms, 0.0, 60_000.0)?;
+        let least = self.discovery.min_delay_ms;
+        within("discovery.delay_ms_most", self.discovery.max_delay_ms, least, 60_000.0)?;
         within("counter.latency_ms", self.counter.latency_ms, 0.0, 10_000.0)
     }
 
     fn check_load(&self) -> Result<(), ScaleError> {
-        within("load.width", self.load.width as f64, 1.0, self.played() as f64)?;
+        within("load.width", self.load.width as f64, 1.0, self.simulated_gateways() as f64)?;
         within("load.skew", self.load.skew, 0.0, 5.0)?;
-        if self.plan().is_none() {
+        if self.plan_index().is_none() {
             return Err(ScaleError::bad_key("load.plan", format!("no tariff named '{}'", self.load.plan)));
         }
         if self.load.methods.is_empty() {
             return Err(ScaleError::bad_key("load.methods", "none is named"));
         }
         for method in &self.load.methods {
-            if self.class(&method.name).is_none() {
+            if self.class_index(&method.name).is_none() {
                 return Err(ScaleError::bad_key("load.methods", format!("no class named '{}'", method.name)));
             }
             within("load.methods.share", method.share, 1e-6, 1.0)?;
@@ -430,57 +446,56 @@
 
     fn check_agreement(&self) -> Result<(), ScaleError> {
         let Some(terms) = &self.agreement else { return Ok(()) };
-        within("agreement.clock", terms.clock, 0.001, 60.0)?;
-        within("agreement.lease", terms.lease, 4.0 * terms.clock, 600.0)?;
-        within("agreement.voters", terms.voters as f64, 1.0, self.played() as f64)?;
+        within("agreement.clock", terms.max_clock_error, 0.001, 60.0)?;
+        within("agreement.lease", terms.lease, 4.0 * terms.max_clock_error, 600.0)?;
+        within("agreement.voters", terms.voters as f64, 1.0, self.simulated_gateways() as f64)?;
         within("agreement.file_seconds", terms.file_seconds, 0.0, 3_600.0)
     }
 
-    fn check_event(&self, key: &str, event: &Event) -> Result<(), ScaleError> {
+    fn check_event(&self, key: &str, event: &ScenarioEvent) -> Result<(), ScaleError> {
         let field = |name: &str| format!("{key}.{name}");
         let (begins, ends) = event.span();
         within(&field("at"), begins, 0.0, self.seconds)?;
         within(&field("seconds"), ends, begins, self.seconds)?;
         let share = |value: f64| within(&field("share"), value, 0.0, 1.0);
         match event {
-            Event::Churn { every, fail_share, drain, down, .. } => {
+            ScenarioEvent::Churn { every, fail_share, drain, down, .. } => {
                 within(&field("every"), *every, 0.001, self.seconds)?;
                 within(&field("fail_share"), *fail_share, 0.0, 1.0)?;
                 within(&field("drain"), *drain, 0.0, *down)?;
                 within(&field("down"), *down, 0.0, self.seconds)
             }
-            Event::Rack { servers, told_after, down, .. } => {
+            ScenarioEvent::Rack { servers, delisted_after, down, .. } => {
                 let most = self.servers.div_ceil(self.zones);
                 within(&field("servers"), *servers as f64, 1.0, most as f64)?;
-                within(&field("told_after"), *told_after, 0.0, *down)
+                within(&field("told_after"), *delisted_after, 0.0, *down)
             }
-            Event::ZoneDown { zone, told_after, seconds, .. } => {
+            ScenarioEvent::ZoneDown { zone, delisted_after, seconds, .. } => {
                 if !self.zone_names().contains(zone) {
                     return Err(ScaleError::bad_key(field("zone"), format!("no zone named '{zone}'")));
                 }
-                within(&field("told_after"), *told_after, 0.0, *seconds)
+                within(&field("told_after"), *delisted_after, 0.0, *seconds)
             }
-            Event::Replace { share: value, drain, .. } => {
+            ScenarioEvent::Replace { share: value, drain, .. } => {
                 share(*value)?;
                 within(&field("drain"), *drain, 0.0, self.seconds)
             }
-            Event::Versions { every, .. } => {
+            ScenarioEvent::Versions { every, .. } => {
                 if self.agreement.is_none() {
                     return Err(ScaleError::bad_key(key, "versions need an 'agreement'"));
                 }
                 within(&field("every"), *every, 0.1, self.seconds)
             }
-            Event::RegionApart { region, .. } => {
+            ScenarioEvent::RegionIsolated { region, .. } => {
                 within(&field("region"), *region as f64, 0.0, self.regions as f64 - 1.0)
             }
-            Event::RestartGateways { share: value, .. } | Event::AgentsLost { share: value, .. } => {
-                share(*value)
-            }
-            Event::VotersLost { count, .. } => {
+            ScenarioEvent::RestartGateways { share: value, .. }
+            | ScenarioEvent::AgentsLost { share: value, .. } => share(*value),
+            ScenarioEvent::VotersLost { count, .. } => {
                 let voters = self.agreement.as_ref().map_or(0, |terms| terms.voters);
                 within(&field("count"), *count as f64, 1.0, voters as f64)
             }
-            Event::CounterStalled { .. } => Ok(()),
+            ScenarioEvent::CounterStalled { .. } => Ok(()),
         }
     }
 
@@ -488,10 +503,10 @@
     fn bytes_needed(&self) -> u64 {
         let tenants_met = (self.tenants * self.load.width / self.gateways) as u64;
         let each = BYTES_EACH_GATEWAY
-            + BYTES_EACH_SERVER_TOLD * self.servers_told() as u64
+            + BYTES_EACH_SERVER_TOLD * self.servers_per_gateway() as u64
             + BYTES_EACH_TENANT_MET * tenants_met;
-        let pairs = self.servers_told() as u64 * self.gateways as u64;
-        self.played() as u64 * each + pairs * BYTES_EACH_PAIR
+        let pairs = self.servers_per_gateway() as u64 * self.gateways as u64;
+        self.simulated_gateways() as u64 * each + pairs * BYTES_EACH_PAIR
     }
 
     fn check_memory(&self) -> Result<(), ScaleError> {
@@ -501,8 +516,8 @@
         }
         let why = format!(
             "{} gateways that are each told {} servers take about {needed} MB, over the {} of 'memory_mb'",
-            self.played(),
-            self.servers_told(),
+            self.simulated_gateways(),
+            self.servers_per_gateway(),
             self.memory_mb
         );
         Err(ScaleError::bad_key("sample", why))
--- a/crates/scale/src/hollow/stats.rs
+++ b/crates/scale/src/hollow/stats.rs
@@ -9,7 +9,7 @@
 
 /// What a gateway's processor time went to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum WorkKind {
     /// Lines of the list.
     List,
     /// The counter: answers, time-outs, pings.
@@ -20,31 +20,31 @@
     Rpcs,
 }
 
-impl Work {
-    pub const ALL: [Work; 4] = [Work::List, Work::Counter, Work::Agreement, Work::Rpcs];
+impl WorkKind {
+    pub const ALL: [WorkKind; 4] = [WorkKind::List, WorkKind::Counter, WorkKind::Agreement, WorkKind::Rpcs];
 
     pub fn name(self) -> &'static str {
         match self {
-            Work::List => "list",
-            Work::Counter => "counter",
-            Work::Agreement => "agreement",
-            Work::Rpcs => "rpcs",
+            WorkKind::List => "list",
+            WorkKind::Counter => "counter",
+            WorkKind::Agreement => "agreement",
+            WorkKind::Rpcs => "rpcs",
         }
     }
 
     fn is_control(self) -> bool {
-        self != Work::Rpcs
+        self != WorkKind::Rpcs
     }
 }
 
 /// This thread's processor time so far.
-pub fn processor_now() -> Nanos {
+pub fn thread_cpu_time() -> Nanos {
     let spent = clock_gettime(ClockId::ThreadCPUTime);
     spent.tv_sec as Nanos * SEC + spent.tv_nsec as Nanos
 }
 
-/// Processor time of the played gateways. It is the machine's and not the emulation's: no two runs give the same.
-pub struct Processor {
+/// CPU time of the played gateways. It is the machine's and not the emulation's: no two runs give the same.
+pub struct CpuUsage {
     frame: Frame,
     total: [Nanos; 4],
     /// For control, by gateway and second.
@@ -53,13 +53,13 @@
     pub list_changes: Histogram<u64>,
 }
 
-impl Processor {
-    pub fn new(frame: Frame, gateways: usize) -> Processor {
+impl CpuUsage {
+    pub fn new(frame: Frame, gateways: usize) -> CpuUsage {
         let control = vec![vec![0; frame.seconds]; gateways];
-        Processor { frame, total: [0; 4], control, list_changes: histogram() }
+        CpuUsage { frame, total: [0; 4], control, list_changes: histogram() }
     }
 
-    pub fn add(&mut self, now: Nanos, gateway: usize, work: Work, spent: Nanos) {
+    pub fn add(&mut self, now: Nanos, gateway: usize, work: WorkKind, spent: Nanos) {
         let Some(second) = self.frame.second(now) else { return };
         self.total[work as usize] += spent;
         if work.is_control() {
@@ -69,7 +69,7 @@
     }
 
     /// The share of a core that a gateway spent on this kind of work, on average.
-    pub fn share(&self, work: Work) -> f64 {
+    pub fn core_share(&self, work: WorkKind) -> f64 {
         let spans = (self.frame.seconds * self.control.len()).max(1) as f64 * SEC as f64;
         self.total[work as usize] as f64 / spans
     }
@@ -90,43 +90,43 @@
 }
 
 /// Times from a change to its being in force at a gateway, all changes at all gateways.
-pub struct InForce {
+pub struct PropagationDelays {
     from: Nanos,
-    pub times: Histogram<u64>,
+    pub delays: Histogram<u64>,
 }
 
-impl InForce {
-    pub fn new(from: Nanos) -> InForce {
-        InForce { from, times: histogram() }
+impl PropagationDelays {
+    pub fn new(from: Nanos) -> PropagationDelays {
+        PropagationDelays { from, delays: histogram() }
     }
 
     /// A change made at `at` is in force now; a gateway that began later counts from its start.
-    pub fn reached(&mut self, at: Nanos, started: Nanos, now: Nanos) {
+    pub fn record(&mut self, at: Nanos, started: Nanos, now: Nanos) {
         if at >= self.from {
-            self.times.saturating_record(now - at.max(started));
+            self.delays.saturating_record(now - at.max(started));
         }
     }
 
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
-        self.times.value_at_quantile(quantile) as f64 / 1e6
+        self.delays.value_at_quantile(quantile) as f64 / 1e6
     }
 
-    pub fn most_ms(&self) -> f64 {
-        self.times.max() as f64 / 1e6
+    pub fn max_ms(&self) -> f64 {
+        self.delays.max() as f64 / 1e6
     }
 }
 
 /// Outcomes of RPCs and what they cost.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct RunCounters {
     pub rpcs: u64,
     pub ok: u64,
-    pub pushed_back: u64,
+    pub rejected: u64,
     pub aborted: u64,
     /// Held by a gateway that was killed, or meant for a set of gateways that were all down.
-    pub cut: u64,
-    pub call_outs: u64,
-    pub count_calls: u64,
+    pub lost: u64,
+    pub attempts: u64,
+    pub counter_calls: u64,
     pub watch_requests: u64,
     pub watches_broken: u64,
     pub list_changes: u64,
--- a/crates/scale/src/hollow/steps.rs
+++ b/crates/scale/src/hollow/steps.rs
@@ -3,7 +3,7 @@
 use super::discovery::Status;
 use super::fleet::{Event, Fleet};
 use super::rpcs::HOME_REGION;
-use super::scenario::Event as Scripted;
+use super::scenario::ScenarioEvent;
 use super::{Nanos, nanos};
 use lab::lifecycle::pick;
 use rand::Rng;
@@ -16,44 +16,44 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A server that is drawn now fails or is restarted.
-    Churn {
+    ChurnServer {
         fail_share: f64,
         drain: Nanos,
         down: Nanos,
     },
     /// Servers of a zone that is drawn now fail together.
-    Rack {
+    FailRack {
         servers: usize,
-        told_after: Nanos,
+        delisted_after: Nanos,
         down: Nanos,
     },
     /// These servers fail now, are told to be gone after a while and come back.
-    Fail {
+    FailServers {
         servers: Vec<u32>,
-        told_after: Nanos,
+        delisted_after: Nanos,
         down: Nanos,
     },
     /// The list says this of them from now on.
-    List {
+    SetStatus {
         servers: Vec<u32>,
         status: Status,
     },
     /// They go out of service, and the list says so.
-    Gone {
+    RemoveServers {
         servers: Vec<u32>,
     },
     /// They start anew.
-    Back {
+    RestoreServers {
         servers: Vec<u32>,
     },
     /// A server drains, `new` takes its place, and it goes.
-    Replace {
+    ReplaceServer {
         old: u32,
         new: u32,
         drain: Nanos,
     },
-    PutOutVersion,
-    Apart {
+    PublishVersion,
+    IsolateRegion {
         region: Option<usize>,
     },
     KillGateways {
@@ -64,11 +64,11 @@
     StartGateways {
         gateways: Vec<usize>,
     },
-    LoseMachines {
+    StopAgents {
         share: f64,
         seconds: Nanos,
     },
-    MachinesBack {
+    RestartAgents {
         gateways: Vec<usize>,
     },
     StallCounter {
@@ -78,7 +78,7 @@
 
 impl Fleet<'_> {
     /// Puts all steps of the scenario's events on the clock.
-    pub(super) fn schedule_script(&mut self, from: Nanos) {
+    pub(super) fn schedule_events(&mut self, from: Nanos) {
         let mut spare = self.scenario.servers as u32;
         for event in &self.scenario.events {
             for (at, step) in self.steps(event, &mut spare) {
@@ -88,53 +88,55 @@
     }
 
     /// The steps of an event that are known beforehand; `spare` is the next server that is not listed yet.
-    fn steps(&mut self, event: &Scripted, spare: &mut u32) -> Vec<(Nanos, Step)> {
+    fn steps(&mut self, event: &ScenarioEvent, spare: &mut u32) -> Vec<(Nanos, Step)> {
         let every = |at: f64, seconds: f64, gap: f64, step: Step| -> Vec<(Nanos, Step)> {
             let count = (seconds / gap).ceil() as usize;
             (0..count).map(|nth| (nanos(at + nth as f64 * gap), step.clone())).collect()
         };
         match event {
-            Scripted::Churn { at, seconds, every: gap, fail_share, drain, down } => {
+            ScenarioEvent::Churn { at, seconds, every: gap, fail_share, drain, down } => {
                 let (drain, down) = (nanos(*drain), nanos(*down));
-                every(*at, *seconds, *gap, Step::Churn { fail_share: *fail_share, drain, down })
+                every(*at, *seconds, *gap, Step::ChurnServer { fail_share: *fail_share, drain, down })
             }
-            Scripted::Rack { at, servers, told_after, down } => {
-                let (told_after, down) = (nanos(*told_after), nanos(*down));
-                vec![(nanos(*at), Step::Rack { servers: *servers, told_after, down })]
+            ScenarioEvent::Rack { at, servers, delisted_after, down } => {
+                let (delisted_after, down) = (nanos(*delisted_after), nanos(*down));
+                vec![(nanos(*at), Step::FailRack { servers: *servers, delisted_after, down })]
             }
-            Scripted::ZoneDown { at, zone, told_after, seconds } => {
+            ScenarioEvent::ZoneDown { at, zone, delisted_after, seconds } => {
                 let names = self.scenario.zone_names();
                 let zone = names.iter().position(|name| name == zone).unwrap_or(0);
                 let servers = (0..self.scenario.servers).filter(|server| server % names.len() == zone);
                 let servers = servers.map(|server| server as u32).collect();
-                let (told_after, down) = (nanos(*told_after), nanos(*seconds));
-                vec![(nanos(*at), Step::Fail { servers, told_after, down })]
+                let (delisted_after, down) = (nanos(*delisted_after), nanos(*seconds));
+                vec![(nanos(*at), Step::FailServers { servers, delisted_after, down })]
             }
-            Scripted::Replace { at, share, seconds, drain } => {
+            ScenarioEvent::Replace { at, share, seconds, drain } => {
                 let old = pick(self.scenario.servers as u32, *share, &mut self.draws);
                 let gap = seconds / old.len().max(1) as f64;
                 let drain = nanos(*drain);
                 let each = old.into_iter().enumerate().map(|(nth, old)| {
                     *spare += 1;
-                    (nanos(at + gap * nth as f64), Step::Replace { old, new: *spare - 1, drain })
+                    (nanos(at + gap * nth as f64), Step::ReplaceServer { old, new: *spare - 1, drain })
                 });
                 each.collect()
             }
-            Scripted::Versions { at, seconds, every: gap } => every(*at, *seconds, *gap, Step::PutOutVersion),
-            Scripted::RegionApart { at, region, seconds } => vec![
-                (nanos(*at), Step::Apart { region: Some(*region) }),
-                (nanos(at + seconds), Step::Apart { region: None }),
+            ScenarioEvent::Versions { at, seconds, every: gap } => {
+                every(*at, *seconds, *gap, Step::PublishVersion)
+            }
+            ScenarioEvent::RegionIsolated { at, region, seconds } => vec![
+                (nanos(*at), Step::IsolateRegion { region: Some(*region) }),
+                (nanos(at + seconds), Step::IsolateRegion { region: None }),
             ],
-            Scripted::RestartGateways { at, share, down } => {
+            ScenarioEvent::RestartGateways { at, share, down } => {
                 vec![(nanos(*at), Step::KillGateways { share: *share, first: 0, down: nanos(*down) })]
             }
-            Scripted::VotersLost { at, count, down } => {
+            ScenarioEvent::VotersLost { at, count, down } => {
                 vec![(nanos(*at), Step::KillGateways { share: 0.0, first: *count, down: nanos(*down) })]
             }
-            Scripted::AgentsLost { at, share, seconds } => {
-                vec![(nanos(*at), Step::LoseMachines { share: *share, seconds: nanos(*seconds) })]
+            ScenarioEvent::AgentsLost { at, share, seconds } => {
+                vec![(nanos(*at), Step::StopAgents { share: *share, seconds: nanos(*seconds) })]
             }
-            Scripted::CounterStalled { at, seconds } => vec![
+            ScenarioEvent::CounterStalled { at, seconds } => vec![
                 (nanos(*at), Step::StallCounter { stalled: true }),
                 (nanos(at + seconds), Step::StallCounter { stalled: false }),
             ],
@@ -142,48 +144,50 @@
     }
 
     /// Does one step; what it puts off goes on the clock.
-    pub(super) fn carry_out(&mut self, now: Nanos, step: Step) {
+    pub(super) fn run_step(&mut self, now: Nanos, step: Step) {
         match step {
-            Step::Churn { fail_share, drain, down } => self.churn(now, fail_share, drain, down),
-            Step::Rack { servers, told_after, down } => {
+            Step::ChurnServer { fail_share, drain, down } => self.churn(now, fail_share, drain, down),
+            Step::FailRack { servers, delisted_after, down } => {
                 let zone = self.draws.random_range(0..self.scenario.zones);
                 let of_zone = (0..self.scenario.servers as u32).filter(|server| {
                     *server as usize % self.scenario.zones == zone && self.is_ready(*server)
                 });
                 let servers = of_zone.take(servers).collect();
-                self.fail(now, servers, told_after, down);
+                self.fail(now, servers, delisted_after, down);
+            }
+            Step::FailServers { servers, delisted_after, down } => {
+                self.fail(now, servers, delisted_after, down)
             }
-            Step::Fail { servers, told_after, down } => self.fail(now, servers, told_after, down),
-            Step::List { servers, status } => {
+            Step::SetStatus { servers, status } => {
                 servers.iter().for_each(|server| self.list(now, *server, status))
             }
-            Step::Gone { servers } => {
+            Step::RemoveServers { servers } => {
                 for server in servers {
                     self.servers.down(server);
                     self.list(now, server, Status::Gone);
                 }
             }
-            Step::Back { servers } => {
+            Step::RestoreServers { servers } => {
                 for server in servers {
                     self.servers.replace(server, now);
                     self.list(now, server, Status::Ready);
                 }
             }
-            Step::Replace { old, new, drain } => {
+            Step::ReplaceServer { old, new, drain } => {
                 self.list(now, old, Status::Draining);
                 self.servers.replace(new, now);
                 self.list(now, new, Status::Ready);
-                self.queue.after(drain, Event::Step(Step::Gone { servers: vec![old] }));
+                self.queue.after(drain, Event::Step(Step::RemoveServers { servers: vec![old] }));
             }
-            Step::PutOutVersion => self.put_out_version(now),
-            Step::Apart { region } => self.cut_region(now, region),
+            Step::PublishVersion => self.put_out_version(now),
+            Step::IsolateRegion { region } => self.cut_region(now, region),
             Step::KillGateways { share, first, down } => self.kill_gateways(share, first, down),
             Step::StartGateways { gateways } => {
                 gateways.into_iter().for_each(|gateway| self.start(now, gateway, false));
             }
-            Step::LoseMachines { share, seconds } => self.lose_machines(now, share, seconds),
-            Step::MachinesBack { gateways } => {
-                gateways.into_iter().for_each(|gateway| self.discovery.set_up(gateway, true));
+            Step::StopAgents { share, seconds } => self.lose_machines(now, share, seconds),
+            Step::RestartAgents { gateways } => {
+                gateways.into_iter().for_each(|gateway| self.discovery.set_agent_up(gateway, true));
             }
             Step::StallCounter { stalled } => self.counter.stalled = stalled,
         }
@@ -198,13 +202,13 @@
     fn list(&mut self, now: Nanos, server: u32, status: Status) {
         let came_up = self.servers.all[server as usize].came_up;
         self.counts.list_changes += u64::from(now >= self.frame.from);
-        for write in self.discovery.change(now, server, status, came_up / MS) {
+        for write in self.discovery.record_change(now, server, status, came_up / MS) {
             self.queue.at(write.at, Event::AgentWrites { agent: write.agent });
         }
     }
 
     fn churn(&mut self, now: Nanos, fail_share: f64, drain: Nanos, down: Nanos) {
-        let count = self.discovery.servers() as u32;
+        let count = self.discovery.server_count() as u32;
         let drawn = (0..DRAWS_MOST).map(|_| self.draws.random_range(0..count)).collect::<Vec<_>>();
         let Some(server) = drawn.into_iter().chain(0..count).find(|server| self.is_ready(*server)) else {
             return;
@@ -214,15 +218,15 @@
             return self.fail(now, servers, drain, down);
         }
         self.list(now, server, Status::Draining);
-        self.queue.after(drain, Event::Step(Step::Gone { servers: servers.clone() }));
-        self.queue.after(down, Event::Step(Step::Back { servers }));
+        self.queue.after(drain, Event::Step(Step::RemoveServers { servers: servers.clone() }));
+        self.queue.after(down, Event::Step(Step::RestoreServers { servers }));
     }
 
-    fn fail(&mut self, now: Nanos, servers: Vec<u32>, told_after: Nanos, down: Nanos) {
+    fn fail(&mut self, now: Nanos, servers: Vec<u32>, delisted_after: Nanos, down: Nanos) {
         servers.iter().for_each(|server| self.servers.down(*server));
-        let told = Step::List { servers: servers.clone(), status: Status::Gone };
-        self.queue.at(now + told_after, Event::Step(told));
-        self.queue.at(now + down, Event::Step(Step::Back { servers }));
+        let told = Step::SetStatus { servers: servers.clone(), status: Status::Gone };
+        self.queue.at(now + delisted_after, Event::Step(told));
+        self.queue.at(now + down, Event::Step(Step::RestoreServers { servers }));
     }
 
     // ---- Gateways, control machines and regions
@@ -239,22 +243,22 @@
         let lost = |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
         let gateways: Vec<usize> = (0..self.places.len()).filter(lost).collect();
         for gateway in &gateways {
-            self.discovery.set_up(*gateway, false);
+            self.discovery.set_agent_up(*gateway, false);
             let life = self.places[*gateway].life;
             let watches = self.places[*gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
             if watches {
                 self.watch_broke(now, *gateway, life);
             }
         }
-        self.queue.after(seconds, Event::Step(Step::MachinesBack { gateways }));
+        self.queue.after(seconds, Event::Step(Step::RestartAgents { gateways }));
     }
 
     fn cut_region(&mut self, now: Nanos, region: Option<usize>) {
         self.apart = region;
         for gateway in 0..self.places.len() {
             let cut = self.is_apart(self.places[gateway].region, HOME_REGION);
-            let was = self.discovery.is_cut(gateway);
-            self.discovery.set_cut(gateway, cut);
+            let was = self.discovery.is_disconnected(gateway);
+            self.discovery.set_disconnected(gateway, cut);
             if was && !cut {
                 self.agent_goes_on(now, gateway);
             }
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::Status;
 use super::fleet::Fleet;
-use super::stats::{InForce, Work};
+use super::stats::{PropagationDelays, WorkKind};
 use super::traffic::{ControlLoad, Direction, Peer, Tally};
 use super::{Nanos, SEC};
 use crate::ScaleError;
@@ -21,30 +21,41 @@
     pub seconds: f64,
     /// The size of the fleet, how many of it were played, and by how much their figures are multiplied.
     pub gateways: usize,
-    pub played: usize,
-    pub multiplied_by: f64,
+    #[serde(rename = "played")]
+    pub simulated_gateways: usize,
+    #[serde(rename = "multiplied_by")]
+    pub scale_factor: f64,
     pub servers: usize,
     pub services: usize,
-    pub services_met: usize,
-    pub servers_told: usize,
+    #[serde(rename = "services_met")]
+    pub services_per_gateway: usize,
+    #[serde(rename = "servers_told")]
+    pub servers_per_gateway: usize,
     pub zones: usize,
     pub regions: usize,
     pub tenants: usize,
-    pub tenants_played: usize,
+    #[serde(rename = "tenants_played")]
+    pub simulated_tenants: usize,
     pub rate: f64,
     pub rpcs: u64,
     pub ok: u64,
-    pub pushed_back: u64,
+    #[serde(rename = "pushed_back")]
+    pub rejected: u64,
     pub aborted: u64,
-    pub cut: u64,
-    pub call_outs: u64,
-    pub count_calls: u64,
-    pub count_calls_per_rpc: f64,
+    #[serde(rename = "cut")]
+    pub lost: u64,
+    #[serde(rename = "call_outs")]
+    pub attempts: u64,
+    #[serde(rename = "count_calls")]
+    pub counter_calls: u64,
+    #[serde(rename = "count_calls_per_rpc")]
+    pub counter_calls_per_rpc: f64,
     /// Names that the counter holds at the end.
     pub counter_names: usize,
     pub list_changes: u64,
     /// Bytes of lines that tell lists or changes, for each played gateway.
-    pub list_bytes_each: f64,
+    #[serde(rename = "list_bytes_each")]
+    pub list_bytes_per_gateway: f64,
     pub versions: u64,
     pub watch_requests: u64,
     pub watches_broken: u64,
@@ -56,14 +67,16 @@
 
 /// Times until changes of one kind were in force at gateways.
 #[derive(Clone, Debug, Serialize)]
-pub struct InForceRow {
+pub struct PropagationRow {
     pub what: &'static str,
     /// Pairs of a change and a gateway that it concerns, and those not in force at the end.
-    pub reached: u64,
+    #[serde(rename = "reached")]
+    pub applied: u64,
     pub missing: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
-    pub most_ms: f64,
+    #[serde(rename = "most_ms")]
+    pub max_ms: f64,
 }
 
 /// What went between a gateway and one kind of peer, in one direction. Only voters send datagrams to other gateways: what
@@ -115,7 +128,7 @@
 #[derive(Clone, Debug)]
 pub struct Tables {
     pub run: RunRow,
-    pub in_force: Vec<InForceRow>,
+    pub propagation: Vec<PropagationRow>,
     pub traffic: Vec<TrafficRow>,
     pub control: Vec<ControlRow>,
     pub seconds: Vec<SecondRow>,
@@ -130,10 +143,10 @@
 
 impl Tables {
     /// The tables of a fleet that was played.
-    pub fn of(fleet: &Fleet) -> Tables {
+    pub fn from_fleet(fleet: &Fleet) -> Tables {
         Tables {
             run: run_row(fleet),
-            in_force: in_force_rows(fleet),
+            propagation: propagation_rows(fleet),
             traffic: traffic_rows(fleet),
             control: control_rows(fleet),
             seconds: second_rows(fleet),
@@ -143,10 +156,10 @@
     }
 
     /// Every table that depends on scenario and seed alone: its file's name and its text.
-    pub fn emulated(&self) -> Result<Vec<(&'static str, String)>, ScaleError> {
+    pub fn emulated_tables(&self) -> Result<Vec<(&'static str, String)>, ScaleError> {
         Ok(vec![
             ("run.csv", csv(std::slice::from_ref(&self.run))?),
-            ("in-force.csv", csv(&self.in_force)?),
+            ("in-force.csv", csv(&self.propagation)?),
             ("traffic.csv", csv(&self.traffic)?),
             ("control.csv", csv(&self.control)?),
             ("seconds.csv", csv(&self.seconds)?),
@@ -156,7 +169,7 @@
     /// Writes all tables into a folder.
     pub fn write(&self, folder: &Path) -> Result<(), ScaleError> {
         std::fs::create_dir_all(folder).map_err(|why| ScaleError::file(folder, why))?;
-        let mut all = self.emulated()?;
+        let mut all = self.emulated_tables()?;
         all.push(("processor.csv", csv(&self.processor)?));
         for (name, text) in all {
             let file = folder.join(name);
@@ -166,7 +179,7 @@
     }
 
     /// The figures for a person.
-    pub fn shown(&self) -> String {
+    pub fn summary(&self) -> String {
         let run = &self.run;
         let mut text = format!(
             "{}: {} of {} gateways played (fleet figures multiplied by {:.1}), {} servers in {} services, {} told to each\n\
@@ -174,29 +187,29 @@
              busiest server {:.2}, least {:.2} of the mean\n\
              {} changes of the list, {} versions, {} watch requests\n",
             run.scenario,
-            run.played,
+            run.simulated_gateways,
             run.gateways,
-            run.multiplied_by,
+            run.scale_factor,
             run.servers,
             run.services,
-            run.servers_told,
+            run.servers_per_gateway,
             run.rpcs,
             run.ok,
-            run.pushed_back,
+            run.rejected,
             run.aborted,
-            run.cut,
-            run.call_outs,
-            run.count_calls_per_rpc,
+            run.lost,
+            run.attempts,
+            run.counter_calls_per_rpc,
             run.server_peak,
             run.server_least,
             run.list_changes,
             run.versions,
             run.watch_requests
         );
-        for row in &self.in_force {
+        for row in &self.propagation {
             text += &format!(
                 "in force, {}: p50 {:.0} ms, p99 {:.0} ms, at most {:.0} ms; {} reached, {} not\n",
-                row.what, row.p50_ms, row.p99_ms, row.most_ms, row.reached, row.missing
+                row.what, row.p50_ms, row.p99_ms, row.max_ms, row.applied, row.missing
             );
         }
         for row in &self.traffic {
@@ -248,28 +261,28 @@
         seed: scenario.seed,
         seconds: scenario.seconds,
         gateways: scenario.gateways,
-        played: scenario.played(),
-        multiplied_by: round(scenario.multiplied_by()),
+        simulated_gateways: scenario.simulated_gateways(),
+        scale_factor: round(scenario.scale_factor()),
         servers: scenario.servers,
         services: scenario.services,
-        services_met: scenario.services_each(),
-        servers_told: scenario.servers_told(),
+        services_per_gateway: scenario.services_per_gateway(),
+        servers_per_gateway: scenario.servers_per_gateway(),
         zones: scenario.zones,
         regions: scenario.regions,
         tenants: scenario.tenants,
-        tenants_played: scenario.tenants_played(),
+        simulated_tenants: scenario.simulated_tenants(),
         rate: scenario.rate,
         rpcs: counts.rpcs,
         ok: counts.ok,
-        pushed_back: counts.pushed_back,
+        rejected: counts.rejected,
         aborted: counts.aborted,
-        cut: counts.cut,
-        call_outs: counts.call_outs,
-        count_calls: counts.count_calls,
-        count_calls_per_rpc: round(counts.count_calls as f64 / counts.rpcs.max(1) as f64),
+        lost: counts.lost,
+        attempts: counts.attempts,
+        counter_calls: counts.counter_calls,
+        counter_calls_per_rpc: round(counts.counter_calls as f64 / counts.rpcs.max(1) as f64),
         counter_names: fleet.counter.names(),
         list_changes: counts.list_changes,
-        list_bytes_each: round(counts.list_bytes as f64 / scenario.played() as f64),
+        list_bytes_per_gateway: round(counts.list_bytes as f64 / scenario.simulated_gateways() as f64),
         versions: counts.versions,
         watch_requests: counts.watch_requests,
         watches_broken: counts.watches_broken,
@@ -282,7 +295,7 @@
 fn ready_servers(fleet: &Fleet) -> Vec<ServerHistory> {
     let listed_first = |server: usize| server < fleet.scenario.servers;
     let first = |server| if listed_first(server) { vec![(0, Nanos::MAX)] } else { Vec::new() };
-    let all = 0..fleet.scenario.servers_in_all();
+    let all = 0..fleet.scenario.total_servers();
     let mut servers: Vec<ServerHistory> =
         all.map(|server| ServerHistory { weight: 1.0, ready_spans: first(server) }).collect();
     for change in &fleet.discovery.changes {
@@ -306,16 +319,16 @@
     Some(Spread::of(&windows))
 }
 
-fn in_force_rows(fleet: &Fleet) -> Vec<InForceRow> {
-    let row = |what, in_force: &InForce, missing| InForceRow {
+fn propagation_rows(fleet: &Fleet) -> Vec<PropagationRow> {
+    let row = |what, in_force: &PropagationDelays, missing| PropagationRow {
         what,
-        reached: in_force.times.len(),
+        applied: in_force.delays.len(),
         missing,
         p50_ms: round(in_force.quantile_ms(0.5)),
         p99_ms: round(in_force.quantile_ms(0.99)),
-        most_ms: round(in_force.most_ms()),
+        max_ms: round(in_force.max_ms()),
     };
-    let untold = fleet.discovery.untold(fleet.frame.from) as u64;
+    let untold = fleet.discovery.undelivered_changes(fleet.frame.from) as u64;
     vec![
         row("list", &fleet.lists_in_force, untold),
         row("version", &fleet.versions_in_force, fleet.versions_not_in_force()),
@@ -330,7 +343,7 @@
         for direction in Direction::ALL {
             let total = fleet.traffic.total(peer, direction);
             let by_voters = (peer, direction) == (Peer::Gateways, Direction::Sent);
-            let gateways = if by_voters { voters } else { fleet.scenario.played() } as f64;
+            let gateways = if by_voters { voters } else { fleet.scenario.simulated_gateways() } as f64;
             let all = (0..seconds).map(|second| fleet.traffic.of_second(second, peer, direction));
             let peak = all.max_by_key(|tally| tally.bytes).unwrap_or_default();
             let each = |count: u64| round(count as f64 / gateways);
@@ -348,7 +361,7 @@
 }
 
 fn control_rows(fleet: &Fleet) -> Vec<ControlRow> {
-    let (machines, times) = (fleet.scenario.control_machines, fleet.scenario.multiplied_by());
+    let (machines, times) = (fleet.scenario.control_machines, fleet.scenario.scale_factor());
     let spans = (machines * fleet.frame.seconds) as f64;
     let row = |what, load: &ControlLoad| {
         let (total, peak): (Tally, Tally) = (load.total(), load.busiest_second());
@@ -391,10 +404,10 @@
     let row = |what, value, unit| ProcessorRow { what, value, unit };
     let names =
         ["a gateway on lists", "a gateway on the counter", "a gateway on the agreement", "a gateway on RPCs"];
-    let mut rows: Vec<ProcessorRow> = Work::ALL
+    let mut rows: Vec<ProcessorRow> = WorkKind::ALL
         .into_iter()
         .zip(names)
-        .map(|(work, name)| row(name, share(fleet.processor.share(work)), "% of a core"))
+        .map(|(work, name)| row(name, share(fleet.processor.core_share(work)), "% of a core"))
         .collect();
     let busiest = |quantile| share(fleet.processor.busiest_second(quantile));
     rows.push(row("control in its busiest second, gateway at p50", busiest(0.5), "% of a core"));
@@ -405,7 +418,7 @@
     rows.push(row("a line of the list, p99", milliseconds(changes.value_at_quantile(0.99)), "ms"));
     rows.push(row("a line of the list, at most", milliseconds(changes.max()), "ms"));
     let memory = fleet.memory;
-    let each = |bytes: u64| megabytes(bytes / fleet.scenario.played() as u64);
+    let each = |bytes: u64| megabytes(bytes / fleet.scenario.simulated_gateways() as u64);
     rows.push(row("held a gateway, once started", each(memory.started), "MB"));
     rows.push(row("held a gateway, at the end", each(memory.ended), "MB"));
     rows.push(row("peak of the whole emulation", megabytes(memory.peak), "MB"));
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -77,12 +77,12 @@
 
 #[test]
 fn the_same_seed_gives_the_same_tables_byte_for_byte_and_another_gives_others() {
-    let first = tables(&everything()).emulated().unwrap();
-    let again = tables(&everything()).emulated().unwrap();
+    let first = tables(&everything()).emulated_tables().unwrap();
+    let again = tables(&everything()).emulated_tables().unwrap();
     assert_eq!(first, again);
     let mut other = scenario(&everything());
     other.seed = 8;
-    assert_ne!(first, play(&other).emulated().unwrap());
+    assert_ne!(first, play(&other).emulated_tables().unwrap());
 }
 
 #[test]
@@ -90,10 +90,10 @@
     let tables = tables(&event("kind = 'replace'\nat = 1.0\nshare = 0.5\nseconds = 10.0\ndrain = 1.0"));
     // 30 servers replaced: draining, the new one, gone; 12 gateways meet 2 of 6 services each, so 4 meet each service.
     assert_eq!(tables.run.list_changes, 90);
-    let lists = &tables.in_force[0];
-    assert_eq!((lists.what, lists.reached, lists.missing), ("list", 90 * 4, 0));
-    assert!(lists.p50_ms >= 10.0 && lists.most_ms <= 101.0, "{lists:?}");
-    assert!(tables.run.list_bytes_each > 0.0);
+    let lists = &tables.propagation[0];
+    assert_eq!((lists.what, lists.applied, lists.missing), ("list", 90 * 4, 0));
+    assert!(lists.p50_ms >= 10.0 && lists.max_ms <= 101.0, "{lists:?}");
+    assert!(tables.run.list_bytes_per_gateway > 0.0);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let run = &tables.run;
     assert!(run.rpcs > 900 && run.rpcs < 1500, "{run:?}");
     assert!(run.ok <= run.rpcs && run.ok + 5 >= run.rpcs, "{run:?}");
-    assert!(run.count_calls > 0 && run.server_peak > 1.0, "{run:?}");
+    assert!(run.counter_calls > 0 && run.server_peak > 1.0, "{run:?}");
     let of_counter = tables.traffic.iter().filter(|row| row.peer == "counter");
     assert!(of_counter.map(|row| row.bytes_per_s).sum::<f64>() > 0.0);
 }
@@ -111,9 +111,9 @@
 fn versions_come_into_force_everywhere_two_leases_after_the_last_machine_has_them() {
     let versions = event("kind = 'versions'\nat = 1.0\nseconds = 10.0\nevery = 5.0");
     let tables = tables(&format!("{AGREEMENT}{versions}"));
-    let row = &tables.in_force[1];
-    assert_eq!((row.what, row.reached, row.missing), ("version", 2 * 12, 0));
-    assert!(row.p50_ms >= 2500.0 && row.most_ms < 3500.0, "{row:?}");
+    let row = &tables.propagation[1];
+    assert_eq!((row.what, row.applied, row.missing), ("version", 2 * 12, 0));
+    assert!(row.p50_ms >= 2500.0 && row.max_ms < 3500.0, "{row:?}");
     let is_heard = |peer, direction| (peer, direction) == ("gateways", "received");
     let heard = tables.traffic.iter().find(|row| is_heard(row.peer, row.direction)).unwrap();
     // Three voters speak every quarter of a lease of 1 s, and more while a version waits.
@@ -124,7 +124,7 @@
 fn a_lost_zone_is_told_in_one_line_to_each_gateway_and_its_return_in_another() {
     let tables = tables(&event("kind = 'zone_down'\nat = 2.0\nzone = 'c'\ntold_after = 1.0\nseconds = 8.0"));
     assert_eq!(tables.run.list_changes, 2 * 15, "{:?}", tables.run);
-    assert_eq!(tables.in_force[0].missing, 0);
+    assert_eq!(tables.propagation[0].missing, 0);
     let heartbeats_of_all = 12 * 6;
     let more = tables.seconds.iter().filter(|second| second.list_bytes > heartbeats_of_all);
     assert_eq!(more.count(), 2, "lines beside heartbeats in two seconds only");
@@ -134,16 +134,16 @@
 fn gateways_that_start_again_ask_for_the_list_once_each_and_go_on() {
     let tables = tables(&event("kind = 'restart_gateways'\nat = 5.0\nshare = 0.5\ndown = 1.0"));
     assert_eq!(tables.run.watch_requests, 6, "{:?}", tables.run);
-    assert!(tables.run.ok + tables.run.cut + 5 >= tables.run.rpcs, "{:?}", tables.run);
+    assert!(tables.run.ok + tables.run.lost + 5 >= tables.run.rpcs, "{:?}", tables.run);
 }
 
 #[test]
 fn a_region_that_was_apart_hears_all_that_it_missed() {
     let apart = event("kind = 'region_apart'\nat = 2.0\nregion = 1\nseconds = 8.0");
     let tables = tables(&format!("{}{apart}", churn()));
-    let lists = &tables.in_force[0];
+    let lists = &tables.propagation[0];
     assert_eq!(lists.missing, 0, "{lists:?}");
-    assert!(lists.most_ms > 3000.0, "{lists:?}");
+    assert!(lists.max_ms > 3000.0, "{lists:?}");
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let lost = event("kind = 'agents_lost'\nat = 2.0\nshare = 0.34\nseconds = 6.0");
     let tables = tables(&format!("{}{lost}", churn()));
     assert!(tables.run.watches_broken > 4, "{:?}", tables.run);
-    assert_eq!(tables.in_force[0].missing, 0, "{:?}", tables.in_force[0]);
+    assert_eq!(tables.propagation[0].missing, 0, "{:?}", tables.propagation[0]);
 }
 
 #[test]
