--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -1,12 +1,12 @@
 //! A hollow fleet on one emulated clock: gateways, their agents, the servers and the counter, and every event between them.
 
-use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
-use super::figures::{Counts, InForce, Processor, Work, processor_now};
+use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, WatchData};
 use super::gateway::{Agreed, HollowGateway, Start};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
-use super::script::Step;
 use super::settings_agreement::VersionFile;
+use super::stats::{CpuUsage, PropagationDelays, RunCounters, WorkKind, thread_cpu_time};
+use super::steps::Step;
 use super::traffic::{ControlLoad, Direction, MeasuredPeriod, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
@@ -90,10 +90,10 @@
     pub(super) load: Load,
     pub traffic: Traffic,
     pub control: Control,
-    pub processor: Processor,
-    pub lists_in_force: InForce,
-    pub versions_in_force: InForce,
-    pub counts: Counts,
+    pub processor: CpuUsage,
+    pub lists_in_force: PropagationDelays,
+    pub versions_in_force: PropagationDelays,
+    pub counts: RunCounters,
     pub memory: Memory,
     pub(super) rng: ChaCha8Rng,
     settings: Settings,
@@ -111,7 +111,7 @@
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
         let measured = MeasuredPeriod { from, seconds: scenario.seconds.ceil() as usize };
-        let played = scenario.played();
+        let played = scenario.simulated_gateways();
         let machines = || ControlLoad::new(measured, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
@@ -119,24 +119,24 @@
             measured,
             queue: EventQueue::default(),
             nodes: Vec::with_capacity(played),
-            discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
+            discovery: Discovery::new(&zones, scenario.services, scenario.total_servers(), scenario.servers),
             servers: servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
             traffic: Traffic::new(measured, played),
             control: Control { discovery: machines(), counter: machines(), datagrams: machines() },
-            processor: Processor::new(measured, played),
-            lists_in_force: InForce::new(from),
-            versions_in_force: InForce::new(from),
-            counts: Counts::default(),
+            processor: CpuUsage::new(measured, played),
+            lists_in_force: PropagationDelays::new(from),
+            versions_in_force: PropagationDelays::new(from),
+            counts: RunCounters::default(),
             memory: Memory { before: alloc::counts().held, ..Memory::default() },
             rng: rng::stream(scenario.seed, Stream::Faults),
-            settings: scenario.settings(),
+            settings: scenario.flat_settings(),
             zones,
             terms: scenario.agreement.as_ref().map(|terms| AgreementConfig {
                 voters: (0..terms.voters as u32).collect(),
                 lease_duration: nanos(terms.lease),
-                max_clock_error: nanos(terms.clock),
+                max_clock_error: nanos(terms.max_clock_error),
             }),
             versions: Vec::new(),
             isolated_region: None,
@@ -152,16 +152,17 @@
         }
         (0..played).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
         fleet.memory.after_start = alloc::counts().held.saturating_sub(fleet.memory.before);
-        fleet.schedule_script(from);
+        fleet.schedule_events(from);
         fleet
     }
 
     fn add_node(&mut self, number: usize) {
         let zone = number % self.scenario.zones;
-        let met =
-            (0..self.scenario.services_each()).map(|nth| self.scenario.service_met(number, nth)).collect();
+        let met = (0..self.scenario.services_per_gateway())
+            .map(|nth| self.scenario.gateway_service(number, nth))
+            .collect();
         let delays = &self.scenario.discovery;
-        let delay = self.rng.random_range(delays.delay_ms_least..=delays.delay_ms_most);
+        let delay = self.rng.random_range(delays.min_delay_ms..=delays.max_delay_ms);
         self.discovery.add_agent(met, nanos(delay / 1e3));
         self.nodes.push(GatewayNode {
             running: None,
@@ -188,7 +189,7 @@
         match event {
             Event::RpcArrival => self.arrive(now),
             Event::Timer { gateway, incarnation, token } => {
-                self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.woke(now, token));
+                self.enter(now, gateway, incarnation, WorkKind::Rpcs, |hollow| hollow.woke(now, token));
             }
             Event::AttemptAtServer { call, server, server_incarnation } => {
                 self.at_server(now, call, server, server_incarnation)
@@ -203,7 +204,7 @@
             }
             Event::CounterTimeout { gateway, incarnation, line, serial } => {
                 let timed_out = |hollow: &mut HollowGateway| hollow.count_timed_out(now, line, serial);
-                self.enter(now, gateway, incarnation, Work::Counter, timed_out);
+                self.enter(now, gateway, incarnation, WorkKind::Counter, timed_out);
             }
             Event::AgentWrite { agent } => self.agent_writes(now, agent),
             Event::Heartbeat => self.heartbeat(now),
@@ -212,7 +213,7 @@
             Event::EvaluateAgreement { gateway, incarnation } => self.agree(now, gateway, incarnation),
             Event::Datagram { from, region, bytes } => self.datagram(now, from, region, &bytes),
             Event::VersionFileArrival { gateway, version } => self.file_came(now, gateway, version),
-            Event::Step(step) => self.carry_out(now, step),
+            Event::Step(step) => self.run_step(now, step),
         }
     }
 
@@ -223,14 +224,14 @@
         now: Nanos,
         gateway: usize,
         incarnation: u32,
-        work: Work,
+        work: WorkKind,
         does: impl FnOnce(&mut HollowGateway) -> T,
     ) -> Option<T> {
         let place = &mut self.nodes[gateway];
         let hollow = place.running.as_mut().filter(|_| place.incarnation == incarnation)?;
-        let begun = processor_now();
+        let begun = thread_cpu_time();
         let result = does(hollow);
-        self.processor.add(now, gateway, work, processor_now() - begun);
+        self.processor.add(now, gateway, work, thread_cpu_time() - begun);
         self.carry_wishes(now, gateway, work);
         Some(result)
     }
@@ -254,7 +255,8 @@
             agreed: agreed.map(|(file, terms)| Agreed { file, terms, fresh: first }),
         };
         place.running = Some(HollowGateway::new(&start, now));
-        let known = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
+        let known = (self.scenario.discovery.starts_with_list || !first)
+            .then(|| self.discovery.initial_list(gateway));
         if let Some((list, changes)) = known {
             let list = serde_json::from_str(&list)
                 .ok()
@@ -263,7 +265,7 @@
                 list.into_iter().for_each(|told| hollow.told(now, told));
                 hollow.ask_again_after(now)
             };
-            let rest = self.enter(now, gateway, incarnation, Work::List, read).unwrap_or(0);
+            let rest = self.enter(now, gateway, incarnation, WorkKind::List, read).unwrap_or(0);
             self.lists_reached(now, gateway, &changes);
             self.queue.schedule_after(rest, Event::WatchRequest { gateway, incarnation });
         } else {
@@ -279,7 +281,7 @@
         let place = &mut self.nodes[gateway];
         if let Some(hollow) = place.running.take() {
             let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.measured.from);
-            self.counts.cut += measured.count() as u64;
+            self.counts.lost += measured.count() as u64;
         }
     }
 
@@ -291,7 +293,7 @@
 
     fn agent_writes(&mut self, now: Nanos, agent: usize) {
         let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if let Some(lines) = self.discovery.write(now, agent, open) {
+        if let Some(lines) = self.discovery.take_due_changes(now, agent, open) {
             self.list_came(now, agent, &lines);
         }
         self.schedule_agent_write(now, agent);
@@ -300,22 +302,22 @@
     /// Sets when an agent writes next, if it holds something back.
     pub(super) fn schedule_agent_write(&mut self, now: Nanos, agent: usize) {
         let open = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if open && let Some(at) = self.discovery.writes_next(now, agent) {
+        if open && let Some(at) = self.discovery.schedule_next_write(now, agent) {
             self.queue.schedule_at(at, Event::AgentWrite { agent });
         }
     }
 
     /// An agent's bytes come to its gateway.
-    fn list_came(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
+    fn list_came(&mut self, now: Nanos, gateway: usize, lines: &WatchData) {
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Received, lines.bytes.len());
         self.control.discovery.add(now, self.machine(gateway), lines.bytes.len());
         let incarnation = self.nodes[gateway].incarnation;
-        let begun = processor_now();
+        let begun = thread_cpu_time();
         let came = |hollow: &mut HollowGateway| hollow.list_came(now, &lines.bytes);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::List, came) else { return };
+        let Some(outcome) = self.enter(now, gateway, incarnation, WorkKind::List, came) else { return };
         if outcome.entries > 0 && now >= self.measured.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
-            self.processor.list_changes.saturating_record(processor_now() - begun);
+            self.processor.list_changes.saturating_record(thread_cpu_time() - begun);
         }
         if outcome.broken.is_some() {
             return self.retry_watch(now, gateway, incarnation);
@@ -327,16 +329,16 @@
         let started = self.nodes[gateway].started;
         for place in changes {
             let at = self.discovery.changes[*place as usize].at;
-            self.lists_in_force.reached(at, started, now);
+            self.lists_in_force.record(at, started, now);
         }
     }
 
     fn heartbeat(&mut self, now: Nanos) {
         self.queue.schedule_at(now + HEARTBEAT_EVERY, Event::Heartbeat);
-        let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
+        let lines = WatchData { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
         for gateway in 0..self.nodes.len() {
             let open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-            if open && self.discovery.is_up(gateway) {
+            if open && self.discovery.is_agent_up(gateway) {
                 self.list_came(now, gateway, &lines);
             }
         }
@@ -344,10 +346,10 @@
 
     fn ask_list(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let ask = |hollow: &mut HollowGateway| hollow.ask(now);
-        let Some(request) = self.enter(now, gateway, incarnation, Work::List, ask) else { return };
+        let Some(request) = self.enter(now, gateway, incarnation, WorkKind::List, ask) else { return };
         self.counts.watch_requests += u64::from(now >= self.measured.from);
         let from = self.nodes[gateway].running.as_ref().map_or(0, |hollow| hollow.watch.index);
-        let Some(lines) = self.discovery.answer(gateway, from) else {
+        let Some(lines) = self.discovery.watch_response(gateway, from) else {
             return self.retry_watch(now, gateway, incarnation); // refused
         };
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Sent, request.len());
@@ -358,7 +360,7 @@
     /// The watch is over; it is asked for again after a rest.
     pub(super) fn retry_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let rests = |hollow: &mut HollowGateway| hollow.ask_again_after(now);
-        if let Some(rest) = self.enter(now, gateway, incarnation, Work::List, rests) {
+        if let Some(rest) = self.enter(now, gateway, incarnation, WorkKind::List, rests) {
             self.counts.watches_broken += u64::from(now >= self.measured.from);
             self.queue.schedule_after(rest, Event::WatchRequest { gateway, incarnation });
         }
@@ -366,7 +368,7 @@
 
     fn sweep(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let look = |hollow: &mut HollowGateway| hollow.sweep(now);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Counter, look) else { return };
+        let Some(outcome) = self.enter(now, gateway, incarnation, WorkKind::Counter, look) else { return };
         self.queue.schedule_after(SWEEP_EVERY, Event::Sweep { gateway, incarnation });
         for ping in outcome.pings {
             self.ping(now, gateway, incarnation, ping.line, &ping.bytes);
@@ -414,7 +416,7 @@
         let take = |hollow: &mut HollowGateway| {
             hollow.agreeing.as_mut().is_some_and(|agreeing| agreeing.take_file(now, &file))
         };
-        if self.enter(now, gateway, incarnation, Work::Agreement, take).is_some() {
+        if self.enter(now, gateway, incarnation, WorkKind::Agreement, take).is_some() {
             self.agree(now, gateway, incarnation);
         }
     }
@@ -422,7 +424,7 @@
     /// A gateway looks at what it may act on and tells others what there is to tell.
     fn agree(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let look = |hollow: &mut HollowGateway| hollow.agree(now);
-        let Some(outcome) = self.enter(now, gateway, incarnation, Work::Agreement, look) else { return };
+        let Some(outcome) = self.enter(now, gateway, incarnation, WorkKind::Agreement, look) else { return };
         for bytes in outcome.datagrams {
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Sent, bytes.len());
             let bytes = Rc::new(bytes);
@@ -446,7 +448,7 @@
         place.version = before.max(version);
         for number in before + 1..=version {
             let put_out = self.versions[number as usize - 1].put_out;
-            self.versions_in_force.reached(put_out, started, now);
+            self.versions_in_force.record(put_out, started, now);
         }
     }
 
@@ -464,7 +466,7 @@
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
             self.control.datagrams.add(now, self.machine(gateway), bytes.len());
             let hear = |hollow: &mut HollowGateway| hollow.hear(now, bytes);
-            self.enter(now, gateway, incarnation, Work::Agreement, hear);
+            self.enter(now, gateway, incarnation, WorkKind::Agreement, hear);
             self.agree(now, gateway, incarnation);
         }
     }
@@ -484,13 +486,13 @@
     /// Pairs of a measured version and a gateway where it never came into force.
     pub fn versions_not_in_force(&self) -> u64 {
         let measured = self.versions.iter().filter(|file| file.put_out >= self.measured.from).count() as u64;
-        (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.times.len())
+        (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.delays.len())
     }
 }
 
 fn servers(scenario: &Scenario) -> Servers {
     let model = lab::scenario::Servers {
-        count: scenario.servers_in_all() as u32,
+        count: scenario.total_servers() as u32,
         zones: scenario.zones as u32,
         slots: scenario.server.slots,
         service_ms: scenario.server.service_ms,
@@ -500,6 +502,6 @@
         error_share: 0.0,
     };
     let mut servers = Servers::new(&model, rng::stream(scenario.seed, Stream::Servers));
-    (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.take_down(spare as u32));
+    (scenario.servers..scenario.total_servers()).for_each(|spare| servers.take_down(spare as u32));
     servers
 }
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -7,13 +7,13 @@
 //! emulated. `docs/scale-hollow.md` says what each of them means.
 
 mod discovery;
-mod figures;
 mod fleet;
 mod gateway;
 mod rpcs;
 pub mod scenario;
-mod script;
 mod settings_agreement;
+mod stats;
+mod steps;
 mod tables;
 mod traffic;
 
@@ -45,7 +45,7 @@
     let begun = Instant::now();
     let tables = play(&scenario);
     tables.write(&args.out.join(&scenario.name))?;
-    print!("{}", tables.shown());
+    print!("{}", tables.summary());
     println!("played in {:.0} s", begun.elapsed().as_secs_f64());
     Ok(())
 }
@@ -54,5 +54,5 @@
 pub fn play(scenario: &Scenario) -> Tables {
     let mut fleet = fleet::Fleet::new(scenario);
     fleet.run();
-    Tables::of(&fleet)
+    Tables::from_fleet(&fleet)
 }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -1,9 +1,9 @@
 //! The load on a hollow fleet: arrivals of RPCs, their call-outs to servers, and calls to the counter.
 
-use super::figures::{Counts, Work};
 use super::fleet::{Event, Fleet};
 use super::gateway::{CallOut, OpenRpc, WrittenCall};
 use super::scenario::Scenario;
+use super::stats::{RunCounters, WorkKind};
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
 use lab::policies::HostAction;
@@ -67,23 +67,27 @@
     pub fn new(scenario: &Scenario) -> Load {
         let mut draws = rng::stream(scenario.seed, Stream::Arrivals);
         let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is checked");
-        let count = scenario.tenants_played();
+        let count = scenario.simulated_tenants();
         let shares: Vec<f64> = (0..count).map(|_| shares.sample(&mut draws)).collect();
-        let played = scenario.played() as u32;
+        let played = scenario.simulated_gateways() as u32;
         let tenants = (0..count).map(|_| Tenant { first: draws.random_range(0..played) }).collect();
         let methods = scenario.load.methods.iter().map(|method| {
-            let class = scenario.class(&method.name).unwrap_or(0);
-            Method { class: class as u16, deadline: nanos(scenario.deadline(class)), units: method.units }
+            let class = scenario.class_index(&method.name).unwrap_or(0);
+            Method {
+                class: class as u16,
+                deadline: nanos(scenario.class_deadline(class)),
+                units: method.units,
+            }
         });
-        let settings = scenario.settings();
+        let settings = scenario.flat_settings();
         let time = |name: &str, default: Nanos| {
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
         let rate = scenario.rate * f64::from(played);
-        let whole_fleet =
-            scenario.played() == scenario.gateways && rate * scenario.seconds < MAX_SERVED_ATTEMPTS;
+        let whole_fleet = scenario.simulated_gateways() == scenario.gateways
+            && rate * scenario.seconds < MAX_SERVED_ATTEMPTS;
         Load {
-            plan: scenario.plan().unwrap_or(0),
+            plan: scenario.plan_index().unwrap_or(0),
             methods: methods.collect(),
             tenants,
             by_tenant: WeightedIndex::new(shares).expect("there are tenants"),
@@ -118,19 +122,19 @@
         let start = load.draws.random_range(0..width);
         let set = (0..width).map(|at| (first + (start + at) % width) % self.nodes.len());
         let Some(gateway) = set.into_iter().find(|at| self.nodes[*at].running.is_some()) else {
-            self.count(now, |counts| (counts.rpcs, counts.cut) = (counts.rpcs + 1, counts.cut + 1));
+            self.count(now, |counts| (counts.rpcs, counts.lost) = (counts.rpcs + 1, counts.lost + 1));
             return;
         };
         let load = &mut self.load;
         load.last_rpc = load.last_rpc.wrapping_add(1);
         let method = &load.methods[number];
-        let nth = load.draws.random_range(0..self.scenario.services_each());
+        let nth = load.draws.random_range(0..self.scenario.services_per_gateway());
         let arrival = Arrival {
             id: load.last_rpc,
             method: method.class,
             plan: load.plan as u16,
             customer: tenant as u64 + 1,
-            service: self.scenario.service_met(gateway, nth),
+            service: self.scenario.gateway_service(gateway, nth),
             deadline: now + method.deadline - MARGIN,
             units: method.units,
             gateway_count: width as u32,
@@ -138,25 +142,25 @@
         };
         self.count(now, |counts| counts.rpcs += 1);
         let incarnation = self.nodes[gateway].incarnation;
-        self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.rpc(now, &arrival));
+        self.enter(now, gateway, incarnation, WorkKind::Rpcs, |hollow| hollow.rpc(now, &arrival));
     }
 
     /// Counts something in the measured part of the run.
-    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut Counts)) {
+    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut RunCounters)) {
         if now >= self.measured.from {
             counts(&mut self.counts);
         }
     }
 
     /// An RPC has its final answer: it counts if it came in the measured part of the run.
-    fn answered(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut Counts) -> &mut u64) {
+    fn answered(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut RunCounters) -> &mut u64) {
         if let Some(rpc) = rpc {
             self.count(rpc.arrived, |counts| *counter(counts) += 1);
         }
     }
 
     /// Carries out what a gateway asked of its host; `work` is what it was doing.
-    pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: Work) {
+    pub(super) fn carry_wishes(&mut self, now: Nanos, gateway: usize, work: WorkKind) {
         loop {
             let Some(hollow) = &mut self.nodes[gateway].running else { return };
             let wishes = std::mem::take(&mut hollow.wishes.0);
@@ -169,7 +173,7 @@
         }
     }
 
-    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: Work, wish: HostAction) {
+    fn carry_wish(&mut self, now: Nanos, gateway: usize, work: WorkKind, wish: HostAction) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         match wish {
@@ -178,7 +182,7 @@
             }
             HostAction::Reject { rpc, .. } => {
                 let answered = hollow.rpcs.remove(&rpc);
-                self.answered(answered, |counts| &mut counts.pushed_back);
+                self.answered(answered, |counts| &mut counts.rejected);
             }
             HostAction::Abort { rpc } => {
                 let answered = hollow.rpcs.remove(&rpc);
@@ -195,7 +199,7 @@
 
     // ---- Call-outs
 
-    fn call_out(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
+    fn call_out(&mut self, now: Nanos, gateway: usize, work: WorkKind, rpc: u32, server: u32, limit: Nanos) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let Some(open) = hollow.rpcs.get_mut(&rpc) else { return };
@@ -210,7 +214,7 @@
             });
             return;
         };
-        self.count(now, |counts| counts.call_outs += 1);
+        self.count(now, |counts| counts.attempts += 1);
         let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(to));
         if self.is_partitioned(region, server_region) {
             return self
@@ -260,7 +264,7 @@
         if !open {
             return; // its time was over, or it had ended before its time
         }
-        let ended = self.enter(now, gateway, incarnation, Work::Rpcs, |hollow| {
+        let ended = self.enter(now, gateway, incarnation, WorkKind::Rpcs, |hollow| {
             hollow.call_out_ended(now, call.rpc, call.number, how)
         });
         self.answered(ended.flatten(), |counts| &mut counts.ok);
@@ -273,7 +277,7 @@
         let region = self.nodes[gateway].region;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let WrittenCall { line, serial, bytes } = hollow.count(now, name, add, forget);
-        self.count(now, |counts| counts.count_calls += 1);
+        self.count(now, |counts| counts.counter_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.machine_of_name(name);
         self.control.counter.add(now, machine, bytes.len());
@@ -323,7 +327,9 @@
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.enter(now, gateway, incarnation, Work::Counter, |hollow| hollow.counter_came(now, line, bytes));
+        self.enter(now, gateway, incarnation, WorkKind::Counter, |hollow| {
+            hollow.counter_came(now, line, bytes)
+        });
     }
 
     /// A line's sign of incarnation, and its answer.
