--- a/crates/scale/src/alloc.rs
+++ b/crates/scale/src/alloc.rs
@@ -1,5 +1,5 @@
 //! A global allocator that counts: how often memory was asked for and how much, what is held, and the most that was held at
-//! once; for the whole process and for each thread. A binary or test that wants counts installs [`Counting`] as its global
+//! once; for the whole process and for each thread. A binary or test that wants counts installs [`CountingAllocator`] as its global
 //! allocator; without it all counts stay nought.
 
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -17,7 +17,7 @@
 }
 
 /// The system's allocator with counts.
-pub struct Counting;
+pub struct CountingAllocator;
 
 fn took(bytes: usize) {
     ALLOCATIONS.fetch_add(1, Relaxed);
@@ -28,9 +28,9 @@
     if IS_COUNTED.get() {
         let mut counts = THREAD.get();
         counts.allocations += 1;
-        counts.allocated += bytes as u64;
-        counts.held += bytes as i64;
-        counts.peak = counts.peak.max(counts.held);
+        counts.allocated_bytes += bytes as u64;
+        counts.live_bytes += bytes as i64;
+        counts.peak_bytes = counts.peak_bytes.max(counts.live_bytes);
         THREAD.set(counts);
     }
 }
@@ -39,13 +39,13 @@
     HELD.fetch_sub(bytes as u64, Relaxed);
     if IS_COUNTED.get() {
         let mut counts = THREAD.get();
-        counts.held -= bytes as i64;
+        counts.live_bytes -= bytes as i64;
         THREAD.set(counts);
     }
 }
 
 // SAFETY: every call is handed on to the system's allocator as it came; only counters are kept beside it.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         // SAFETY: the caller's guarantees are those of the system's allocator.
         let at = unsafe { System.alloc(layout) };
@@ -85,13 +85,13 @@
 /// What the allocator has counted for the whole process up to a moment. Bytes are those asked for, without the allocator's
 /// own overhead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ProcessCounts {
     /// Times that memory was asked for, a change of size among them.
     pub allocations: u64,
     /// Bytes held now.
-    pub held: u64,
+    pub live_bytes: u64,
     /// The most bytes held at once since the last [`reset_peak`].
-    pub peak: u64,
+    pub peak_bytes: u64,
 }
 
 /// What the allocator has counted for one thread up to a moment. What another thread gives back is not taken off.
@@ -100,20 +100,25 @@
     /// Times that memory was asked for, a change of size among them.
     pub allocations: u64,
     /// Bytes asked for in all of them.
-    pub allocated: u64,
+    pub allocated_bytes: u64,
     /// Bytes held now; below nought where the thread gave back what it did not ask for.
-    pub held: i64,
+    pub live_bytes: i64,
     /// The most bytes held at once since the last [`reset_thread_peak`].
-    pub peak: i64,
+    pub peak_bytes: i64,
 }
 
 impl ThreadCounts {
-    const NONE: ThreadCounts = ThreadCounts { allocations: 0, allocated: 0, held: 0, peak: 0 };
+    const NONE: ThreadCounts =
+        ThreadCounts { allocations: 0, allocated_bytes: 0, live_bytes: 0, peak_bytes: 0 };
 }
 
 /// The process's counts by now.
-pub fn counts() -> Counts {
-    Counts { allocations: ALLOCATIONS.load(Relaxed), held: HELD.load(Relaxed), peak: PEAK.load(Relaxed) }
+pub fn process_counts() -> ProcessCounts {
+    ProcessCounts {
+        allocations: ALLOCATIONS.load(Relaxed),
+        live_bytes: HELD.load(Relaxed),
+        peak_bytes: PEAK.load(Relaxed),
+    }
 }
 
 /// From now on the process's peak is counted anew, from what is held.
@@ -129,13 +134,13 @@
 /// From now on this thread's peak is counted anew, from what is held.
 pub fn reset_thread_peak() {
     let mut counts = THREAD.get();
-    counts.peak = counts.held;
+    counts.peak_bytes = counts.live_bytes;
     THREAD.set(counts);
 }
 
 /// Runs something whose memory is not the program's own (input of a measurement, an emulated peer): this thread's counts
 /// leave it out, both what it asks for and what it gives back.
-pub fn uncounted<T>(run: impl FnOnce() -> T) -> T {
+pub fn without_counting<T>(run: impl FnOnce() -> T) -> T {
     let was = IS_COUNTED.replace(false);
     let made = run();
     IS_COUNTED.set(was);
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -129,7 +129,7 @@
             lists_in_force: InForce::new(from),
             versions_in_force: InForce::new(from),
             counts: Counts::default(),
-            memory: Memory { before: alloc::counts().held, ..Memory::default() },
+            memory: Memory { before: alloc::process_counts().live_bytes, ..Memory::default() },
             draws: chance::stream(scenario.seed, Stream::Troubles),
             settings: scenario.settings(),
             zones,
@@ -151,7 +151,7 @@
             fleet.add_place(number);
         }
         (0..played).for_each(|gateway| fleet.start(EPOCH, gateway, true));
-        fleet.memory.started = alloc::counts().held.saturating_sub(fleet.memory.before);
+        fleet.memory.started = alloc::process_counts().live_bytes.saturating_sub(fleet.memory.before);
         fleet.schedule_script(from);
         fleet
     }
@@ -179,9 +179,9 @@
         while let Some((now, event)) = self.queue.next(self.end - 1) {
             self.handle(now, event);
         }
-        let counts = alloc::counts();
-        self.memory.ended = counts.held.saturating_sub(self.memory.before);
-        self.memory.peak = counts.peak.saturating_sub(self.memory.before);
+        let counts = alloc::process_counts();
+        self.memory.ended = counts.live_bytes.saturating_sub(self.memory.before);
+        self.memory.peak = counts.peak_bytes.saturating_sub(self.memory.before);
     }
 
     fn handle(&mut self, now: Nanos, event: Event) {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 #[global_allocator]
-static ALLOCATOR: alloc::Counting = alloc::Counting;
+static ALLOCATOR: alloc::CountingAllocator = alloc::CountingAllocator;
 
 /// Scale tests of martenramp. `docs/scale.md` documents scenarios and figures.
 #[derive(Parser)]
--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -78,10 +78,10 @@
     prepare: &dyn Fn() -> Result<Operation, ScaleError>,
     effort: Duration,
 ) -> Result<Figures, ScaleError> {
-    let before = alloc::thread_counts().held;
+    let before = alloc::thread_counts().live_bytes;
     let mut operation = prepare()?;
     let per_step = operation.operations_per_step as f64;
-    let mut steps: Vec<Figures> = alloc::uncounted(|| Vec::with_capacity(operation.steps_most));
+    let mut steps: Vec<Figures> = alloc::without_counting(|| Vec::with_capacity(operation.steps_most));
     let mut spent = Duration::ZERO;
     while steps.len() < operation.steps_most && (spent < effort || steps.is_empty()) {
         alloc::reset_thread_peak();
@@ -94,9 +94,9 @@
             steps: 1,
             cpu_ns: cpu.as_nanos() as f64 / per_step,
             allocations: (after.allocations - counts.allocations) as f64 / per_step,
-            allocated_bytes: (after.allocated - counts.allocated) as f64 / per_step,
-            rest_bytes: (after.held - before) as f64,
-            peak_bytes: (after.peak - before) as f64,
+            allocated_bytes: (after.allocated_bytes - counts.allocated_bytes) as f64 / per_step,
+            rest_bytes: (after.live_bytes - before) as f64,
+            peak_bytes: (after.peak_bytes - before) as f64,
             sent_messages: traffic.sent.messages as f64 / per_step,
             sent_bytes: traffic.sent.bytes as f64 / per_step,
             received_messages: traffic.received.messages as f64 / per_step,
--- a/crates/scale/src/player.rs
+++ b/crates/scale/src/player.rs
@@ -80,9 +80,9 @@
     /// A gateway of this service with all servers listed.
     pub fn new(service: &Service, servers: usize, every: Nanos) -> Result<Player, ScaleError> {
         let mut replica = Replica::new(service)?;
-        let list = alloc::uncounted(|| crate::deployment::whole_list(servers));
+        let list = alloc::without_counting(|| crate::deployment::whole_list(servers));
         replica.take(START, &list);
-        alloc::uncounted(|| drop(list));
+        alloc::without_counting(|| drop(list));
         let mut line = CounterConnection::default();
         line.connected(&mut Vec::new(), START);
         Ok(Player {
@@ -177,16 +177,16 @@
                 Call { serial: self.last_call, name, add, ttl: forget },
             );
             self.traffic.sent.add(self.written.len());
-            let total = alloc::uncounted(|| {
+            let total = alloc::without_counting(|| {
                 let total = self.totals.entry(name).or_insert(0.0);
                 *total += add;
                 *total
             });
-            let answer = alloc::uncounted(|| counter_answer(total));
+            let answer = alloc::without_counting(|| counter_answer(total));
             self.traffic.received.add(answer.len());
             let mut ended = Vec::new();
             let _ = self.line.feed(now, &answer, &mut ended);
-            alloc::uncounted(|| drop(answer));
+            alloc::without_counting(|| drop(answer));
             for (call, how, total) in ended {
                 self.replica.brain.on_counter_reply(&mut self.asked, now, call.name, how, total);
             }
@@ -196,7 +196,7 @@
 
 impl Drop for Player {
     fn drop(&mut self) {
-        alloc::uncounted(|| drop(std::mem::take(&mut self.totals)));
+        alloc::without_counting(|| drop(std::mem::take(&mut self.totals)));
     }
 }
 
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -3,7 +3,7 @@
 use super::Cost;
 use super::scenario::{Agreement as Sizes, List};
 use crate::ScaleError;
-use crate::alloc::uncounted;
+use crate::alloc::without_counting;
 use crate::deployment::{START, WHOLE_INDEX};
 use crate::measure::{Operation, Traffic};
 use agreement::config::AgreementConfig;
@@ -95,7 +95,7 @@
 
 /// So many gateways that don't vote hear a second of all voters' datagrams, and look at what they may act on after each.
 pub fn heard_for_a_second(voters: u32, gateways: usize) -> Result<Operation, ScaleError> {
-    let recorded = uncounted(|| record(voters, WARM_SECONDS + SECONDS));
+    let recorded = without_counting(|| record(voters, WARM_SECONDS + SECONDS));
     let mut members: Vec<Agreement> =
         (0..gateways).map(|number| member(voters + number as u32, voters)).collect();
     let mut seconds = recorded.into_iter().skip(WARM_SECONDS as usize);
@@ -107,7 +107,7 @@
                 traffic.received.add(datagram.bytes.len());
                 hear(member, &datagram);
             }
-            uncounted(|| drop(datagram));
+            without_counting(|| drop(datagram));
         }
         Ok(traffic)
     };
@@ -133,7 +133,7 @@
 
 /// A whole list that says what is held already.
 pub fn judged_whole(servers: u64) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| seen(servers));
+    let list = without_counting(|| seen(servers));
     let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
     let mut index = WHOLE_INDEX;
@@ -147,11 +147,11 @@
 
 /// A change of one server, away or back.
 pub fn judged_change(servers: u64) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| seen(servers));
+    let list = without_counting(|| seen(servers));
     let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
     let one = list[list.len() / 2];
-    uncounted(|| drop(list));
+    without_counting(|| drop(list));
     let mut index = WHOLE_INDEX;
     let step = move || {
         index += 1;
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -3,7 +3,7 @@
 use super::Cost;
 use super::scenario::List;
 use crate::ScaleError;
-use crate::alloc::uncounted;
+use crate::alloc::without_counting;
 use crate::deployment::{START, Service, Status, ZONES, change, encode, whole_list};
 use crate::measure::{Operation, Traffic};
 use crate::replica::{Replica, read_watch};
@@ -62,7 +62,7 @@
 
 /// The bytes of a whole list are read into entries.
 pub fn read_whole(servers: usize) -> Result<Operation, ScaleError> {
-    let bytes = uncounted(|| encode(&whole_list(servers)));
+    let bytes = without_counting(|| encode(&whole_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(bytes.len());
@@ -74,7 +74,7 @@
 
 /// A gateway that knows nothing takes a whole list that has been read.
 pub fn taken_whole(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| whole_list(servers));
+    let list = without_counting(|| whole_list(servers));
     let mut held: Vec<Replica> = Vec::new();
     let step = move || {
         held.clear();
@@ -105,10 +105,10 @@
     away: Status,
 ) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&Service::of(fleet))?;
-    let list = uncounted(|| whole_list(servers));
+    let list = without_counting(|| whole_list(servers));
     replica.take(START, &list);
-    uncounted(|| drop(list));
-    let encoded = |status| uncounted(|| encode(&change(changed.iter().copied(), status)));
+    without_counting(|| drop(list));
+    let encoded = |status| without_counting(|| encode(&change(changed.iter().copied(), status)));
     let changes = [encoded(away), encoded(Status::Ready)];
     let (mut now, mut next) = (START, 0);
     let step = move || {
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -3,7 +3,7 @@
 use super::Cost;
 use super::scenario::{List, Settings};
 use crate::ScaleError;
-use crate::alloc::uncounted;
+use crate::alloc::without_counting;
 use crate::deployment::{START, Service, whole_list};
 use crate::measure::{Operation, Traffic};
 use crate::player::Player;
@@ -61,7 +61,7 @@
 
 /// The file is read, as at a start and at SIGHUP.
 pub fn file_read(plans: usize) -> Result<Operation, ScaleError> {
-    let text = uncounted(|| {
+    let text = without_counting(|| {
         let settings = service(plans).nested();
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1, "settings": settings})
             .to_string()
@@ -105,10 +105,10 @@
 /// The module acts on a version from now on.
 pub fn in_force(plans: usize, servers: usize) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&service(plans))?;
-    let list = uncounted(|| whole_list(servers));
+    let list = without_counting(|| whole_list(servers));
     replica.take(START, &list);
-    uncounted(|| drop(list));
-    let next = uncounted(|| service(plans).settings());
+    without_counting(|| drop(list));
+    let next = without_counting(|| service(plans).settings());
     let mut now = START;
     let step = move || {
         now += 1_000_000;
--- a/crates/scale/tests/guard.rs
+++ b/crates/scale/tests/guard.rs
@@ -2,7 +2,7 @@
 //! larger one. A count is the same in every run.
 
 use scale::ScaleError;
-use scale::alloc::Counting;
+use scale::alloc::CountingAllocator;
 use scale::deployment::{encode, whole_list};
 use scale::measure::{Figures, Operation, measure};
 use scale::replica::read_watch_within;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 type Prepare = fn(u64) -> Result<Operation, ScaleError>;
 type Figure = fn(&Figures) -> f64;
