--- a/crates/scale/src/gateway_driver.rs
+++ b/crates/scale/src/gateway_driver.rs
@@ -84,9 +84,9 @@
         arrival_interval: Nanos,
     ) -> Result<GatewayDriver, ScaleError> {
         let mut replica = Replica::new(service)?;
-        let list = alloc::uncounted(|| crate::deployment::full_list(servers));
+        let list = alloc::without_counting(|| crate::deployment::full_list(servers));
         replica.apply(START_TIME, &list);
-        alloc::uncounted(|| drop(list));
+        alloc::without_counting(|| drop(list));
         let mut line = CounterConnection::default();
         line.connected(&mut Vec::new(), START_TIME);
         Ok(GatewayDriver {
@@ -181,16 +181,16 @@
                 Call { serial: self.last_call, name, add, ttl: forget },
             );
             self.traffic.sent.add(self.written.len());
-            let total = alloc::uncounted(|| {
+            let total = alloc::without_counting(|| {
                 let total = self.totals.entry(name).or_insert(0.0);
                 *total += add;
                 *total
             });
-            let answer = alloc::uncounted(|| counter_reply(total));
+            let answer = alloc::without_counting(|| counter_reply(total));
             self.traffic.received.add(answer.len());
             let mut ended = Vec::new();
             let _ = self.line.feed(now, &answer, &mut ended);
-            alloc::uncounted(|| drop(answer));
+            alloc::without_counting(|| drop(answer));
             for (call, how, total) in ended {
                 self.replica.controller.on_counter_reply(&mut self.host, now, call.name, how, total);
             }
@@ -200,7 +200,7 @@
 
 impl Drop for GatewayDriver {
     fn drop(&mut self) {
-        alloc::uncounted(|| drop(std::mem::take(&mut self.totals)));
+        alloc::without_counting(|| drop(std::mem::take(&mut self.totals)));
     }
 }
 
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -129,7 +129,7 @@
             lists_in_force: PropagationDelays::new(from),
             versions_in_force: PropagationDelays::new(from),
             counts: RunCounters::default(),
-            memory: Memory { before: alloc::counts().held, ..Memory::default() },
+            memory: Memory { before: alloc::process_counts().live_bytes, ..Memory::default() },
             rng: rng::stream(scenario.seed, Stream::Faults),
             settings: scenario.flat_settings(),
             zones,
@@ -151,7 +151,7 @@
             fleet.add_node(number);
         }
         (0..played).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
-        fleet.memory.after_start = alloc::counts().held.saturating_sub(fleet.memory.before);
+        fleet.memory.after_start = alloc::process_counts().live_bytes.saturating_sub(fleet.memory.before);
         fleet.schedule_events(from);
         fleet
     }
@@ -180,9 +180,9 @@
         while let Some((now, event)) = self.queue.pop_until(self.end - 1) {
             self.handle(now, event);
         }
-        let counts = alloc::counts();
-        self.memory.at_end = counts.held.saturating_sub(self.memory.before);
-        self.memory.peak = counts.peak.saturating_sub(self.memory.before);
+        let counts = alloc::process_counts();
+        self.memory.at_end = counts.live_bytes.saturating_sub(self.memory.before);
+        self.memory.peak = counts.peak_bytes.saturating_sub(self.memory.before);
     }
 
     fn handle(&mut self, now: Nanos, event: Event) {
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -3,7 +3,7 @@
 use super::Cost;
 use super::scenario::{List, Settings};
 use crate::ScaleError;
-use crate::alloc::uncounted;
+use crate::alloc::without_counting;
 use crate::deployment::{START_TIME, ServiceConfig, full_list};
 use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
@@ -61,7 +61,7 @@
 
 /// The file is read, as at a start and at SIGHUP.
 pub fn file_read(plans: usize) -> Result<Operation, ScaleError> {
-    let text = uncounted(|| {
+    let text = without_counting(|| {
         let settings = service(plans).nested_settings();
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1, "settings": settings})
             .to_string()
@@ -105,10 +105,10 @@
 /// The module acts on a version from now on.
 pub fn in_force(plans: usize, servers: usize) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&service(plans))?;
-    let list = uncounted(|| full_list(servers));
+    let list = without_counting(|| full_list(servers));
     replica.apply(START_TIME, &list);
-    uncounted(|| drop(list));
-    let next = uncounted(|| service(plans).flat_settings());
+    without_counting(|| drop(list));
+    let next = without_counting(|| service(plans).flat_settings());
     let mut now = START_TIME;
     let step = move || {
         now += 1_000_000;
