--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -1,22 +1,22 @@
 //! The emulated fleet: runs hollow gateways, their discovery agents, the servers and the counter on one
 //! emulated clock.
 
-use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, Lines};
-use super::figures::{Counts, InForce, Processor, Work, processor_now};
+use super::discovery::{Discovery, HEARTBEAT, HEARTBEAT_EVERY, WatchData};
 use super::gateway::{AgreementStart, HollowGateway, StartParams};
 use super::rpcs::{CounterCall, Load};
 use super::scenario::Scenario;
-use super::script::Step;
 use super::settings_agreement::VersionFile;
+use super::stats::{CpuUsage, PropagationDelays, RunCounters, WorkKind, thread_cpu_time};
+use super::steps::Step;
 use super::traffic::{ControlLoad, Direction, MeasuredPeriod, Peer, Traffic};
 use super::{Nanos, SEC, nanos};
 use crate::alloc;
 use agreement::config::AgreementConfig;
 use agreement::version::{Fallback, Version};
 use gateway::services::Services;
-use lab::chance::{self, Stream};
 use lab::counter::Counter;
-use lab::queue::Queue;
+use lab::queue::EventQueue;
+use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Servers};
 use martenramp::host::{CallOutcome, Settings};
 use rand::Rng;
@@ -101,7 +101,7 @@
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub measured: MeasuredPeriod,
-    pub(super) queue: Queue<Event>,
+    pub(super) queue: EventQueue<Event>,
     pub(super) nodes: Vec<GatewayNode>,
     pub discovery: Discovery,
     pub(super) servers: Servers,
@@ -109,10 +109,10 @@
     pub(super) load: Load,
     pub traffic: Traffic,
     pub control: ControlTraffic,
-    pub processor: Processor,
-    pub lists_in_force: InForce,
-    pub versions_in_force: InForce,
-    pub counts: Counts,
+    pub processor: CpuUsage,
+    pub lists_in_force: PropagationDelays,
+    pub versions_in_force: PropagationDelays,
+    pub counts: RunCounters,
     pub memory: Memory,
     pub(super) rng: ChaCha8Rng,
     settings: Settings,
@@ -131,15 +131,15 @@
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
         let measured = MeasuredPeriod { from, seconds: scenario.seconds.ceil() as usize };
-        let played = scenario.played();
+        let played = scenario.simulated_gateways();
         let control_load = || ControlLoad::new(measured, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
             scenario,
             measured,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             nodes: Vec::with_capacity(played),
-            discovery: Discovery::new(&zones, scenario.services, scenario.servers_in_all(), scenario.servers),
+            discovery: Discovery::new(&zones, scenario.services, scenario.total_servers(), scenario.servers),
             servers: build_servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
@@ -149,25 +149,25 @@
                 counter: control_load(),
                 datagrams: control_load(),
             },
-            processor: Processor::new(measured, played),
-            lists_in_force: InForce::new(from),
-            versions_in_force: InForce::new(from),
-            counts: Counts::default(),
-            memory: Memory { before: alloc::counts().held, ..Memory::default() },
-            rng: chance::stream(scenario.seed, Stream::Troubles),
-            settings: scenario.settings(),
+            processor: CpuUsage::new(measured, played),
+            lists_in_force: PropagationDelays::new(from),
+            versions_in_force: PropagationDelays::new(from),
+            counts: RunCounters::default(),
+            memory: Memory { before: alloc::process_counts().live_bytes, ..Memory::default() },
+            rng: rng::stream(scenario.seed, Stream::Faults),
+            settings: scenario.flat_settings(),
             zones,
             agreement_config: scenario.agreement.as_ref().map(|agreement| AgreementConfig {
                 voters: (0..agreement.voters as u32).collect(),
                 lease_duration: nanos(agreement.lease),
-                max_clock_error: nanos(agreement.clock),
+                max_clock_error: nanos(agreement.max_clock_error),
             }),
             versions: Vec::new(),
             isolated_region: None,
             end: from + nanos(scenario.seconds),
         };
-        fleet.queue.at(EPOCH, Event::RpcArrival);
-        fleet.queue.at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
+        fleet.queue.schedule_at(EPOCH, Event::RpcArrival);
+        fleet.queue.schedule_at(EPOCH + HEARTBEAT_EVERY, Event::Heartbeat);
         if fleet.agreement_config.is_some() {
             fleet.versions.push(Arc::new(VersionFile::new(fleet.make_version(1, 0), 0)));
         }
@@ -175,17 +175,18 @@
             fleet.add_node(number);
         }
         (0..played).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
-        fleet.memory.after_start = alloc::counts().held.saturating_sub(fleet.memory.before);
-        fleet.schedule_script(from);
+        fleet.memory.after_start = alloc::process_counts().live_bytes.saturating_sub(fleet.memory.before);
+        fleet.schedule_events(from);
         fleet
     }
 
     fn add_node(&mut self, number: usize) {
         let zone = number % self.scenario.zones;
-        let services =
-            (0..self.scenario.services_each()).map(|nth| self.scenario.service_met(number, nth)).collect();
+        let services = (0..self.scenario.services_per_gateway())
+            .map(|nth| self.scenario.gateway_service(number, nth))
+            .collect();
         let delays = &self.scenario.discovery;
-        let delay = self.rng.random_range(delays.delay_ms_least..=delays.delay_ms_most);
+        let delay = self.rng.random_range(delays.min_delay_ms..=delays.max_delay_ms);
         self.discovery.add_agent(services, nanos(delay / 1e3));
         self.nodes.push(GatewayNode {
             running: None,
@@ -200,25 +201,29 @@
 
     /// Runs until the scenario's end.
     pub fn run(&mut self) {
-        while let Some((now, event)) = self.queue.next(self.end - 1) {
+        while let Some((now, event)) = self.queue.pop_until(self.end - 1) {
             self.handle(now, event);
         }
-        let counts = alloc::counts();
-        self.memory.at_end = counts.held.saturating_sub(self.memory.before);
-        self.memory.peak = counts.peak.saturating_sub(self.memory.before);
+        let counts = alloc::process_counts();
+        self.memory.at_end = counts.live_bytes.saturating_sub(self.memory.before);
+        self.memory.peak = counts.peak_bytes.saturating_sub(self.memory.before);
     }
 
     fn handle(&mut self, now: Nanos, event: Event) {
         match event {
             Event::RpcArrival => self.on_rpc_arrival(now),
             Event::Timer { gateway, incarnation, token } => {
-                self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_timer(now, token));
+                self.run_gateway(now, gateway, incarnation, WorkKind::Rpcs, |hollow| {
+                    hollow.on_timer(now, token)
+                });
             }
             Event::AttemptAtServer { attempt, server, server_incarnation } => {
                 self.on_attempt_at_server(now, attempt, server, server_incarnation)
             }
             Event::AttemptEnd { attempt, outcome } => self.on_attempt_end(now, attempt, outcome),
-            Event::SlotFreed { server, server_incarnation } => self.servers.free(server, server_incarnation),
+            Event::SlotFreed { server, server_incarnation } => {
+                self.servers.release_slot(server, server_incarnation)
+            }
             Event::CounterRequest(call) => self.on_counter_request(now, call),
             Event::CounterReply { gateway, incarnation, connection, bytes } => {
                 self.on_counter_reply(now, gateway, incarnation, connection, &bytes)
@@ -226,7 +231,7 @@
             Event::CounterTimeout { gateway, incarnation, connection, serial } => {
                 let time_out =
                     |hollow: &mut HollowGateway| hollow.on_counter_timeout(now, connection, serial);
-                self.run_gateway(now, gateway, incarnation, Work::Counter, time_out);
+                self.run_gateway(now, gateway, incarnation, WorkKind::Counter, time_out);
             }
             Event::AgentWrite { agent } => self.on_agent_write(now, agent),
             Event::Heartbeat => self.heartbeat(now),
@@ -237,7 +242,7 @@
             }
             Event::Datagram { from, region, bytes } => self.deliver_datagram(now, from, region, &bytes),
             Event::VersionFileArrival { gateway, version } => self.on_version_file(now, gateway, version),
-            Event::Step(step) => self.carry_out(now, step),
+            Event::Step(step) => self.run_step(now, step),
         }
     }
 
@@ -248,14 +253,14 @@
         now: Nanos,
         gateway: usize,
         incarnation: u32,
-        work: Work,
+        work: WorkKind,
         action: impl FnOnce(&mut HollowGateway) -> T,
     ) -> Option<T> {
         let node = &mut self.nodes[gateway];
         let hollow = node.running.as_mut().filter(|_| node.incarnation == incarnation)?;
-        let started = processor_now();
+        let started = thread_cpu_time();
         let result = action(hollow);
-        self.processor.add(now, gateway, work, processor_now() - started);
+        self.processor.add(now, gateway, work, thread_cpu_time() - started);
         self.perform_actions(now, gateway, work);
         Some(result)
     }
@@ -273,14 +278,15 @@
         let params = StartParams {
             number: gateway as u32,
             zone: node.zone,
-            seed: chance::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
+            seed: rng::gateway_seed(self.scenario.seed, gateway as u32, incarnation),
             settings: &self.settings,
             zones: &self.zones,
             services: self.scenario.services as u32,
             agreement: agreement.map(|(file, config)| AgreementStart { file, config, fresh: first }),
         };
         node.running = Some(HollowGateway::new(&params, now));
-        let initial_list = (self.scenario.discovery.known || !first).then(|| self.discovery.known(gateway));
+        let initial_list = (self.scenario.discovery.starts_with_list || !first)
+            .then(|| self.discovery.initial_list(gateway));
         if let Some((list, changes)) = initial_list {
             let list = serde_json::from_str(&list)
                 .ok()
@@ -289,14 +295,14 @@
                 list.into_iter().for_each(|update| hollow.apply_update(now, update));
                 hollow.watch_retry_delay(now)
             };
-            let delay = self.run_gateway(now, gateway, incarnation, Work::List, read_list).unwrap_or(0);
+            let delay = self.run_gateway(now, gateway, incarnation, WorkKind::List, read_list).unwrap_or(0);
             self.record_lists_in_force(now, gateway, &changes);
-            self.queue.after(delay, Event::WatchRequest { gateway, incarnation });
+            self.queue.schedule_after(delay, Event::WatchRequest { gateway, incarnation });
         } else {
-            self.queue.at(now, Event::WatchRequest { gateway, incarnation });
+            self.queue.schedule_at(now, Event::WatchRequest { gateway, incarnation });
         }
         let first_sweep = self.rng.random_range(0..SWEEP_INTERVAL);
-        self.queue.at(now + first_sweep, Event::Sweep { gateway, incarnation });
+        self.queue.schedule_at(now + first_sweep, Event::Sweep { gateway, incarnation });
         self.evaluate_agreement(now, gateway, incarnation);
     }
 
@@ -305,7 +311,7 @@
         let node = &mut self.nodes[gateway];
         if let Some(hollow) = node.running.take() {
             let measured = hollow.rpcs.values().filter(|rpc| rpc.arrived >= self.measured.from);
-            self.counts.cut += measured.count() as u64;
+            self.counts.lost += measured.count() as u64;
         }
     }
 
@@ -317,7 +323,7 @@
 
     fn on_agent_write(&mut self, now: Nanos, agent: usize) {
         let is_watching = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if let Some(lines) = self.discovery.write(now, agent, is_watching) {
+        if let Some(lines) = self.discovery.take_due_changes(now, agent, is_watching) {
             self.deliver_list(now, agent, &lines);
         }
         self.schedule_agent_write(now, agent);
@@ -326,22 +332,24 @@
     /// Schedules an agent's next write, if it has changes to send and its gateway has an open watch.
     pub(super) fn schedule_agent_write(&mut self, now: Nanos, agent: usize) {
         let is_watching = self.nodes[agent].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-        if is_watching && let Some(at) = self.discovery.writes_next(now, agent) {
-            self.queue.at(at, Event::AgentWrite { agent });
+        if is_watching && let Some(at) = self.discovery.schedule_next_write(now, agent) {
+            self.queue.schedule_at(at, Event::AgentWrite { agent });
         }
     }
 
     /// Delivers an agent's bytes to its gateway.
-    fn deliver_list(&mut self, now: Nanos, gateway: usize, lines: &Lines) {
+    fn deliver_list(&mut self, now: Nanos, gateway: usize, lines: &WatchData) {
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Received, lines.bytes.len());
         self.control.discovery.add(now, self.control_machine(gateway), lines.bytes.len());
         let incarnation = self.nodes[gateway].incarnation;
-        let started = processor_now();
+        let started = thread_cpu_time();
         let receive = |hollow: &mut HollowGateway| hollow.receive_list_bytes(now, &lines.bytes);
-        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::List, receive) else { return };
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, WorkKind::List, receive) else {
+            return;
+        };
         if outcome.entries > 0 && now >= self.measured.from {
             self.counts.list_bytes += lines.bytes.len() as u64;
-            self.processor.list_changes.saturating_record(processor_now() - started);
+            self.processor.list_changes.saturating_record(thread_cpu_time() - started);
         }
         if outcome.error.is_some() {
             return self.retry_watch(now, gateway, incarnation);
@@ -353,16 +361,16 @@
         let started_at = self.nodes[gateway].started_at;
         for change in changes {
             let at = self.discovery.changes[*change as usize].at;
-            self.lists_in_force.reached(at, started_at, now);
+            self.lists_in_force.record(at, started_at, now);
         }
     }
 
     fn heartbeat(&mut self, now: Nanos) {
-        self.queue.at(now + HEARTBEAT_EVERY, Event::Heartbeat);
-        let lines = Lines { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
+        self.queue.schedule_at(now + HEARTBEAT_EVERY, Event::Heartbeat);
+        let lines = WatchData { bytes: Rc::new(HEARTBEAT.to_vec()), changes: Vec::new() };
         for gateway in 0..self.nodes.len() {
             let is_watching = self.nodes[gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-            if is_watching && self.discovery.is_up(gateway) {
+            if is_watching && self.discovery.is_agent_up(gateway) {
                 self.deliver_list(now, gateway, &lines);
             }
         }
@@ -370,12 +378,12 @@
 
     fn request_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let request_watch = |hollow: &mut HollowGateway| hollow.request_watch(now);
-        let Some(request) = self.run_gateway(now, gateway, incarnation, Work::List, request_watch) else {
+        let Some(request) = self.run_gateway(now, gateway, incarnation, WorkKind::List, request_watch) else {
             return;
         };
         self.counts.watch_requests += u64::from(now >= self.measured.from);
         let from = self.nodes[gateway].running.as_ref().map_or(0, |hollow| hollow.watch.index);
-        let Some(lines) = self.discovery.answer(gateway, from) else {
+        let Some(lines) = self.discovery.watch_response(gateway, from) else {
             return self.retry_watch(now, gateway, incarnation); // the agent is down
         };
         self.traffic.add(now, gateway, Peer::Discovery, Direction::Sent, request.len());
@@ -386,16 +394,18 @@
     /// Handles the end of a watch: schedules the next request after the retry delay.
     pub(super) fn retry_watch(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let schedule_retry = |hollow: &mut HollowGateway| hollow.watch_retry_delay(now);
-        if let Some(delay) = self.run_gateway(now, gateway, incarnation, Work::List, schedule_retry) {
+        if let Some(delay) = self.run_gateway(now, gateway, incarnation, WorkKind::List, schedule_retry) {
             self.counts.watches_broken += u64::from(now >= self.measured.from);
-            self.queue.after(delay, Event::WatchRequest { gateway, incarnation });
+            self.queue.schedule_after(delay, Event::WatchRequest { gateway, incarnation });
         }
     }
 
     fn sweep(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let sweep = |hollow: &mut HollowGateway| hollow.sweep(now);
-        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::Counter, sweep) else { return };
-        self.queue.after(SWEEP_INTERVAL, Event::Sweep { gateway, incarnation });
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, WorkKind::Counter, sweep) else {
+            return;
+        };
+        self.queue.schedule_after(SWEEP_INTERVAL, Event::Sweep { gateway, incarnation });
         for ping in outcome.pings {
             self.send_ping(now, gateway, incarnation, ping.connection, &ping.bytes);
         }
@@ -427,7 +437,7 @@
         let version = self.versions.len() - 1;
         for gateway in 0..self.nodes.len() {
             let after = self.rng.random_range(0..=spread);
-            self.queue.after(after, Event::VersionFileArrival { gateway, version });
+            self.queue.schedule_after(after, Event::VersionFileArrival { gateway, version });
         }
     }
 
@@ -442,7 +452,7 @@
         let offer = |hollow: &mut HollowGateway| {
             hollow.agreement.as_mut().is_some_and(|agreement| agreement.offer_version(now, &file))
         };
-        if self.run_gateway(now, gateway, incarnation, Work::Agreement, offer).is_some() {
+        if self.run_gateway(now, gateway, incarnation, WorkKind::Agreement, offer).is_some() {
             self.evaluate_agreement(now, gateway, incarnation);
         }
     }
@@ -450,7 +460,7 @@
     /// Evaluates a gateway's agreement and sends its due datagrams to all regions.
     fn evaluate_agreement(&mut self, now: Nanos, gateway: usize, incarnation: u32) {
         let evaluate = |hollow: &mut HollowGateway| hollow.evaluate_agreement(now);
-        let Some(outcome) = self.run_gateway(now, gateway, incarnation, Work::Agreement, evaluate) else {
+        let Some(outcome) = self.run_gateway(now, gateway, incarnation, WorkKind::Agreement, evaluate) else {
             return;
         };
         for bytes in outcome.datagrams {
@@ -458,11 +468,12 @@
             let bytes = Rc::new(bytes);
             for region in 0..self.scenario.regions {
                 let after = self.network_delay(self.nodes[gateway].region, region);
-                self.queue.after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
+                self.queue
+                    .schedule_after(after, Event::Datagram { from: gateway, region, bytes: bytes.clone() });
             }
         }
         if let Some(next) = outcome.next_evaluation {
-            self.queue.at(next, Event::EvaluateAgreement { gateway, incarnation });
+            self.queue.schedule_at(next, Event::EvaluateAgreement { gateway, incarnation });
         }
         if let Some(version) = outcome.in_force {
             self.record_version_in_force(now, gateway, version);
@@ -475,7 +486,7 @@
         node.version_in_force = previous.max(version);
         for number in previous + 1..=version {
             let published_at = self.versions[number as usize - 1].published_at;
-            self.versions_in_force.reached(published_at, started_at, now);
+            self.versions_in_force.record(published_at, started_at, now);
         }
     }
 
@@ -493,7 +504,7 @@
             self.traffic.add(now, gateway, Peer::Gateways, Direction::Received, bytes.len());
             self.control.datagrams.add(now, self.control_machine(gateway), bytes.len());
             let receive = |hollow: &mut HollowGateway| hollow.receive_datagram(now, bytes);
-            self.run_gateway(now, gateway, incarnation, Work::Agreement, receive);
+            self.run_gateway(now, gateway, incarnation, WorkKind::Agreement, receive);
             self.evaluate_agreement(now, gateway, incarnation);
         }
     }
@@ -515,13 +526,13 @@
     pub fn versions_not_in_force(&self) -> u64 {
         let measured =
             self.versions.iter().filter(|file| file.published_at >= self.measured.from).count() as u64;
-        (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.times.len())
+        (measured * self.nodes.len() as u64).saturating_sub(self.versions_in_force.delays.len())
     }
 }
 
 fn build_servers(scenario: &Scenario) -> Servers {
     let model = lab::scenario::Servers {
-        count: scenario.servers_in_all() as u32,
+        count: scenario.total_servers() as u32,
         zones: scenario.zones as u32,
         slots: scenario.server.slots,
         service_ms: scenario.server.service_ms,
@@ -530,7 +541,7 @@
         cold_share: scenario.server.cold_share,
         error_share: 0.0,
     };
-    let mut servers = Servers::new(&model, chance::stream(scenario.seed, Stream::Servers));
-    (scenario.servers..scenario.servers_in_all()).for_each(|spare| servers.down(spare as u32));
+    let mut servers = Servers::new(&model, rng::stream(scenario.seed, Stream::Servers));
+    (scenario.servers..scenario.total_servers()).for_each(|spare| servers.take_down(spare as u32));
     servers
 }
--- a/crates/scale/src/hollow/gateway.rs
+++ b/crates/scale/src/hollow/gateway.rs
@@ -4,15 +4,15 @@
 //! It is fed the bytes that the sockets would receive, and returns the bytes that they would send.
 
 use super::Nanos;
-use super::discovery::number_of;
+use super::discovery::server_number;
 use super::settings_agreement::{AgreementHandler, VersionFile};
-use crate::replica::batches;
+use crate::replica::apply_update;
 use agreement::config::AgreementConfig;
 use gateway::counter::{self, Call, CounterConnection};
 use gateway::list::{self, ListUpdate, Watch};
 use gateway::name_ids::NameIds;
 use gateway::servers::Servers;
-use lab::gates::Wishes;
+use lab::policies::HostActions;
 use martenramp::admission::AdmissionController;
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, Settings};
 use martenramp::subsetting;
@@ -97,7 +97,7 @@
     pub watch: Watch,
     /// A watch is open or has been requested.
     pub is_watching: bool,
-    pub wishes: Wishes,
+    pub actions: HostActions,
     pub rpcs: BTreeMap<u32, OpenRpc>,
     /// Open attempts, by RPC and number of the attempt.
     pub attempts: BTreeMap<(u32, u16), OpenAttempt>,
@@ -151,7 +151,7 @@
             controller: AdmissionController::new(params.seed, settings),
             watch: Watch::new(0, ENTRY_MEMORY_LIMIT),
             is_watching: false,
-            wishes: Wishes::default(),
+            actions: HostActions::default(),
             rpcs: BTreeMap::new(),
             attempts: BTreeMap::new(),
             agreement,
@@ -228,8 +228,8 @@
     fn apply_filtered(&mut self, now: Nanos, update: ListUpdate) {
         let entries = update.entries.iter();
         self.emulated_servers_by_key
-            .extend(entries.map(|entry| (subsetting::key(&entry.name), number_of(&entry.name))));
-        for mut list in batches(update, &mut self.servers, &mut self.name_ids) {
+            .extend(entries.map(|entry| (subsetting::key(&entry.name), server_number(&entry.name))));
+        for mut list in apply_update(update, &mut self.servers, &mut self.name_ids) {
             for listed in &mut list {
                 let server = self.emulated_servers_by_key.get(&listed.key).copied().unwrap_or(u32::MAX);
                 listed.service = server % self.service_count;
@@ -253,11 +253,11 @@
 
     pub fn on_arrival(&mut self, now: Nanos, arrival: &Arrival) {
         self.rpcs.insert(arrival.id, OpenRpc { arrived: now, deadline: arrival.deadline, attempts: 0 });
-        self.controller.on_arrival(&mut self.wishes, now, arrival);
+        self.controller.on_arrival(&mut self.actions, now, arrival);
     }
 
     pub fn on_timer(&mut self, now: Nanos, token: u32) {
-        self.controller.on_timer(&mut self.wishes, now, token);
+        self.controller.on_timer(&mut self.actions, now, token);
     }
 
     /// Ends an attempt, if it is still open. Returns the RPC if this attempt answered it.
@@ -283,7 +283,7 @@
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.controller.on_attempt_end(&mut self.wishes, now, &ended);
+        self.controller.on_attempt_end(&mut self.actions, now, &ended);
         answered
     }
 
@@ -315,14 +315,14 @@
             ended.extend(lost.into_iter().map(|(call, outcome)| (call, outcome, 0.0)));
         }
         for (call, outcome, total) in ended {
-            self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, total);
+            self.controller.on_counter_reply(&mut self.actions, now, call.name, outcome, total);
         }
     }
 
     /// Ends a call to the counter that has reached its timeout.
     pub fn on_counter_timeout(&mut self, now: Nanos, connection: usize, serial: u64) {
         if let Some((call, outcome)) = self.connections[connection].time_out_call(serial) {
-            self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, 0.0);
+            self.controller.on_counter_reply(&mut self.actions, now, call.name, outcome, 0.0);
         }
     }
 
@@ -334,7 +334,7 @@
         for connection in 0..self.connections.len() {
             if self.connections[connection].is_unresponsive(now) {
                 for (call, outcome) in self.connections[connection].disconnect() {
-                    self.controller.on_counter_reply(&mut self.wishes, now, call.name, outcome, 0.0);
+                    self.controller.on_counter_reply(&mut self.actions, now, call.name, outcome, 0.0);
                 }
             } else if self.connections[connection].is_connected
                 && now > self.connections[connection].last_write + counter::PING_INTERVAL
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -11,13 +11,13 @@
 //! emulated clock. `docs/scale-hollow.md` explains each of them.
 
 mod discovery;
-mod figures;
 mod fleet;
 mod gateway;
 mod rpcs;
 pub mod scenario;
-mod script;
 mod settings_agreement;
+mod stats;
+mod steps;
 mod tables;
 mod traffic;
 
@@ -49,7 +49,7 @@
     let started = Instant::now();
     let tables = play(&scenario);
     tables.write(&args.out.join(&scenario.name))?;
-    print!("{}", tables.shown());
+    print!("{}", tables.summary());
     println!("played in {:.0} s", started.elapsed().as_secs_f64());
     Ok(())
 }
@@ -58,5 +58,5 @@
 pub fn play(scenario: &Scenario) -> Tables {
     let mut fleet = fleet::Fleet::new(scenario);
     fleet.run();
-    Tables::of(&fleet)
+    Tables::from_fleet(&fleet)
 }
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -1,13 +1,13 @@
 //! The load on a hollow fleet: arrivals of RPCs, their attempts at servers, and calls to the counter.
 
-use super::figures::{Counts, Work};
 use super::fleet::{Event, Fleet};
 use super::gateway::{OpenAttempt, OpenRpc, SentCall};
 use super::scenario::Scenario;
+use super::stats::{RunCounters, WorkKind};
 use super::traffic::{Direction, Peer};
 use super::{Nanos, SEC, nanos};
-use lab::chance::{self, Stream};
-use lab::gates::Wish;
+use lab::policies::HostAction;
+use lab::rng::{self, Stream};
 use lab::servers::{AttemptRef, Disposition};
 use martenramp::host::{Arrival, CallOutcome};
 use rand::Rng;
@@ -68,26 +68,30 @@
 impl Load {
     /// Requires a validated scenario: all shares are above 0.
     pub fn new(scenario: &Scenario) -> Load {
-        let mut rng = chance::stream(scenario.seed, Stream::Arrivals);
+        let mut rng = rng::stream(scenario.seed, Stream::Arrivals);
         let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is validated");
-        let tenant_count = scenario.tenants_played();
+        let tenant_count = scenario.simulated_tenants();
         let shares: Vec<f64> = (0..tenant_count).map(|_| shares.sample(&mut rng)).collect();
-        let played = scenario.played() as u32;
+        let played = scenario.simulated_gateways() as u32;
         let tenants =
             (0..tenant_count).map(|_| Tenant { first_gateway: rng.random_range(0..played) }).collect();
         let methods = scenario.load.methods.iter().map(|method| {
-            let class = scenario.class(&method.name).unwrap_or(0);
-            Method { class: class as u16, deadline: nanos(scenario.deadline(class)), units: method.units }
+            let class = scenario.class_index(&method.name).unwrap_or(0);
+            Method {
+                class: class as u16,
+                deadline: nanos(scenario.class_deadline(class)),
+                units: method.units,
+            }
         });
-        let settings = scenario.settings();
+        let settings = scenario.flat_settings();
         let duration = |name: &str, default: Nanos| {
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
         let rate = scenario.rate * f64::from(played);
         let is_recorded =
-            scenario.played() == scenario.gateways && rate * scenario.seconds < MAX_RECORDED_RPCS;
+            scenario.simulated_gateways() == scenario.gateways && rate * scenario.seconds < MAX_RECORDED_RPCS;
         Load {
-            plan: scenario.plan().unwrap_or(0),
+            plan: scenario.plan_index().unwrap_or(0),
             methods: methods.collect(),
             tenants,
             tenant_distribution: WeightedIndex::new(shares).expect("there are tenants with positive weights"),
@@ -117,7 +121,7 @@
             return;
         }
         let interarrival = self.load.next_interarrival();
-        self.queue.after(interarrival, Event::RpcArrival);
+        self.queue.schedule_after(interarrival, Event::RpcArrival);
         let load = &mut self.load;
         let tenant = load.tenant_distribution.sample(&mut load.rng);
         let method_index = load.method_distribution.sample(&mut load.rng);
@@ -126,19 +130,19 @@
         let gateways = (0..width).map(|offset| (first_gateway + (start + offset) % width) % self.nodes.len());
         let Some(gateway) = gateways.into_iter().find(|gateway| self.nodes[*gateway].running.is_some())
         else {
-            self.count(now, |counts| (counts.rpcs, counts.cut) = (counts.rpcs + 1, counts.cut + 1));
+            self.count(now, |counts| (counts.rpcs, counts.lost) = (counts.rpcs + 1, counts.lost + 1));
             return;
         };
         let load = &mut self.load;
         load.last_rpc = load.last_rpc.wrapping_add(1);
         let method = &load.methods[method_index];
-        let service_index = load.rng.random_range(0..self.scenario.services_each());
+        let service_index = load.rng.random_range(0..self.scenario.services_per_gateway());
         let arrival = Arrival {
             id: load.last_rpc,
             method: method.class,
             plan: load.plan as u16,
             customer: tenant as u64 + 1,
-            service: self.scenario.service_met(gateway, service_index),
+            service: self.scenario.gateway_service(gateway, service_index),
             deadline: now + method.deadline - DEADLINE_MARGIN,
             units: method.units,
             gateway_count: width as u32,
@@ -146,60 +150,74 @@
         };
         self.count(now, |counts| counts.rpcs += 1);
         let incarnation = self.nodes[gateway].incarnation;
-        self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| hollow.on_arrival(now, &arrival));
+        self.run_gateway(now, gateway, incarnation, WorkKind::Rpcs, |hollow| {
+            hollow.on_arrival(now, &arrival)
+        });
     }
 
     /// Updates the counts, if `now` is in the measured part of the run.
-    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut Counts)) {
+    pub(super) fn count(&mut self, now: Nanos, counts: impl FnOnce(&mut RunCounters)) {
         if now >= self.measured.from {
             counts(&mut self.counts);
         }
     }
 
     /// Counts the end of an RPC, if the RPC arrived in the measured part of the run.
-    fn count_rpc_end(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut Counts) -> &mut u64) {
+    fn count_rpc_end(&mut self, rpc: Option<OpenRpc>, counter: impl FnOnce(&mut RunCounters) -> &mut u64) {
         if let Some(rpc) = rpc {
             self.count(rpc.arrived, |counts| *counter(counts) += 1);
         }
     }
 
     /// Performs the actions that a gateway requested of its host. Their processor time is attributed to `work`.
-    pub(super) fn perform_actions(&mut self, now: Nanos, gateway: usize, work: Work) {
+    pub(super) fn perform_actions(&mut self, now: Nanos, gateway: usize, work: WorkKind) {
         loop {
             let Some(hollow) = &mut self.nodes[gateway].running else { return };
-            let wishes = std::mem::take(&mut hollow.wishes.0);
-            if wishes.is_empty() {
+            let actions = std::mem::take(&mut hollow.actions.0);
+            if actions.is_empty() {
                 return;
             }
-            for wish in wishes {
-                self.perform_action(now, gateway, work, wish);
+            for action in actions {
+                self.perform_action(now, gateway, work, action);
             }
         }
     }
 
-    fn perform_action(&mut self, now: Nanos, gateway: usize, work: Work, wish: Wish) {
+    fn perform_action(&mut self, now: Nanos, gateway: usize, work: WorkKind, action: HostAction) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
-        match wish {
-            Wish::Wake { after, token } => {
-                self.queue.after(after, Event::Timer { gateway, incarnation, token })
+        match action {
+            HostAction::SetTimer { after, token } => {
+                self.queue.schedule_after(after, Event::Timer { gateway, incarnation, token })
             }
-            Wish::PushBack { rpc, .. } => {
+            HostAction::Reject { rpc, .. } => {
                 let ended = hollow.rpcs.remove(&rpc);
-                self.count_rpc_end(ended, |counts| &mut counts.pushed_back);
+                self.count_rpc_end(ended, |counts| &mut counts.rejected);
             }
-            Wish::Abort { rpc } => {
+            HostAction::Abort { rpc } => {
                 let ended = hollow.rpcs.remove(&rpc);
                 self.count_rpc_end(ended, |counts| &mut counts.aborted);
             }
-            Wish::CallOut { rpc, server, limit } => self.send_attempt(now, gateway, work, rpc, server, limit),
-            Wish::Count { name, add, forget } => self.call_counter(now, gateway, name, add, forget),
+            HostAction::SendAttempt { rpc, server, timeout } => {
+                self.send_attempt(now, gateway, work, rpc, server, timeout)
+            }
+            HostAction::AddToCounter { name, add, forget } => {
+                self.call_counter(now, gateway, name, add, forget)
+            }
         }
     }
 
     // ---- Attempts
 
-    fn send_attempt(&mut self, now: Nanos, gateway: usize, work: Work, rpc: u32, server: u32, limit: Nanos) {
+    fn send_attempt(
+        &mut self,
+        now: Nanos,
+        gateway: usize,
+        work: WorkKind,
+        rpc: u32,
+        server: u32,
+        limit: Nanos,
+    ) {
         let incarnation = self.nodes[gateway].incarnation;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let Some(open_rpc) = hollow.rpcs.get_mut(&rpc) else { return };
@@ -207,26 +225,28 @@
         let nth = open_rpc.attempts;
         open_rpc.attempts += 1;
         hollow.attempts.insert((rpc, nth), OpenAttempt { server, sent: now });
-        let attempt = AttemptRef { gateway: gateway as u32, incarnation, rpc, nth };
+        let attempt = AttemptRef { gateway: gateway as u32, incarnation, rpc, number: nth };
         let Some(emulated_server) = hollow.emulated_server(server).filter(|_| ends_at > now) else {
             self.run_gateway(now, gateway, incarnation, work, |hollow| {
                 hollow.on_attempt_end(now, rpc, nth, CallOutcome::NotSent)
             });
             return;
         };
-        self.count(now, |counts| counts.call_outs += 1);
+        self.count(now, |counts| counts.attempts += 1);
         let (region, server_region) = (self.nodes[gateway].region, self.region_of_server(emulated_server));
         if self.is_partitioned(region, server_region) {
-            return self.queue.after(
+            return self.queue.schedule_after(
                 self.load.connect_timeout,
                 Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
             );
         }
         let server_incarnation = self.servers.all[emulated_server as usize].incarnation;
         let after = self.network_delay(region, server_region);
-        self.queue
-            .after(after, Event::AttemptAtServer { attempt, server: emulated_server, server_incarnation });
-        self.queue.at(ends_at, Event::AttemptEnd { attempt, outcome: CallOutcome::TimedOut });
+        self.queue.schedule_after(
+            after,
+            Event::AttemptAtServer { attempt, server: emulated_server, server_incarnation },
+        );
+        self.queue.schedule_at(ends_at, Event::AttemptEnd { attempt, outcome: CallOutcome::TimedOut });
     }
 
     fn region_of_server(&self, server: u32) -> usize {
@@ -256,24 +276,24 @@
                         ended_at: now + after,
                     });
                 }
-                self.queue.after(after, Event::SlotFreed { server, server_incarnation });
+                self.queue.schedule_after(after, Event::SlotFreed { server, server_incarnation });
                 (after + reply_delay, if ok { CallOutcome::Ok } else { CallOutcome::Error })
             }
         };
-        self.queue.after(after, Event::AttemptEnd { attempt, outcome });
+        self.queue.schedule_after(after, Event::AttemptEnd { attempt, outcome });
     }
 
     pub(super) fn on_attempt_end(&mut self, now: Nanos, attempt: AttemptRef, outcome: CallOutcome) {
         let (gateway, incarnation) = (attempt.gateway as usize, attempt.incarnation);
         let is_open = self.nodes[gateway].running.as_ref().is_some_and(|hollow| {
             self.nodes[gateway].incarnation == incarnation
-                && hollow.attempts.contains_key(&(attempt.rpc, attempt.nth))
+                && hollow.attempts.contains_key(&(attempt.rpc, attempt.number))
         });
         if !is_open {
             return; // it timed out before, or had already ended when its time limit passed
         }
-        let ended = self.run_gateway(now, gateway, incarnation, Work::Rpcs, |hollow| {
-            hollow.on_attempt_end(now, attempt.rpc, attempt.nth, outcome)
+        let ended = self.run_gateway(now, gateway, incarnation, WorkKind::Rpcs, |hollow| {
+            hollow.on_attempt_end(now, attempt.rpc, attempt.number, outcome)
         });
         self.count_rpc_end(ended.flatten(), |counts| &mut counts.ok);
     }
@@ -285,18 +305,18 @@
         let region = self.nodes[gateway].region;
         let Some(hollow) = &mut self.nodes[gateway].running else { return };
         let SentCall { connection, serial, bytes } = hollow.call_counter(now, name, add, ttl);
-        self.count(now, |counts| counts.count_calls += 1);
+        self.count(now, |counts| counts.counter_calls += 1);
         self.traffic.add(now, gateway, Peer::Counter, Direction::Sent, bytes.len());
         let machine = self.counter_machine(name);
         self.control.counter.add(now, machine, bytes.len());
-        self.queue.after(
+        self.queue.schedule_after(
             self.load.counter_timeout,
             Event::CounterTimeout { gateway, incarnation, connection, serial },
         );
         if !self.is_partitioned(region, HOME_REGION) {
             let after = self.network_delay(region, HOME_REGION);
             let call = CounterCall { gateway, incarnation, connection, name, add, ttl };
-            self.queue.after(after, Event::CounterRequest(call));
+            self.queue.schedule_after(after, Event::CounterRequest(call));
         }
     }
 
@@ -324,7 +344,7 @@
     ) {
         let after = nanos(self.scenario.counter.latency_ms / 1e3)
             + self.network_delay(self.nodes[gateway].region, HOME_REGION);
-        self.queue.after(after, Event::CounterReply { gateway, incarnation, connection, bytes });
+        self.queue.schedule_after(after, Event::CounterReply { gateway, incarnation, connection, bytes });
     }
 
     pub(super) fn on_counter_reply(
@@ -341,7 +361,7 @@
             return;
         }
         self.traffic.add(now, gateway, Peer::Counter, Direction::Received, bytes.len());
-        self.run_gateway(now, gateway, incarnation, Work::Counter, |hollow| {
+        self.run_gateway(now, gateway, incarnation, WorkKind::Counter, |hollow| {
             hollow.receive_counter_bytes(now, connection, bytes)
         });
     }
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -78,12 +78,12 @@
 
 #[test]
 fn same_seed_gives_identical_tables_and_another_seed_different_ones() {
-    let first = tables(&all_features()).emulated().unwrap();
-    let repeated = tables(&all_features()).emulated().unwrap();
+    let first = tables(&all_features()).emulated_tables().unwrap();
+    let repeated = tables(&all_features()).emulated_tables().unwrap();
     assert_eq!(first, repeated);
     let mut other = scenario(&all_features());
     other.seed = 8;
-    assert_ne!(first, play(&other).emulated().unwrap());
+    assert_ne!(first, play(&other).emulated_tables().unwrap());
 }
 
 #[test]
@@ -92,10 +92,10 @@
     // Each of the 30 replacements is 3 changes: the old server drains, the new one is ready, the old one is
     // gone. 12 gateways use 2 of 6 services each, so 4 gateways use each service.
     assert_eq!(tables.run.list_changes, 90);
-    let lists = &tables.in_force[0];
-    assert_eq!((lists.what, lists.reached, lists.missing), ("list", 90 * 4, 0));
-    assert!(lists.p50_ms >= 10.0 && lists.most_ms <= 101.0, "{lists:?}");
-    assert!(tables.run.list_bytes_each > 0.0);
+    let lists = &tables.propagation[0];
+    assert_eq!((lists.what, lists.applied, lists.missing), ("list", 90 * 4, 0));
+    assert!(lists.p50_ms >= 10.0 && lists.max_ms <= 101.0, "{lists:?}");
+    assert!(tables.run.list_bytes_per_gateway > 0.0);
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let run = &tables.run;
     assert!(run.rpcs > 900 && run.rpcs < 1500, "{run:?}");
     assert!(run.ok <= run.rpcs && run.ok + 5 >= run.rpcs, "{run:?}");
-    assert!(run.count_calls > 0 && run.server_peak > 1.0, "{run:?}");
+    assert!(run.counter_calls > 0 && run.server_peak > 1.0, "{run:?}");
     let counter_rows = tables.traffic.iter().filter(|row| row.peer == "counter");
     assert!(counter_rows.map(|row| row.bytes_per_s).sum::<f64>() > 0.0);
 }
@@ -113,9 +113,9 @@
 fn versions_come_into_force_two_leases_after_the_last_machine_has_the_file() {
     let versions = event("kind = 'versions'\nat = 1.0\nseconds = 10.0\nevery = 5.0");
     let tables = tables(&format!("{AGREEMENT}{versions}"));
-    let row = &tables.in_force[1];
-    assert_eq!((row.what, row.reached, row.missing), ("version", 2 * 12, 0));
-    assert!(row.p50_ms >= 2500.0 && row.most_ms < 3500.0, "{row:?}");
+    let row = &tables.propagation[1];
+    assert_eq!((row.what, row.applied, row.missing), ("version", 2 * 12, 0));
+    assert!(row.p50_ms >= 2500.0 && row.max_ms < 3500.0, "{row:?}");
     let is_received = |peer, direction| (peer, direction) == ("gateways", "received");
     let received = tables.traffic.iter().find(|row| is_received(row.peer, row.direction)).unwrap();
     // Three voters send every quarter of the 1 s lease, and more often while a version is scheduled.
@@ -126,7 +126,7 @@
 fn zone_loss_and_return_take_one_list_object_each_per_gateway() {
     let tables = tables(&event("kind = 'zone_down'\nat = 2.0\nzone = 'c'\ntold_after = 1.0\nseconds = 8.0"));
     assert_eq!(tables.run.list_changes, 2 * 15, "{:?}", tables.run);
-    assert_eq!(tables.in_force[0].missing, 0);
+    assert_eq!(tables.propagation[0].missing, 0);
     let heartbeat_bytes = 12 * 6;
     let seconds_with_updates = tables.seconds.iter().filter(|second| second.list_bytes > heartbeat_bytes);
     assert_eq!(seconds_with_updates.count(), 2, "list updates in two seconds only");
@@ -136,16 +136,16 @@
 fn restarted_gateways_request_the_watch_once_and_continue() {
     let tables = tables(&event("kind = 'restart_gateways'\nat = 5.0\nshare = 0.5\ndown = 1.0"));
     assert_eq!(tables.run.watch_requests, 6, "{:?}", tables.run);
-    assert!(tables.run.ok + tables.run.cut + 5 >= tables.run.rpcs, "{:?}", tables.run);
+    assert!(tables.run.ok + tables.run.lost + 5 >= tables.run.rpcs, "{:?}", tables.run);
 }
 
 #[test]
 fn region_receives_missed_list_changes_after_a_partition() {
     let partition = event("kind = 'region_apart'\nat = 2.0\nregion = 1\nseconds = 8.0");
     let tables = tables(&format!("{}{partition}", churn()));
-    let lists = &tables.in_force[0];
+    let lists = &tables.propagation[0];
     assert_eq!(lists.missing, 0, "{lists:?}");
-    assert!(lists.most_ms > 3000.0, "{lists:?}");
+    assert!(lists.max_ms > 3000.0, "{lists:?}");
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let agents_lost = event("kind = 'agents_lost'\nat = 2.0\nshare = 0.34\nseconds = 6.0");
     let tables = tables(&format!("{}{agents_lost}", churn()));
     assert!(tables.run.watches_broken > 4, "{:?}", tables.run);
-    assert_eq!(tables.in_force[0].missing, 0, "{:?}", tables.in_force[0]);
+    assert_eq!(tables.propagation[0].missing, 0, "{:?}", tables.propagation[0]);
 }
 
 #[test]
