--- a/crates/gateway/tests/answer_delivery.rs
+++ b/crates/gateway/tests/answer_delivery.rs
@@ -135,8 +135,8 @@
     std::thread::sleep(waited); // for a slot
     others.clear();
     let wait_ms = remaining_ms_header(&server.next().1);
-    let left = remaining - waited.as_millis() as u64;
-    assert!(wait_ms <= left + 50, "{wait_ms} ms sent to the server, {left} ms left");
+    let left_ms = remaining - waited.as_millis() as u64;
+    assert!(wait_ms <= left_ms + 50, "{wait_ms} ms sent to the server, {left_ms} ms left");
 }
 
 #[test]
--- a/crates/gateway/tests/client_guarantees.rs
+++ b/crates/gateway/tests/client_guarantees.rs
@@ -285,8 +285,8 @@
     });
 }
 
-/// Runs a test concurrently for all ways to leave at [`Timing::AfterOtherClients`] and for a plain close at all timings,
-/// since each run takes seconds.
+/// Runs a test concurrently for all ways to leave at [`Timing::AfterOtherClients`] and for a plain close at all
+/// timings, since each run takes seconds.
 fn run_concurrently(run: impl Fn(Departure, Timing) + Sync) {
     let run = &run;
     std::thread::scope(|scope| {
@@ -570,7 +570,7 @@
         gateway.signal("-CONT");
         assert_eq!(client.answer().map(|got| status(&got)), Some(200));
         let wait_ms = remaining_ms_header(&server.next().1);
-        let left = remaining - stopped.as_millis() as u64;
-        assert!(wait_ms <= left + 30, "{wait_ms} ms sent to the server, {left} ms left");
+        let left_ms = remaining - stopped.as_millis() as u64;
+        assert!(wait_ms <= left_ms + 30, "{wait_ms} ms sent to the server, {left_ms} ms left");
     }
 }
--- a/crates/gateway/tests/idle_connections.rs
+++ b/crates/gateway/tests/idle_connections.rs
@@ -14,7 +14,7 @@
 /// Number of clients, and so about the number of idle connections to servers when the fault occurs.
 const CLIENTS: usize = 8;
 
-fn id_of(message: &str) -> String {
+fn transaction_id(message: &str) -> String {
     message.split("X-Txn: ").nth(1).and_then(|rest| rest.split('\r').next()).expect("an id").to_string()
 }
 
@@ -31,7 +31,7 @@
         if mute.load(Ordering::Relaxed) && !is_new {
             return (Vec::new(), false); // as if the server had lost this connection's state
         }
-        *run_counts.lock().unwrap().entry(id_of(message)).or_default() += 1;
+        *run_counts.lock().unwrap().entry(transaction_id(message)).or_default() += 1;
         std::thread::sleep(Duration::from_millis(20)); // service time
         answer(200, "", "ok")
     })
--- a/crates/gateway/tests/shutdown.rs
+++ b/crates/gateway/tests/shutdown.rs
@@ -11,8 +11,8 @@
 mod support;
 use support::{discovery_peer, long_timeout_settings, start_gateway};
 
-/// The time between SIGTERM and SIGKILL is this grace period plus the longest deadline of the settings, where a deadline
-/// counts as at most [`MAX_DEADLINE`].
+/// The time between SIGTERM and SIGKILL is this grace period plus the longest deadline of the settings, where a
+/// deadline counts as at most [`MAX_DEADLINE`].
 const KILL_GRACE: Duration = Duration::from_millis(700);
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -6,10 +6,10 @@
 
 /// Settings whose connection timeout and deadlines are long enough for a connection that is established late.
 pub fn long_timeout_settings() -> String {
-    let wide =
+    let text =
         settings("\"membershipMode\":\"push\",").replace("\"dialTimeout\":0.25", "\"dialTimeout\":15.0");
-    let wide = wide.replace("\"onTime\":1.5", "\"onTime\":15").replace("\"onTime\":1.2", "\"onTime\":15");
-    wide.replace("\"onTime\":0.8", "\"onTime\":15").replace("\"window\":5.0", "\"window\":1.0")
+    let text = text.replace("\"onTime\":1.5", "\"onTime\":15").replace("\"onTime\":1.2", "\"onTime\":15");
+    text.replace("\"onTime\":0.8", "\"onTime\":15").replace("\"window\":5.0", "\"window\":1.0")
 }
 
 /// Starts a gateway with these entries as its list and waits until it watches `discovery`, on which the test can
