--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -306,7 +306,7 @@
         self.evaluate_agreement(now, gateway, incarnation);
     }
 
-    /// Kills a gateway. Its open RPCs are counted as cut.
+    /// Kills a gateway. Its open RPCs are counted as lost.
     pub(super) fn kill_gateway(&mut self, gateway: usize) {
         let node = &mut self.nodes[gateway];
         if let Some(hollow) = node.running.take() {
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -115,7 +115,7 @@
 
 impl Fleet<'_> {
     /// Schedules the next arrival and sends this RPC to one of its tenant's gateways that is up. If none is, the
-    /// RPC is counted as cut.
+    /// RPC is counted as lost.
     pub(super) fn on_rpc_arrival(&mut self, now: Nanos) {
         if self.scenario.rate <= 0.0 {
             return;
