--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -131,25 +131,25 @@
         alloc::reset_peak();
         let from = EPOCH + nanos(scenario.warm_seconds);
         let measured = MeasuredPeriod { from, seconds: scenario.seconds.ceil() as usize };
-        let played = scenario.simulated_gateways();
+        let gateways = scenario.simulated_gateways();
         let control_load = || ControlLoad::new(measured, scenario.control_machines);
         let zones = scenario.zone_names();
         let mut fleet = Fleet {
             scenario,
             measured,
             queue: EventQueue::default(),
-            nodes: Vec::with_capacity(played),
+            nodes: Vec::with_capacity(gateways),
             discovery: Discovery::new(&zones, scenario.services, scenario.total_servers(), scenario.servers),
             servers: build_servers(scenario),
             counter: Counter::new(true),
             load: Load::new(scenario),
-            traffic: Traffic::new(measured, played),
+            traffic: Traffic::new(measured, gateways),
             control: ControlTraffic {
                 discovery: control_load(),
                 counter: control_load(),
                 datagrams: control_load(),
             },
-            processor: CpuUsage::new(measured, played),
+            processor: CpuUsage::new(measured, gateways),
             lists_in_force: PropagationDelays::new(from),
             versions_in_force: PropagationDelays::new(from),
             counts: RunCounters::default(),
@@ -171,10 +171,10 @@
         if fleet.agreement_config.is_some() {
             fleet.versions.push(Arc::new(VersionFile::new(fleet.make_version(1, 0), 0)));
         }
-        for number in 0..played {
+        for number in 0..gateways {
             fleet.add_node(number);
         }
-        (0..played).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
+        (0..gateways).for_each(|gateway| fleet.start_gateway(EPOCH, gateway, true));
         fleet.memory.after_start = alloc::process_counts().live_bytes.saturating_sub(fleet.memory.before);
         fleet.schedule_events(from);
         fleet
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -47,15 +47,15 @@
     let mut scenario = Scenario::read(&args.scenario)?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
     let started = Instant::now();
-    let tables = play(&scenario);
+    let tables = simulate(&scenario);
     tables.write(&args.out.join(&scenario.name))?;
     print!("{}", tables.summary());
-    println!("played in {:.0} s", started.elapsed().as_secs_f64());
+    println!("finished in {:.0} s", started.elapsed().as_secs_f64());
     Ok(())
 }
 
 /// Runs a validated scenario and returns its tables.
-pub fn play(scenario: &Scenario) -> Tables {
+pub fn simulate(scenario: &Scenario) -> Tables {
     let mut fleet = fleet::Fleet::new(scenario);
     fleet.run();
     Tables::from_fleet(&fleet)
--- a/crates/scale/src/hollow/rpcs.rs
+++ b/crates/scale/src/hollow/rpcs.rs
@@ -47,20 +47,20 @@
     units: f64,
 }
 
-/// Open-loop arrivals at all emulated gateways.
+/// Open-loop arrivals at all simulated gateways.
 pub struct Load {
     pub plan: usize,
     methods: Vec<Method>,
     tenants: Vec<Tenant>,
     tenant_distribution: WeightedIndex<f64>,
     method_distribution: WeightedIndex<f64>,
-    /// RPCs per second, at all emulated gateways.
+    /// RPCs per second, at all simulated gateways.
     rate: f64,
     rng: ChaCha8Rng,
     last_rpc: u32,
     counter_timeout: Nanos,
     connect_timeout: Nanos,
-    /// Attempts that servers took into service. Recorded only if the whole fleet is emulated and the expected
+    /// Attempts that servers took into service. Recorded only if the whole fleet is simulated and the expected
     /// number of RPCs is below `MAX_RECORDED_RPCS`.
     pub served_attempts: Option<Vec<ServerRpc>>,
 }
@@ -72,9 +72,9 @@
         let shares = LogNormal::new(0.0, scenario.load.skew).expect("the skew is validated");
         let tenant_count = scenario.simulated_tenants();
         let shares: Vec<f64> = (0..tenant_count).map(|_| shares.sample(&mut rng)).collect();
-        let played = scenario.simulated_gateways() as u32;
+        let gateways = scenario.simulated_gateways() as u32;
         let tenants =
-            (0..tenant_count).map(|_| Tenant { first_gateway: rng.random_range(0..played) }).collect();
+            (0..tenant_count).map(|_| Tenant { first_gateway: rng.random_range(0..gateways) }).collect();
         let methods = scenario.load.methods.iter().map(|method| {
             let class = scenario.class_index(&method.name).unwrap_or(0);
             Method {
@@ -87,7 +87,7 @@
         let duration = |name: &str, default: Nanos| {
             settings.get(name).and_then(|text| text.parse().ok()).map_or(default, nanos)
         };
-        let rate = scenario.rate * f64::from(played);
+        let rate = scenario.rate * f64::from(gateways);
         let is_recorded =
             scenario.simulated_gateways() == scenario.gateways && rate * scenario.seconds < MAX_RECORDED_RPCS;
         Load {
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Control traffic between the emulated gateways and their peers, by second.
+/// Control traffic between the simulated gateways and their peers, by second.
 pub struct Traffic {
     measured: MeasuredPeriod,
     /// By second, peer and direction.
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! Tests of the hollow fleet: runs are deterministic by seed, changes reach the gateways that they concern,
 //! and invalid scenarios are rejected as a whole.
 
-use scale::hollow::{Scenario, Tables, play};
+use scale::hollow::{Scenario, Tables, simulate};
 use std::path::Path;
 use std::process::Command;
 
@@ -73,7 +73,7 @@
 }
 
 fn tables(extra: &str) -> Tables {
-    play(&scenario(extra))
+    simulate(&scenario(extra))
 }
 
 #[test]
@@ -83,7 +83,7 @@
     assert_eq!(first, repeated);
     let mut other = scenario(&all_features());
     other.seed = 8;
-    assert_ne!(first, play(&other).emulated_tables().unwrap());
+    assert_ne!(first, simulate(&other).emulated_tables().unwrap());
 }
 
 #[test]
