--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -1,5 +1,5 @@
-//! The shared counter as the gateways see it: named counts that are forgotten after their window, a stall, a split
-//! in which each half of the gateways sees its own copy, and a replacement that starts at nought. Free of I/O.
+//! The model of the shared counter: named counts with windows, a stall, a split in which each half of the gateways
+//! uses its own copy, and a replacement that starts without counts. Free of I/O.
 
 use crate::Nanos;
 use std::collections::BTreeMap;
@@ -7,21 +7,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Count {
     total: f64,
-    forget_at: Nanos,
+    expires_at: Nanos,
 }
 
 /// The shared counter.
 #[derive(Default)]
 pub struct Counter {
-    /// One copy; two while split.
-    sides: [BTreeMap<u64, Count>; 2],
-    /// Each half of the gateways reaches its own copy.
+    /// The copies of the counts. The second one is used only during a split.
+    copies: [BTreeMap<u64, Count>; 2],
+    /// Whether each half of the gateways uses its own copy.
     pub split: bool,
-    /// It answers nothing.
+    /// Whether the counter leaves all calls unanswered.
     pub stalled: bool,
-    /// Whether there is one at all.
+    /// Whether the scenario has a shared counter.
     pub enabled: bool,
-    adds: u64,
+    add_calls: u64,
 }
 
 impl Counter {
@@ -30,40 +30,41 @@
         Counter { enabled, ..Counter::default() }
     }
 
-    /// Which copy a gateway reaches.
+    /// The index of the copy that a gateway uses.
     pub fn copy_index(&self, gateway: u32) -> usize {
         if self.split { (gateway % 2) as usize } else { 0 }
     }
 
-    /// Adds to a count, starting a new window where the last is over; the total, or none while stalled.
+    /// Adds to a count and returns the total, or `None` if the counter is stalled or disabled. A count whose window
+    /// is over starts again at 0, with a window of length `forget`.
     pub fn add(&mut self, now: Nanos, gateway: u32, name: u64, add: f64, forget: Nanos) -> Option<f64> {
         if self.stalled || !self.enabled {
             return None;
         }
-        self.adds += 1;
-        if self.adds.is_multiple_of(4096) {
-            self.sides.iter_mut().for_each(|side| side.retain(|_, count| count.forget_at > now));
+        self.add_calls += 1;
+        if self.add_calls.is_multiple_of(4096) {
+            self.copies.iter_mut().for_each(|copy| copy.retain(|_, count| count.expires_at > now));
         }
-        let side = self.copy_index(gateway);
-        let fresh = Count { total: 0.0, forget_at: now + forget.max(1) };
-        let count = self.sides[side].entry(name).or_insert(fresh);
-        if count.forget_at <= now {
-            *count = fresh;
+        let index = self.copy_index(gateway);
+        let new_count = Count { total: 0.0, expires_at: now + forget.max(1) };
+        let count = self.copies[index].entry(name).or_insert(new_count);
+        if count.expires_at <= now {
+            *count = new_count;
         }
         count.total += add;
         Some(count.total)
     }
 
-    /// Each half goes on from a copy of what was.
+    /// Splits the counter: each half of the gateways continues with its own copy of the counts.
     pub fn split(&mut self) {
-        self.sides[1] = self.sides[0].clone();
+        self.copies[1] = self.copies[0].clone();
         self.split = true;
     }
 
-    /// One copy again: for each name the larger total, as a counter that merges by the maximum would.
+    /// Ends a split. Each name keeps the larger of its totals, as in a counter that merges by the maximum.
     pub fn heal(&mut self) {
-        for (name, count) in std::mem::take(&mut self.sides[1]) {
-            let kept = self.sides[0].entry(name).or_insert(count);
+        for (name, count) in std::mem::take(&mut self.copies[1]) {
+            let kept = self.copies[0].entry(name).or_insert(count);
             if count.total > kept.total {
                 *kept = count;
             }
@@ -71,14 +72,14 @@
         self.split = false;
     }
 
-    /// A new counter: everything starts at nought.
+    /// Replaces the counter by one without counts.
     pub fn replace(&mut self) {
-        self.sides = Default::default();
+        self.copies = Default::default();
     }
 
-    /// Names held, over both copies: what the counter's memory grows with.
+    /// The number of names in both copies, which determines the counter's memory use.
     pub fn name_count(&self) -> usize {
-        self.sides.iter().map(BTreeMap::len).sum()
+        self.copies.iter().map(BTreeMap::len).sum()
     }
 }
 
--- a/crates/lab/src/queue.rs
+++ b/crates/lab/src/queue.rs
@@ -1,4 +1,5 @@
-//! The lab's one clock: a queue of events by time in whole nanoseconds, ties broken by the order they were put in.
+//! The event queue and clock of the emulation. Events are ordered by time in nanoseconds; events of the same time are
+//! popped in the order in which they were scheduled.
 
 use crate::Nanos;
 use std::cmp::Ordering;
@@ -6,13 +7,13 @@
 
 struct Entry<E> {
     at: Nanos,
-    serial: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> PartialEq for Entry<E> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.serial) == (other.at, other.serial)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 impl<E> Eq for Entry<E> {}
@@ -22,45 +23,46 @@
     }
 }
 impl<E> Ord for Entry<E> {
-    /// Earliest first: the heap is a max-heap, so the order is turned round.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest entry must come first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.serial).cmp(&(self.at, self.serial))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events of type `E` by time. `now` never goes back: an event put in for the past comes at once.
+/// A queue of events of type `E`, ordered by time. The clock never goes back: an event that is scheduled for the past
+/// is popped with the current time.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
-    serial: u64,
+    sequence: u64,
     now: Nanos,
-    /// Events taken out so far: the lab's measure of work.
+    /// The number of events popped so far, reported as the run's amount of work.
     pub events_popped: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { heap: BinaryHeap::new(), serial: 0, now: 0, events_popped: 0 }
+        EventQueue { heap: BinaryHeap::new(), sequence: 0, now: 0, events_popped: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the last event taken.
+    /// The current time: that of the event popped last.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Puts an event in at clock time `at`.
+    /// Schedules an event at the time `at`.
     pub fn schedule_at(&mut self, at: Nanos, event: E) {
-        self.serial += 1;
-        self.heap.push(Entry { at: at.max(self.now), serial: self.serial, event });
+        self.sequence += 1;
+        self.heap.push(Entry { at: at.max(self.now), sequence: self.sequence, event });
     }
 
-    /// Puts an event in `after` nanoseconds from now.
+    /// Schedules an event `after` nanoseconds from now.
     pub fn schedule_after(&mut self, after: Nanos, event: E) {
         self.schedule_at(self.now.saturating_add(after), event);
     }
 
-    /// The next event if it comes no later than `until`; the clock moves to its time.
+    /// Pops the earliest event and advances the clock to its time. `None` if there is no event up to `until`.
     pub fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, E)> {
         if self.heap.peek()?.at > until {
             return None;
--- a/crates/lab/src/rng.rs
+++ b/crates/lab/src/rng.rs
@@ -1,9 +1,10 @@
-//! Chance for the lab: one seeded ChaCha stream for each model, so that adding draws to one model moves no other.
+//! Seeded random number generators for the lab: one ChaCha stream for each model, so that an additional draw in one
+//! model doesn't change the draws of another.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The models that draw, each from its own stream of the scenario's seed.
+/// The models that draw random numbers, each from its own stream of the scenario's seed.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
     /// Arrivals and clients.
@@ -12,18 +13,19 @@
     Servers = 3,
     /// Delays and losses.
     Network = 4,
-    /// Whom a trouble hits.
+    /// The gateways and servers that a fault affects.
     Faults = 5,
 }
 
-/// The stream of one model: the same seed and model give the same draws on every platform.
+/// The generator of one model. The same seed and model give the same draws on every platform.
 pub fn stream(seed: u64, model: Stream) -> ChaCha8Rng {
-    let mut chance = ChaCha8Rng::seed_from_u64(seed);
-    chance.set_stream(model as u64);
-    chance
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    rng.set_stream(model as u64);
+    rng
 }
 
-/// A seed for one incarnation of one gateway's module, drawn from the scenario's seed alone.
+/// The seed of the admission controller of one incarnation of a gateway. It depends on the scenario's seed, the
+/// gateway and the incarnation only.
 pub fn gateway_seed(seed: u64, gateway: u32, incarnation: u32) -> u64 {
     let mixed =
         seed ^ (u64::from(gateway) << 32 | u64::from(incarnation)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -223,7 +223,7 @@
         self.queue.schedule_at(0, Event::List);
         self.queue.schedule_at(0, Event::Tick);
         for stream in 0..self.clients.streams.len() {
-            if let Some(gap) = self.clients.gap(stream) {
+            if let Some(gap) = self.clients.next_arrival_delay(stream) {
                 self.queue.schedule_at(gap, Event::Arrive { stream: stream as u32 });
             }
         }
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -25,7 +25,7 @@
         self.queue.schedule_at(ends.max(now + 1), Event::AttemptTimeout { attempt });
         let Some(at) = self.servers.all.get(server as usize) else {
             return self.queue.schedule_after(
-                self.network.refuse,
+                self.network.refuse_delay,
                 Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
             );
         };
@@ -39,7 +39,7 @@
                 Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
             );
         }
-        if let Some(hop) = self.network.hop() {
+        if let Some(hop) = self.network.message_delay() {
             self.queue.schedule_after(hop, Event::AttemptAtServer { attempt, server, server_incarnation });
         }
     }
@@ -53,7 +53,7 @@
     ) {
         match self.servers.accept(now, server, server_incarnation, attempt) {
             Disposition::Refused => self.queue.schedule_after(
-                self.network.refuse,
+                self.network.refuse_delay,
                 Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
             ),
             Disposition::Full => self.answer(attempt, 0, CallOutcome::Full),
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn answer(&mut self, attempt: AttemptRef, after: Nanos, how: CallOutcome) {
-        if let Some(hop) = self.network.hop() {
+        if let Some(hop) = self.network.message_delay() {
             self.queue.schedule_after(after + hop, Event::AttemptEnd { attempt, how });
         }
     }
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -17,7 +17,7 @@
         if !(self.counter.enabled && self.network.reaches_counter(zone)) {
             return;
         }
-        if let Some(hop) = self.network.hop() {
+        if let Some(hop) = self.network.message_delay() {
             self.queue.schedule_after(hop, Event::CounterRequest(call));
         }
     }
@@ -28,7 +28,7 @@
             return;
         };
         let latency = nanos(self.scenario.counter.latency_ms / 1e3);
-        if let Some(hop) = self.network.hop() {
+        if let Some(hop) = self.network.message_delay() {
             self.queue.schedule_after(latency + hop, Event::CounterReply { call, total });
         }
     }
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -41,8 +41,10 @@
             }
         }
         for attempt in reset {
-            self.queue
-                .schedule_after(self.network.refuse, Event::AttemptEnd { attempt, how: CallOutcome::Reset });
+            self.queue.schedule_after(
+                self.network.refuse_delay,
+                Event::AttemptEnd { attempt, how: CallOutcome::Reset },
+            );
         }
     }
 
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -16,7 +16,9 @@
     }
 
     pub(super) fn arrive(&mut self, now: Nanos, stream: u32, tries: u32, fresh: bool) {
-        if let Some(gap) = (fresh && now < self.end).then(|| self.clients.gap(stream as usize)).flatten() {
+        if let Some(gap) =
+            (fresh && now < self.end).then(|| self.clients.next_arrival_delay(stream as usize)).flatten()
+        {
             self.queue.schedule_after(gap, Event::Arrive { stream });
         }
         if now >= self.end {
@@ -32,7 +34,7 @@
             counts.asked += credit;
         });
         let (gateways, lives) = (self.scenario.gateways, &self.gateways);
-        let Some(gateway) = self.clients.gateway(
+        let Some(gateway) = self.clients.pick_gateway(
             stream as usize,
             |at| lives[at as usize].lifecycle.accepts_clients(),
             gateways,
@@ -55,7 +57,7 @@
         };
         self.rpcs.insert(rpc, live);
         self.queue.schedule_at(deadline + GRACE, Event::Overdue { rpc });
-        if let Some(after) = self.clients.leave_delay(deadline - now) {
+        if let Some(after) = self.clients.cancel_delay(deadline - now) {
             self.queue.schedule_after(after, Event::Leave { rpc });
         }
         let arrival = Arrival {
