--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,5 +1,5 @@
-//! The servers the gateways balance over: slots, log-normal service times, cold starts, slowdown, pauses, failures
-//! and replacement. Free of I/O: the world asks, this answers with what happens and when.
+//! The model of the servers: slots, log-normal service times, cold starts, slowdown, pauses, failures and
+//! replacement. Free of I/O: it returns the outcome of an attempt and its time, and the caller schedules the events.
 
 use crate::scenario;
 use crate::{Nanos, nanos};
@@ -8,68 +8,68 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 
-/// An attempt as a server holds it: whose it is, so that its end finds its way back.
+/// Identifies an attempt, so that its result can be delivered to the gateway that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptRef {
-    /// The gateway that sent it.
+    /// The gateway that sent the attempt.
     pub gateway: u32,
     /// That gateway's incarnation.
     pub incarnation: u32,
     /// The RPC.
     pub rpc: u32,
-    /// Which attempt of that RPC, from 0.
+    /// The attempt's number among those of the RPC, from 0.
     pub number: u16,
 }
 
-/// What a server does with an attempt that reaches it.
+/// How a server handles an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Nobody is there: the connection fails.
+    /// The server isn't running, or is another incarnation: the connection is refused.
     Refused,
-    /// All slots it bears now are taken.
+    /// All slots that the server currently has are in use.
     Full,
-    /// Taken; done `after` from now, well or in an error.
+    /// The attempt is being served.
     Serving {
-        /// How long from now its answer takes.
+        /// The time until the server answers.
         after: Nanos,
-        /// Answered ok.
+        /// Whether the answer is ok or an error.
         ok: bool,
     },
-    /// Taken but paused: it starts when the pause is over.
+    /// The attempt has a slot, and the paused server starts serving it at the end of the pause.
     Held,
 }
 
-/// A server as it stands.
+/// A server and its current state.
 pub struct Server {
-    /// Its number.
+    /// The server's number.
     pub id: u32,
-    /// Its zone.
+    /// The server's zone.
     pub zone: u32,
-    /// Each replacement is a new incarnation, with its own start time.
+    /// The number of the current incarnation, from 0. Each replacement starts a new one.
     pub incarnation: u32,
-    /// When this incarnation started.
+    /// When the current incarnation started.
     pub started_at: Nanos,
-    /// Whether it is there.
+    /// Whether the server is running.
     pub up: bool,
-    busy: u32,
-    slow: f64,
-    errors: f64,
+    busy_slots: u32,
+    slow_factor: f64,
+    error_share: f64,
     paused: bool,
     held: Vec<AttemptRef>,
 }
 
-/// All servers, and the chance that they draw from.
+/// All servers and their random number generator.
 pub struct Servers {
-    /// By their numbers.
+    /// The servers, indexed by their numbers.
     pub all: Vec<Server>,
     model: scenario::Servers,
     service: LogNormal<f64>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl Servers {
-    /// Servers that are all up and warm.
-    pub fn new(model: &scenario::Servers, chance: ChaCha8Rng) -> Servers {
+    /// The servers of a scenario, all up and warm.
+    pub fn new(model: &scenario::Servers, rng: ChaCha8Rng) -> Servers {
         let all = (0..model.count)
             .map(|id| Server {
                 id,
@@ -77,107 +77,109 @@
                 incarnation: 0,
                 started_at: 0,
                 up: true,
-                busy: 0,
-                slow: 1.0,
-                errors: model.error_share,
+                busy_slots: 0,
+                slow_factor: 1.0,
+                error_share: model.error_share,
                 paused: false,
                 held: Vec::new(),
             })
             .collect();
-        let median = model.service_ms * 1e6;
-        let service =
-            LogNormal::new(median.ln(), model.spread.max(0.0)).unwrap_or(LogNormal::new(0.0, 0.0).unwrap());
-        Servers { all, model: model.clone(), service, chance }
+        let median_nanos = model.service_ms * 1e6;
+        let service = LogNormal::new(median_nanos.ln(), model.spread.max(0.0))
+            .unwrap_or(LogNormal::new(0.0, 0.0).unwrap());
+        Servers { all, model: model.clone(), service, rng }
     }
 
-    /// Slots a server bears now: a share after its start, rising to all once warm. A first incarnation is warm.
+    /// The slots that a server has now. After a replacement it has a share of them, which rises linearly to all during
+    /// the warm-up. A first incarnation is warm from the start.
     pub fn slots(&self, server: u32, now: Nanos) -> u32 {
         let server = &self.all[server as usize];
-        let warm = nanos(self.model.cold_seconds);
-        let since = now.saturating_sub(server.started_at);
-        if server.incarnation == 0 || warm == 0 || since >= warm {
+        let warm_up = nanos(self.model.cold_seconds);
+        let uptime = now.saturating_sub(server.started_at);
+        if server.incarnation == 0 || warm_up == 0 || uptime >= warm_up {
             return self.model.slots;
         }
-        let share = self.model.cold_share + (1.0 - self.model.cold_share) * since as f64 / warm as f64;
+        let share = self.model.cold_share + (1.0 - self.model.cold_share) * uptime as f64 / warm_up as f64;
         ((f64::from(self.model.slots) * share).floor() as u32).max(1)
     }
 
-    /// An attempt of this incarnation of a server reaches the server.
+    /// Handles an attempt that reaches a server. `incarnation` is that of the server to which it was sent.
     pub fn accept(&mut self, now: Nanos, server: u32, incarnation: u32, attempt: AttemptRef) -> Disposition {
         let slots = self.slots(server, now);
-        let at = &mut self.all[server as usize];
-        if !at.up || at.incarnation != incarnation {
+        let state = &mut self.all[server as usize];
+        if !state.up || state.incarnation != incarnation {
             return Disposition::Refused;
         }
-        if at.busy >= slots {
+        if state.busy_slots >= slots {
             return Disposition::Full;
         }
-        at.busy += 1;
-        if at.paused {
-            at.held.push(attempt);
+        state.busy_slots += 1;
+        if state.paused {
+            state.held.push(attempt);
             return Disposition::Held;
         }
-        let (slow, errors) = (at.slow, at.errors);
-        self.serve(slow, errors)
+        let (slow_factor, error_share) = (state.slow_factor, state.error_share);
+        self.serve(slow_factor, error_share)
     }
 
-    fn serve(&mut self, slow: f64, errors: f64) -> Disposition {
-        let after = (self.service.sample(&mut self.chance) * slow).max(1.0) as Nanos;
-        Disposition::Serving { after, ok: self.chance.random::<f64>() >= errors }
+    fn serve(&mut self, slow_factor: f64, error_share: f64) -> Disposition {
+        let after = (self.service.sample(&mut self.rng) * slow_factor).max(1.0) as Nanos;
+        Disposition::Serving { after, ok: self.rng.random::<f64>() >= error_share }
     }
 
-    /// An attempt is over at the server; one of an earlier incarnation frees nothing.
+    /// Releases the slot of an attempt that the server has finished. Ignored for an earlier incarnation.
     pub fn release_slot(&mut self, server: u32, incarnation: u32) {
-        let at = &mut self.all[server as usize];
-        if at.incarnation == incarnation {
-            at.busy = at.busy.saturating_sub(1);
+        let state = &mut self.all[server as usize];
+        if state.incarnation == incarnation {
+            state.busy_slots = state.busy_slots.saturating_sub(1);
         }
     }
 
-    /// A new incarnation: the server starts again cold; what it held is gone.
+    /// Starts a new, cold incarnation of the server. The attempts of the previous one are lost.
     pub fn replace(&mut self, server: u32, now: Nanos) {
-        let at = &mut self.all[server as usize];
-        (at.incarnation, at.started_at, at.up, at.busy, at.paused) =
-            (at.incarnation + 1, now, true, 0, false);
-        at.held.clear();
+        let state = &mut self.all[server as usize];
+        (state.incarnation, state.started_at, state.up, state.busy_slots, state.paused) =
+            (state.incarnation + 1, now, true, 0, false);
+        state.held.clear();
     }
 
-    /// The server is gone with all that it held.
+    /// Stops the server. Its attempts are lost.
     pub fn take_down(&mut self, server: u32) {
-        let at = &mut self.all[server as usize];
-        (at.up, at.busy) = (false, 0);
-        at.held.clear();
+        let state = &mut self.all[server as usize];
+        (state.up, state.busy_slots) = (false, 0);
+        state.held.clear();
     }
 
-    /// From now on it serves so many times slower.
+    /// Multiplies the service times of the server by a factor from now on.
     pub fn set_slow_factor(&mut self, server: u32, factor: f64) {
-        self.all[server as usize].slow = factor.max(0.0);
+        self.all[server as usize].slow_factor = factor.max(0.0);
     }
 
-    /// From now on this share of its attempts ends in errors.
+    /// Sets the share of the server's attempts that end in errors from now on.
     pub fn set_error_share(&mut self, server: u32, share: f64) {
-        self.all[server as usize].errors = share.clamp(0.0, 1.0);
+        self.all[server as usize].error_share = share.clamp(0.0, 1.0);
     }
 
-    /// The share of attempts that ends in errors when nothing is wrong.
+    /// The share of attempts that end in errors without a fault.
     pub fn base_error_share(&self) -> f64 {
         self.model.error_share
     }
 
-    /// From now on it holds what comes and serves nothing.
+    /// Pauses the server: it accepts attempts, up to its slots, but serves none of them.
     pub fn pause(&mut self, server: u32) {
         self.all[server as usize].paused = true;
     }
 
-    /// The pause is over: what was held is served now, each with when it ends.
+    /// Ends a pause and starts serving the held attempts. Returns how each of them ends.
     pub fn resume(&mut self, server: u32) -> Vec<(AttemptRef, Disposition)> {
-        let at = &mut self.all[server as usize];
-        at.paused = false;
-        let (held, slow, errors) = (std::mem::take(&mut at.held), at.slow, at.errors);
-        held.into_iter().map(|attempt| (attempt, self.serve(slow, errors))).collect()
+        let state = &mut self.all[server as usize];
+        state.paused = false;
+        let (held, slow_factor, error_share) =
+            (std::mem::take(&mut state.held), state.slow_factor, state.error_share);
+        held.into_iter().map(|attempt| (attempt, self.serve(slow_factor, error_share))).collect()
     }
 
-    /// The list as discovery has it now.
+    /// The current list of servers, as discovery sends it to the gateways.
     pub fn discovery_list(&self) -> Vec<DiscoveredServer> {
         let entry = |server: &Server| DiscoveredServer {
             server: server.id,
--- a/crates/lab/src/servers/tests.rs
+++ b/crates/lab/src/servers/tests.rs
@@ -16,13 +16,21 @@
 }
 
 #[test]
-fn a_cold_server_bears_only_its_share_and_a_paused_one_holds() {
+fn a_cold_server_has_a_share_of_its_slots_and_a_paused_one_holds_attempts() {
     let mut servers = Servers::new(&model(), crate::rng::stream(1, crate::rng::Stream::Servers));
     let attempt = AttemptRef { gateway: 0, incarnation: 0, rpc: 1, number: 0 };
     servers.replace(0, 0);
     assert_eq!(servers.accept(1, 0, 1, attempt), Disposition::Serving { after: 10_000_000, ok: true });
-    assert_eq!(servers.accept(1, 0, 1, attempt), Disposition::Full, "a quarter of four slots, cold");
-    assert_eq!(servers.accept(1, 0, 0, attempt), Disposition::Refused, "an attempt at the old incarnation");
+    assert_eq!(
+        servers.accept(1, 0, 1, attempt),
+        Disposition::Full,
+        "a cold server has one of its four slots"
+    );
+    assert_eq!(
+        servers.accept(1, 0, 0, attempt),
+        Disposition::Refused,
+        "an attempt sent to the previous incarnation"
+    );
     servers.pause(1);
     assert_eq!(servers.accept(1, 1, 0, attempt), Disposition::Held);
     assert_eq!(servers.resume(1).len(), 1);
