--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -1,5 +1,5 @@
-//! What decides in an emulated gateway: the design (the real module) or one of two baselines, behind one trait.
-//! The baselines are no policy of the product; they are what every emulated figure is compared with.
+//! The policies that an emulated gateway can run, behind one trait: the real admission controller or one of two
+//! baselines. The product has no baseline policy; emulated results are compared with the baselines.
 
 use crate::Nanos;
 use martenramp::admission::AdmissionController;
@@ -9,16 +9,18 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Which policy a run plays.
+/// The policy that the gateways of a run use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The decision module, `martenramp::admission`.
+    /// The real admission controller, `martenramp::admission`.
     #[default]
     Design,
-    /// Each gateway an even split of every store, no reserve line, no brake, the least-open server.
+    /// Each gateway has an even share of each customer's quota bucket and picks the server with the fewest open
+    /// attempts. No reserve line and no throttling.
     Plain,
-    /// One true store a customer, shared by all gateways but seen late; the least-open server.
+    /// All gateways share one exact quota bucket for each customer but see the others' use of it late. Each picks the
+    /// server with the fewest open attempts.
     Late,
 }
 
@@ -26,7 +28,7 @@
     /// All policies.
     pub const ALL: [PolicyKind; 3] = [PolicyKind::Design, PolicyKind::Plain, PolicyKind::Late];
 
-    /// Its name on the command line and in tables.
+    /// The policy's name on the command line and in tables.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Design => "design",
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The policy of that name.
+    /// The policy with the given name.
     pub fn parse(text: &str) -> Result<PolicyKind, String> {
         PolicyKind::ALL
             .into_iter()
@@ -44,7 +46,8 @@
     }
 }
 
-/// One thing a gate asked of its host, kept until the gate's call is over so that it is never entered twice.
+/// An action that a policy requested from its host. Actions are executed after the call of the policy returns, so that
+/// the policy is never re-entered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostAction {
     /// Send an attempt of an RPC to a server.
@@ -53,40 +56,40 @@
         rpc: u32,
         /// The server.
         server: u32,
-        /// How long the attempt may take; 0 is until the deadline.
+        /// How long the attempt may take; 0 waits until the deadline.
         timeout: Nanos,
     },
     /// Reject an RPC.
     Reject {
         /// The RPC.
         rpc: u32,
-        /// When the client may send it again, from now.
+        /// The time from now after which the client may retry; 0 gives no advice.
         retry_after: Nanos,
     },
-    /// Abort an RPC: nothing is promised of it.
+    /// Fail an RPC that may have run.
     Abort {
         /// The RPC.
         rpc: u32,
     },
-    /// Call the gate again later.
+    /// Call the policy's `on_timer` later.
     SetTimer {
-        /// When, from now.
+        /// The time from now.
         after: Nanos,
-        /// Handed back then.
+        /// The token that is passed to `on_timer`.
         token: u32,
     },
     /// Add to a count of the shared counter.
     AddToCounter {
         /// The name of the count.
         name: u64,
-        /// What is added.
+        /// The amount to add.
         add: f64,
         /// How long the counter keeps a new count.
         forget: Nanos,
     },
 }
 
-/// The host side of a gate: it only collects.
+/// The host of an emulated policy: collects the requested actions in order.
 #[derive(Default)]
 pub struct HostActions(pub Vec<HostAction>);
 
@@ -108,26 +111,26 @@
     }
 }
 
-/// What an emulated gateway is told, as the real gateway tells the module.
+/// A policy's callbacks, the same as those by which the real gateway calls the admission controller.
 pub trait Policy {
-    /// Discovery sent a list, whole or only what changed.
+    /// Discovery sent a server list: all servers if `whole`, otherwise only the changed ones.
     fn on_server_list(&mut self, now: Nanos, whole: bool, list: &[DiscoveredServer]);
     /// An RPC arrived.
     fn on_arrival(&mut self, host: &mut HostActions, now: Nanos, arrival: &Arrival);
-    /// A time that was asked for has come.
+    /// A timer that the policy set has expired.
     fn on_timer(&mut self, host: &mut HostActions, now: Nanos, token: u32);
     /// An attempt ended.
-    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult);
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, result: &AttemptResult);
     /// A call to the counter ended.
     fn on_counter_reply(
         &mut self,
         host: &mut HostActions,
         now: Nanos,
         name: u64,
-        how: CallOutcome,
+        outcome: CallOutcome,
         total: f64,
     );
-    /// A client gave its RPC up.
+    /// A client cancelled its RPC.
     fn on_client_left(&mut self, id: u32);
 }
 
@@ -141,171 +144,198 @@
     fn on_timer(&mut self, host: &mut HostActions, now: Nanos, token: u32) {
         AdmissionController::on_timer(self, host, now, token);
     }
-    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult) {
-        AdmissionController::on_attempt_end(self, host, now, ended);
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, result: &AttemptResult) {
+        AdmissionController::on_attempt_end(self, host, now, result);
     }
     fn on_counter_reply(
         &mut self,
         host: &mut HostActions,
         now: Nanos,
         name: u64,
-        how: CallOutcome,
+        outcome: CallOutcome,
         total: f64,
     ) {
-        AdmissionController::on_counter_reply(self, host, now, name, how, total);
+        AdmissionController::on_counter_reply(self, host, now, name, outcome, total);
     }
     fn on_client_left(&mut self, id: u32) {
         AdmissionController::on_client_left(self, id);
     }
 }
 
-/// The true stores for the late-seeing baseline: every draw of every gateway, seen by the others `late` after it.
+/// The exact quota buckets of the late baseline. A gateway sees the units that another one takes after `delay`.
 #[derive(Default)]
-pub struct Ledger {
-    late: Nanos,
-    stores: HashMap<u64, Store>,
-    /// Call-outs open at each server, over all gateways.
-    open: BTreeMap<u32, u32>,
+pub struct SharedBuckets {
+    delay: Nanos,
+    buckets: HashMap<u64, SharedBucket>,
+    /// Open attempts at each server, over all gateways.
+    open_attempts: BTreeMap<u32, u32>,
 }
 
 #[derive(Default)]
-struct Store {
+struct SharedBucket {
     rate: f64,
     burst: f64,
-    /// The level as of `cut`, with every draw before it taken off.
+    /// The level at the time `as_of`, without the units taken until then.
     level: f64,
-    cut: Nanos,
-    /// Draws since `cut`: when, by which gateway, how much.
-    draws: VecDeque<(Nanos, u32, f64)>,
+    as_of: Nanos,
+    /// Units taken since `as_of`: time, gateway and amount.
+    taken: VecDeque<(Nanos, u32, f64)>,
 }
 
-impl Ledger {
-    /// A ledger whose draws are seen this late by other gateways.
-    pub fn shared(late: Nanos) -> Rc<RefCell<Ledger>> {
-        Rc::new(RefCell::new(Ledger { late, ..Ledger::default() }))
+impl SharedBuckets {
+    /// Buckets whose use other gateways see with the given delay.
+    pub fn new_shared(delay: Nanos) -> Rc<RefCell<SharedBuckets>> {
+        Rc::new(RefCell::new(SharedBuckets { delay, ..SharedBuckets::default() }))
     }
 
-    /// The room that `gateway` sees in a store now: the true level as of `late` ago, refilled since, less its own
-    /// draws since then.
-    fn room(&mut self, now: Nanos, gateway: u32, key: u64, rate: f64, burst: f64) -> f64 {
-        let late = self.late;
-        let store =
-            self.stores.entry(key).or_insert_with(|| Store { rate, burst, level: burst, ..Store::default() });
-        let cut = now.saturating_sub(late).max(store.cut);
-        while store.draws.front().is_some_and(|draw| draw.0 <= cut) {
-            let (at, _, units) = store.draws.pop_front().unwrap_or_default();
-            store.level = (store.level + secs(at - store.cut) * store.rate).min(store.burst) - units;
-            store.cut = at;
+    /// The units that a gateway sees as available now: the exact level `delay` ago, refilled since, minus the units that
+    /// the gateway itself has taken since.
+    fn available(&mut self, now: Nanos, gateway: u32, key: u64, rate: f64, burst: f64) -> f64 {
+        let delay = self.delay;
+        let bucket = self.buckets.entry(key).or_insert_with(|| SharedBucket {
+            rate,
+            burst,
+            level: burst,
+            ..SharedBucket::default()
+        });
+        let as_of = now.saturating_sub(delay).max(bucket.as_of);
+        while bucket.taken.front().is_some_and(|entry| entry.0 <= as_of) {
+            let (at, _, units) = bucket.taken.pop_front().unwrap_or_default();
+            bucket.level =
+                (bucket.level + seconds(at - bucket.as_of) * bucket.rate).min(bucket.burst) - units;
+            bucket.as_of = at;
         }
-        store.level = (store.level + secs(cut - store.cut) * store.rate).min(store.burst);
-        store.cut = cut;
-        let own: f64 = store.draws.iter().filter(|draw| draw.1 == gateway).map(|draw| draw.2).sum();
-        (store.level + secs(now - cut) * store.rate).min(store.burst) - own
+        bucket.level = (bucket.level + seconds(as_of - bucket.as_of) * bucket.rate).min(bucket.burst);
+        bucket.as_of = as_of;
+        let own: f64 = bucket.taken.iter().filter(|entry| entry.1 == gateway).map(|entry| entry.2).sum();
+        (bucket.level + seconds(now - as_of) * bucket.rate).min(bucket.burst) - own
     }
 
-    fn draw(&mut self, now: Nanos, gateway: u32, key: u64, units: f64) {
-        if let Some(store) = self.stores.get_mut(&key) {
-            store.draws.push_back((now, gateway, units));
+    fn take(&mut self, now: Nanos, gateway: u32, key: u64, units: f64) {
+        if let Some(bucket) = self.buckets.get_mut(&key) {
+            bucket.taken.push_back((now, gateway, units));
         }
     }
 }
 
-fn secs(span: Nanos) -> f64 {
+fn seconds(span: Nanos) -> f64 {
     span as f64 / 1e9
 }
 
-/// A plain gateway's view of a store: its even part, drained by its own draws only.
+/// A plain gateway's even share of a customer's bucket, from which only this gateway takes units.
 #[derive(Clone, Copy)]
-struct Part {
+struct QuotaShare {
     level: f64,
-    at: Nanos,
+    updated_at: Nanos,
 }
 
-struct Out {
+struct OpenRpc {
     method: u16,
     deadline: Nanos,
-    tries: u32,
+    attempts: u32,
     server: Option<u32>,
 }
 
-/// The two baselines. Both retry only idempotent methods, on another server, while time is left and the attempts cap
-/// allows; what finds no room is pushed back with the time until there is room.
+/// The two baselines. Both retry only idempotent methods, on another server, until the deadline and within the cap on
+/// attempts. An RPC without enough quota is rejected with the time until the quota suffices.
 pub struct Baseline {
     kind: PolicyKind,
     gateway: u32,
     settings: Settings,
-    ledger: Rc<RefCell<Ledger>>,
-    parts: HashMap<u64, Part>,
-    rpcs: HashMap<u32, Out>,
+    shared_buckets: Rc<RefCell<SharedBuckets>>,
+    shares: HashMap<u64, QuotaShare>,
+    rpcs: HashMap<u32, OpenRpc>,
     ready: Vec<u32>,
-    /// Own open call-outs by server, for the plain one.
-    open: BTreeMap<u32, u32>,
-    turn: usize,
+    /// This gateway's open attempts at each server, for the plain baseline.
+    open_attempts: BTreeMap<u32, u32>,
+    rotation: usize,
 }
 
 impl Baseline {
     /// A baseline policy for one gateway.
-    pub fn new(kind: PolicyKind, gateway: u32, settings: Settings, ledger: Rc<RefCell<Ledger>>) -> Baseline {
-        let (parts, rpcs, open) = (HashMap::new(), HashMap::new(), BTreeMap::new());
-        Baseline { kind, gateway, settings, ledger, parts, rpcs, ready: Vec::new(), open, turn: 0 }
+    pub fn new(
+        kind: PolicyKind,
+        gateway: u32,
+        settings: Settings,
+        shared_buckets: Rc<RefCell<SharedBuckets>>,
+    ) -> Baseline {
+        let (shares, rpcs, open_attempts) = (HashMap::new(), HashMap::new(), BTreeMap::new());
+        Baseline {
+            kind,
+            gateway,
+            settings,
+            shared_buckets,
+            shares,
+            rpcs,
+            ready: Vec::new(),
+            open_attempts,
+            rotation: 0,
+        }
     }
 
-    fn number(&self, name: &str, default: f64) -> f64 {
+    fn number_setting(&self, name: &str, default: f64) -> f64 {
         self.settings.get(name).and_then(|text| text.parse().ok()).unwrap_or(default)
     }
 
-    /// Takes `units` from the customer's store if there is room; else the time until there is.
-    fn take(&mut self, now: Nanos, arrival: &Arrival) -> Result<(), Nanos> {
-        // The late one sees the whole store; a plain gateway keeps its even part of it.
-        let share = if self.kind == PolicyKind::Late { 1.0 } else { f64::from(arrival.gateway_count.max(1)) };
-        let rate = self.number(&format!("tariffs.{}.perSecond", arrival.plan), 0.0) / share;
-        let burst = self.number(&format!("tariffs.{}.depth", arrival.plan), 0.0) / share;
-        let room = match self.kind {
+    /// Takes the RPC's units from the customer's bucket. The error is the time until the bucket has enough units.
+    fn take_quota(&mut self, now: Nanos, arrival: &Arrival) -> Result<(), Nanos> {
+        // The late baseline uses the whole bucket, a plain gateway its even share.
+        let divisor =
+            if self.kind == PolicyKind::Late { 1.0 } else { f64::from(arrival.gateway_count.max(1)) };
+        let rate = self.number_setting(&format!("tariffs.{}.perSecond", arrival.plan), 0.0) / divisor;
+        let burst = self.number_setting(&format!("tariffs.{}.depth", arrival.plan), 0.0) / divisor;
+        let available = match self.kind {
             PolicyKind::Late => {
-                self.ledger.borrow_mut().room(now, self.gateway, arrival.customer, rate, burst)
+                self.shared_buckets.borrow_mut().available(now, self.gateway, arrival.customer, rate, burst)
             }
             _ => {
-                let part = self.parts.entry(arrival.customer).or_insert(Part { level: burst, at: now });
-                part.level = (part.level + secs(now - part.at) * rate).min(burst);
-                part.at = now;
-                part.level
+                let share = self
+                    .shares
+                    .entry(arrival.customer)
+                    .or_insert(QuotaShare { level: burst, updated_at: now });
+                share.level = (share.level + seconds(now - share.updated_at) * rate).min(burst);
+                share.updated_at = now;
+                share.level
             }
         };
-        if room < arrival.units {
-            let wait = if rate > 0.0 { (arrival.units - room) / rate } else { 1.0 };
-            return Err(crate::nanos(wait.min(60.0)));
+        if available < arrival.units {
+            let retry_after = if rate > 0.0 { (arrival.units - available) / rate } else { 1.0 };
+            return Err(crate::nanos(retry_after.min(60.0)));
         }
         match self.kind {
             PolicyKind::Late => {
-                self.ledger.borrow_mut().draw(now, self.gateway, arrival.customer, arrival.units)
-            }
-            _ => {
-                self.parts.get_mut(&arrival.customer).into_iter().for_each(|part| part.level -= arrival.units)
+                self.shared_buckets.borrow_mut().take(now, self.gateway, arrival.customer, arrival.units)
             }
+            _ => self
+                .shares
+                .get_mut(&arrival.customer)
+                .into_iter()
+                .for_each(|share| share.level -= arrival.units),
         }
         Ok(())
     }
 
-    /// The least-open ready server other than the last one tried; ties go round.
-    fn pick(&mut self, besides: Option<u32>) -> Option<u32> {
-        self.turn = self.turn.wrapping_add(1);
-        let ledger = self.ledger.borrow();
-        let open = if self.kind == PolicyKind::Late { &ledger.open } else { &self.open };
+    /// The ready server with the fewest open attempts, other than `excluded`. Ties are broken in rotation.
+    fn pick_server(&mut self, excluded: Option<u32>) -> Option<u32> {
+        self.rotation = self.rotation.wrapping_add(1);
+        let shared_buckets = self.shared_buckets.borrow();
+        let open =
+            if self.kind == PolicyKind::Late { &shared_buckets.open_attempts } else { &self.open_attempts };
         let count = self.ready.len();
-        let order = (0..count).map(|at| self.ready[(at + self.turn) % count]);
-        order
-            .filter(|server| Some(*server) != besides)
+        let candidates = (0..count).map(|offset| self.ready[(offset + self.rotation) % count]);
+        candidates
+            .filter(|server| Some(*server) != excluded)
             .min_by_key(|server| open.get(server).copied().unwrap_or(0))
     }
 
-    fn send(&mut self, host: &mut HostActions, now: Nanos, id: u32) {
+    fn send_attempt_or_reject(&mut self, host: &mut HostActions, now: Nanos, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
-        let (besides, deadline) = (rpc.server, rpc.deadline);
-        match self.pick(besides).filter(|_| now < deadline) {
+        let (excluded, deadline) = (rpc.server, rpc.deadline);
+        match self.pick_server(excluded).filter(|_| now < deadline) {
             Some(server) => {
-                self.opened(server, 1);
+                self.add_open_attempts(server, 1);
                 if let Some(rpc) = self.rpcs.get_mut(&id) {
-                    (rpc.server, rpc.tries) = (Some(server), rpc.tries + 1);
+                    (rpc.server, rpc.attempts) = (Some(server), rpc.attempts + 1);
                 }
                 host.send_attempt(id, server, 0, Nanos::MAX);
             }
@@ -316,47 +346,51 @@
         }
     }
 
-    fn opened(&mut self, server: u32, by: i64) {
-        let mut ledger = self.ledger.borrow_mut();
-        let open = if self.kind == PolicyKind::Late { &mut ledger.open } else { &mut self.open };
+    fn add_open_attempts(&mut self, server: u32, change: i64) {
+        let mut shared_buckets = self.shared_buckets.borrow_mut();
+        let open = if self.kind == PolicyKind::Late {
+            &mut shared_buckets.open_attempts
+        } else {
+            &mut self.open_attempts
+        };
         let count = open.entry(server).or_default();
-        *count = (i64::from(*count) + by).max(0) as u32;
+        *count = (i64::from(*count) + change).max(0) as u32;
     }
 }
 
 impl Policy for Baseline {
     fn on_server_list(&mut self, _now: Nanos, _whole: bool, list: &[DiscoveredServer]) {
-        self.ready = list.iter().filter(|listed| listed.ready).map(|listed| listed.server).collect();
+        self.ready = list.iter().filter(|entry| entry.ready).map(|entry| entry.server).collect();
     }
 
     fn on_arrival(&mut self, host: &mut HostActions, now: Nanos, arrival: &Arrival) {
-        if let Err(wait) = self.take(now, arrival) {
-            return host.reject(arrival.id, wait);
+        if let Err(retry_after) = self.take_quota(now, arrival) {
+            return host.reject(arrival.id, retry_after);
         }
-        let out = Out { method: arrival.method, deadline: arrival.deadline, tries: 0, server: None };
-        self.rpcs.insert(arrival.id, out);
-        self.send(host, now, arrival.id);
+        let rpc = OpenRpc { method: arrival.method, deadline: arrival.deadline, attempts: 0, server: None };
+        self.rpcs.insert(arrival.id, rpc);
+        self.send_attempt_or_reject(host, now, arrival.id);
     }
 
     fn on_timer(&mut self, _host: &mut HostActions, _now: Nanos, _token: u32) {}
 
-    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, ended: &AttemptResult) {
-        self.opened(ended.server, -1);
-        if ended.rpc_answered || ended.outcome == CallOutcome::Ok {
-            self.rpcs.remove(&ended.rpc);
+    fn on_attempt_end(&mut self, host: &mut HostActions, now: Nanos, result: &AttemptResult) {
+        self.add_open_attempts(result.server, -1);
+        if result.rpc_answered || result.outcome == CallOutcome::Ok {
+            self.rpcs.remove(&result.rpc);
             return;
         }
-        let Some(rpc) = self.rpcs.get(&ended.rpc) else { return };
-        let cap = self.number("ceilings.attemptsCap", 1.0).max(1.0) as u32;
-        let free = self
+        let Some(rpc) = self.rpcs.get(&result.rpc) else { return };
+        let cap = self.number_setting("ceilings.attemptsCap", 1.0).max(1.0) as u32;
+        let idempotent = self
             .settings
             .get(&format!("classes.{}.idempotency", rpc.method))
-            .is_some_and(|how| how == "free");
-        if free && rpc.tries < cap && now < rpc.deadline {
-            return self.send(host, now, ended.rpc);
+            .is_some_and(|value| value == "free");
+        if idempotent && rpc.attempts < cap && now < rpc.deadline {
+            return self.send_attempt_or_reject(host, now, result.rpc);
         }
-        self.rpcs.remove(&ended.rpc);
-        host.reject(ended.rpc, 0);
+        self.rpcs.remove(&result.rpc);
+        host.reject(result.rpc, 0);
     }
 
     fn on_counter_reply(
@@ -364,7 +398,7 @@
         _host: &mut HostActions,
         _now: Nanos,
         _name: u64,
-        _how: CallOutcome,
+        _outcome: CallOutcome,
         _total: f64,
     ) {
     }
@@ -374,13 +408,13 @@
     }
 }
 
-/// A gate of the kind asked for; the seed is the module's for this life of this gateway.
+/// A new policy of the given kind for one incarnation of a gateway. The admission controller uses the seed.
 pub fn new_policy(
     kind: PolicyKind,
     gateway: u32,
     seed: u64,
     settings: &Settings,
-    ledger: &Rc<RefCell<Ledger>>,
+    shared_buckets: &Rc<RefCell<SharedBuckets>>,
 ) -> Box<dyn Policy> {
     match kind {
         PolicyKind::Design => {
@@ -388,6 +422,6 @@
             settings.insert("me".to_string(), gateway.to_string());
             Box::new(AdmissionController::new(seed, settings))
         }
-        _ => Box::new(Baseline::new(kind, gateway, settings.clone(), ledger.clone())),
+        _ => Box::new(Baseline::new(kind, gateway, settings.clone(), shared_buckets.clone())),
     }
 }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -12,7 +12,7 @@
 use crate::counter::Counter;
 use crate::lifecycle::Lifecycle;
 use crate::network::Network;
-use crate::policies::{HostActions, Ledger, Policy, PolicyKind};
+use crate::policies::{HostActions, Policy, PolicyKind, SharedBuckets};
 use crate::queue::EventQueue;
 use crate::record::Record;
 use crate::rng::{self, Stream};
@@ -68,7 +68,7 @@
 
 struct Gateway {
     lifecycle: Lifecycle,
-    gate: Option<Box<dyn Policy>>,
+    policy: Option<Box<dyn Policy>>,
     attempts: BTreeMap<(u32, u16), Attempt>,
     /// Serials of the calls to the counter that are open.
     counter_calls: BTreeSet<u64>,
@@ -78,7 +78,7 @@
     fn new(zone: u32) -> Gateway {
         Gateway {
             lifecycle: Lifecycle::new(zone),
-            gate: None,
+            policy: None,
             attempts: BTreeMap::new(),
             counter_calls: BTreeSet::new(),
         }
@@ -144,7 +144,7 @@
     next_rpc: u32,
     /// What was measured so far.
     pub record: Record,
-    ledger: Rc<RefCell<Ledger>>,
+    shared_buckets: Rc<RefCell<SharedBuckets>>,
     troubles: ChaCha8Rng,
     picked: BTreeMap<usize, Vec<u32>>,
     list_due: bool,
@@ -154,7 +154,7 @@
     counter_timeout: Nanos,
     dial_timeout: Nanos,
     next_serial: u64,
-    wishes: HostActions,
+    actions: HostActions,
 }
 
 /// Plays a scenario with one policy to its end and gives what was measured.
@@ -196,7 +196,7 @@
             rpcs: BTreeMap::new(),
             next_rpc: 1,
             record: Record::new(nanos(scenario.bucket_seconds), window),
-            ledger: Ledger::shared(nanos(scenario.baselines.late_ms / 1e3)),
+            shared_buckets: SharedBuckets::new_shared(nanos(scenario.baselines.late_ms / 1e3)),
             troubles: rng::stream(seed, Stream::Faults),
             picked: BTreeMap::new(),
             list_due: false,
@@ -206,7 +206,7 @@
             counter_timeout,
             dial_timeout,
             next_serial: 0,
-            wishes: HostActions::default(),
+            actions: HostActions::default(),
             settings,
             methods,
             plans,
@@ -218,7 +218,7 @@
 
     fn schedule_first_events(&mut self) {
         for gateway in 0..self.scenario.gateways {
-            self.start_gate(gateway);
+            self.start_policy(gateway);
         }
         self.queue.schedule_at(0, Event::List);
         self.queue.schedule_at(0, Event::Tick);
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -110,7 +110,7 @@
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.with_gate(attempt.gateway, |gate, wishes| gate.on_attempt_end(wishes, now, &ended));
-        self.carry(now, attempt.gateway);
+        self.with_policy(attempt.gateway, |policy, actions| policy.on_attempt_end(actions, now, &ended));
+        self.execute_actions(now, attempt.gateway);
     }
 }
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -44,9 +44,9 @@
             counts.count_calls += 1;
             counts.count_missed += missed;
         });
-        self.with_gate(call.gateway, |gate, wishes| {
-            gate.on_counter_reply(wishes, now, call.name, how, total)
+        self.with_policy(call.gateway, |policy, actions| {
+            policy.on_counter_reply(actions, now, call.name, how, total)
         });
-        self.carry(now, call.gateway);
+        self.execute_actions(now, call.gateway);
     }
 }
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -18,8 +18,8 @@
         self.list_due = false;
         let list: Vec<DiscoveredServer> = self.servers.discovery_list();
         for gateway in &mut self.gateways {
-            if let Some(gate) = gateway.gate.as_deref_mut() {
-                gate.on_server_list(now, true, &list);
+            if let Some(policy) = gateway.policy.as_deref_mut() {
+                policy.on_server_list(now, true, &list);
             }
         }
     }
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -7,21 +7,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl World {
-    pub(super) fn with_gate<T>(
+    pub(super) fn with_policy<T>(
         &mut self,
         gateway: u32,
         call: impl FnOnce(&mut dyn Policy, &mut HostActions) -> T,
     ) -> Option<T> {
-        let gate = self.gateways[gateway as usize].gate.as_deref_mut()?;
-        Some(call(gate, &mut self.wishes))
+        let policy = self.gateways[gateway as usize].policy.as_deref_mut()?;
+        Some(call(policy, &mut self.actions))
     }
 
-    /// Carries out what a gate wished during its last call, in order.
-    pub(super) fn carry(&mut self, now: Nanos, gateway: u32) {
-        // Nothing carried out here calls a gate, so the buffer can be taken and given back with its room.
-        let mut wishes = std::mem::take(&mut self.wishes.0);
-        for wish in wishes.drain(..) {
-            match wish {
+    /// Carries out what a policy wished during its last call, in order.
+    pub(super) fn execute_actions(&mut self, now: Nanos, gateway: u32) {
+        // Nothing carried out here calls a policy, so the buffer can be taken and given back with its room.
+        let mut actions = std::mem::take(&mut self.actions.0);
+        for action in actions.drain(..) {
+            match action {
                 HostAction::SendAttempt { rpc, server, timeout } => {
                     self.send_attempt(now, gateway, rpc, server, timeout)
                 }
@@ -38,21 +38,21 @@
                 }
             }
         }
-        self.wishes.0 = wishes;
+        self.actions.0 = actions;
     }
 
     pub(super) fn wake(&mut self, now: Nanos, gateway: u32, incarnation: u32, token: u32) {
         if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
-            self.with_gate(gateway, |gate, wishes| gate.on_timer(wishes, now, token));
-            self.carry(now, gateway);
+            self.with_policy(gateway, |policy, actions| policy.on_timer(actions, now, token));
+            self.execute_actions(now, gateway);
         }
     }
 
-    pub(super) fn start_gate(&mut self, gateway: u32) {
+    pub(super) fn start_policy(&mut self, gateway: u32) {
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
         let seed = rng::gateway_seed(self.scenario.seed, gateway, incarnation);
-        let gate = policies::new_policy(self.kind, gateway, seed, &self.settings, &self.ledger);
-        self.gateways[gateway as usize].gate = Some(gate);
+        let policy = policies::new_policy(self.kind, gateway, seed, &self.settings, &self.shared_buckets);
+        self.gateways[gateway as usize].policy = Some(policy);
     }
 
     /// Gateways gone at once: what they held is cut, and the clients may come again elsewhere.
@@ -62,7 +62,7 @@
             down[gateway as usize] = true;
             let at = &mut self.gateways[gateway as usize];
             at.lifecycle.kill();
-            (at.gate, at.attempts, at.counter_calls) = (None, BTreeMap::new(), BTreeSet::new());
+            (at.policy, at.attempts, at.counter_calls) = (None, BTreeMap::new(), BTreeSet::new());
         }
         let held: Vec<(u32, u32, u32)> = (self.rpcs.iter())
             .filter(|(_, live)| down[live.gateway as usize] && live.state.is_open())
@@ -96,8 +96,8 @@
             return;
         }
         self.gateways[gateway as usize].lifecycle.start();
-        self.start_gate(gateway);
+        self.start_policy(gateway);
         let list = self.servers.discovery_list();
-        self.with_gate(gateway, |gate, _| gate.on_server_list(now, true, &list));
+        self.with_policy(gateway, |policy, _| policy.on_server_list(now, true, &list));
     }
 }
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -71,8 +71,8 @@
             gateway_count: width,
             first_gateway: first,
         };
-        self.with_gate(gateway, |gate, wishes| gate.on_arrival(wishes, now, &arrival));
-        self.carry(now, gateway);
+        self.with_policy(gateway, |policy, actions| policy.on_arrival(actions, now, &arrival));
+        self.execute_actions(now, gateway);
     }
 
     /// The client leaves early: the gateway is told, and the RPC counts as left if it had no answer.
@@ -83,7 +83,7 @@
             self.record.add(now, |counts| counts.left += 1);
             self.set_state(rpc, RpcState::Abandoned);
             if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
-                self.with_gate(gateway, |gate, _| gate.on_client_left(rpc));
+                self.with_policy(gateway, |policy, _| policy.on_client_left(rpc));
             }
         }
     }
@@ -95,7 +95,7 @@
             let now = self.queue.now();
             self.record.add(now, |counts| counts.lost += 1);
             if self.gateways[live.gateway as usize].lifecycle.incarnation == live.incarnation {
-                self.with_gate(live.gateway, |gate, _| gate.on_client_left(rpc));
+                self.with_policy(live.gateway, |policy, _| policy.on_client_left(rpc));
             }
         }
     }
