--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,5 +1,5 @@
 //! The emulation: clients, gateways, servers, discovery, the counter and the network on one clock. Each RPC is a
-//! state machine (`RpcState`) changed by `set_state` alone; each event is handled by one function.
+//! state machine (`RpcState`) that changes only in `set_state`, and each kind of event has one handler function.
 
 mod attempts;
 mod counter_calls;
@@ -25,52 +25,52 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Past its deadline an RPC's client waits so long for an answer before the RPC counts as lost.
-pub const GRACE: Nanos = 500 * MS;
+/// How long after its deadline an RPC may still be answered before it counts as lost.
+pub const ANSWER_GRACE: Nanos = 500 * MS;
 
-/// The states of an RPC, as the client and the gateway see it.
+/// The states of an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RpcState {
-    /// At its gateway, with no attempt open.
+    /// At its gateway, without an open attempt.
     Waiting,
-    /// An attempt is open.
+    /// With an open attempt.
     Attempting,
-    /// It has its final answer; kept until its deadline so that a second one is seen.
+    /// Finally answered. The RPC is kept until it expires, so that a second final answer is detected.
     Answered,
-    /// Its client left, or its gateway was killed.
+    /// Cancelled by its client, or its gateway was killed.
     Abandoned,
 }
 
 impl RpcState {
-    /// Whether the RPC still has to get its final answer.
+    /// Whether the RPC has yet to be answered.
     fn is_open(self) -> bool {
         matches!(self, RpcState::Waiting | RpcState::Attempting)
     }
 }
 
-/// An RPC from its arrival until it is overdue.
-struct LiveRpc {
+/// An RPC, kept from its arrival until it expires.
+struct TrackedRpc {
     gateway: u32,
     incarnation: u32,
     stream: u32,
-    arrived: Nanos,
+    arrived_at: Nanos,
     deadline: Nanos,
-    tries: u32,
-    nth: u16,
+    retries: u32,
+    next_attempt: u16,
     state: RpcState,
 }
 
 struct Attempt {
     server: u32,
     server_incarnation: u32,
-    sent: Nanos,
+    sent_at: Nanos,
 }
 
 struct Gateway {
     lifecycle: Lifecycle,
     policy: Option<Box<dyn Policy>>,
     attempts: BTreeMap<(u32, u16), Attempt>,
-    /// Serials of the calls to the counter that are open.
+    /// The serial numbers of the open calls to the counter.
     counter_calls: BTreeSet<u64>,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// A call of a gateway to the shared counter.
+/// A gateway's call to the shared counter.
 #[derive(Clone, Copy, Debug)]
 struct CounterCall {
     gateway: u32,
@@ -96,35 +96,35 @@
     forget: Nanos,
 }
 
-/// A final answer of a gateway other than ok.
+/// A gateway's final answer other than ok.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Refusal {
-    /// Trying again does no harm, after this time (0 gives no advice).
+enum ErrorAnswer {
+    /// The client may retry safely after this time; 0 gives no advice.
     Rejected { retry_after: Nanos },
-    /// Nothing is promised: the RPC may have run.
+    /// The RPC may have run, so a retry may be unsafe.
     Aborted,
 }
 
 #[derive(Debug)]
 enum Event {
-    Arrive { stream: u32 },
-    Retry { stream: u32, tries: u32 },
-    Leave { rpc: u32 },
-    Overdue { rpc: u32 },
-    Wake { gateway: u32, incarnation: u32, token: u32 },
-    AttemptAtServer { attempt: AttemptRef, server: u32, server_incarnation: u32 },
-    AttemptEnd { attempt: AttemptRef, how: CallOutcome },
+    Arrival { stream: u32 },
+    Retry { stream: u32, retries: u32 },
+    ClientCancel { rpc: u32 },
+    RpcExpiry { rpc: u32 },
+    Timer { gateway: u32, incarnation: u32, token: u32 },
+    AttemptArrival { attempt: AttemptRef, server: u32, server_incarnation: u32 },
+    AttemptEnd { attempt: AttemptRef, outcome: CallOutcome },
     AttemptTimeout { attempt: AttemptRef },
-    ServerFreed { server: u32, server_incarnation: u32 },
+    AttemptServed { server: u32, server_incarnation: u32 },
     CounterRequest(CounterCall),
     CounterReply { call: CounterCall, total: f64 },
     CounterTimeout(CounterCall),
-    List,
-    Trouble { index: usize, starts: bool },
-    Replace { server: u32 },
-    Stop { gateway: u32, incarnation: u32 },
-    Start { gateway: u32 },
-    Tick,
+    ServerList,
+    Fault { index: usize, starts: bool },
+    ReplaceServer { server: u32 },
+    StopGateway { gateway: u32, incarnation: u32 },
+    StartGateway { gateway: u32 },
+    Sample,
 }
 
 /// The state of an emulation.
@@ -140,15 +140,15 @@
     counter: Counter,
     network: Network,
     gateways: Vec<Gateway>,
-    rpcs: BTreeMap<u32, LiveRpc>,
+    rpcs: BTreeMap<u32, TrackedRpc>,
     next_rpc: u32,
-    /// What was measured so far.
+    /// The measurements so far.
     pub record: Record,
     shared_buckets: Rc<RefCell<SharedBuckets>>,
-    troubles: ChaCha8Rng,
-    picked: BTreeMap<usize, Vec<u32>>,
-    list_due: bool,
-    list_late: Nanos,
+    fault_rng: ChaCha8Rng,
+    fault_targets: BTreeMap<usize, Vec<u32>>,
+    list_scheduled: bool,
+    extra_list_delay: Nanos,
     end: Nanos,
     horizon: Nanos,
     counter_timeout: Nanos,
@@ -157,7 +157,7 @@
     actions: HostActions,
 }
 
-/// Plays a scenario with one policy to its end and gives what was measured.
+/// Runs a scenario with one policy to its end and returns the measurements.
 pub fn run_scenario(
     scenario: &Scenario,
     kind: PolicyKind,
@@ -169,7 +169,7 @@
 }
 
 impl World {
-    /// A world in which nothing has happened yet.
+    /// The initial state of a scenario, with its first events scheduled.
     pub fn new(scenario: &Scenario, kind: PolicyKind) -> World {
         let seed = scenario.seed;
         let methods = scenario.methods().unwrap_or_default();
@@ -181,7 +181,7 @@
         let (counter_timeout, dial_timeout) =
             (nanos(number("extra.countWait", 0.05)), nanos(number("ceilings.dialTimeout", 0.25)));
         let zones = scenario.servers.zones;
-        let gateways = (0..scenario.gateways).map(|at| Gateway::new(at % zones)).collect();
+        let gateways = (0..scenario.gateways).map(|number| Gateway::new(number % zones)).collect();
         let end = nanos(scenario.seconds);
         let longest = methods.iter().map(|method| method.deadline).max().unwrap_or(SEC);
         let window = nanos(60.0).min(end.max(1));
@@ -197,12 +197,12 @@
             next_rpc: 1,
             record: Record::new(nanos(scenario.bucket_seconds), window),
             shared_buckets: SharedBuckets::new_shared(nanos(scenario.baselines.late_ms / 1e3)),
-            troubles: rng::stream(seed, Stream::Faults),
-            picked: BTreeMap::new(),
-            list_due: false,
-            list_late: 0,
+            fault_rng: rng::stream(seed, Stream::Faults),
+            fault_targets: BTreeMap::new(),
+            list_scheduled: false,
+            extra_list_delay: 0,
             end,
-            horizon: end + longest + GRACE + SEC,
+            horizon: end + longest + ANSWER_GRACE + SEC,
             counter_timeout,
             dial_timeout,
             next_serial: 0,
@@ -220,27 +220,27 @@
         for gateway in 0..self.scenario.gateways {
             self.start_policy(gateway);
         }
-        self.queue.schedule_at(0, Event::List);
-        self.queue.schedule_at(0, Event::Tick);
+        self.queue.schedule_at(0, Event::ServerList);
+        self.queue.schedule_at(0, Event::Sample);
         for stream in 0..self.clients.streams.len() {
             if let Some(gap) = self.clients.next_arrival_delay(stream) {
-                self.queue.schedule_at(gap, Event::Arrive { stream: stream as u32 });
+                self.queue.schedule_at(gap, Event::Arrival { stream: stream as u32 });
             }
         }
         for (index, trouble) in self.scenario.troubles.iter().enumerate() {
             let (starts, ends) = trouble.span();
-            self.queue.schedule_at(starts, Event::Trouble { index, starts: true });
+            self.queue.schedule_at(starts, Event::Fault { index, starts: true });
             if let Some(ends) = ends {
-                self.queue.schedule_at(ends, Event::Trouble { index, starts: false });
+                self.queue.schedule_at(ends, Event::Fault { index, starts: false });
             }
         }
     }
 
-    /// Handles events until the horizon: arrivals stop at the scenario's end, and every RPC then has until its
-    /// deadline and the grace to end.
+    /// Handles events until the horizon. Arrivals stop at the scenario's end; the RPCs that are still open then have
+    /// until their deadlines plus `ANSWER_GRACE`.
     pub fn run(&mut self, progress: Option<&indicatif::ProgressBar>) {
         while let Some((now, event)) = self.queue.pop_until(self.horizon) {
-            if let (Event::Tick, Some(bar)) = (&event, progress) {
+            if let (Event::Sample, Some(bar)) = (&event, progress) {
                 bar.set_position(now / SEC);
             }
             self.handle(now, event);
@@ -261,41 +261,43 @@
 
     fn handle(&mut self, now: Nanos, event: Event) {
         match event {
-            Event::Arrive { stream } => self.arrive(now, stream, 0, true),
-            Event::Retry { stream, tries } => self.arrive(now, stream, tries, false),
-            Event::Leave { rpc } => self.leave(rpc),
-            Event::Overdue { rpc } => self.overdue(rpc),
-            Event::Wake { gateway, incarnation, token } => self.wake(now, gateway, incarnation, token),
-            Event::AttemptAtServer { attempt, server, server_incarnation } => {
-                self.at_server(now, attempt, server, server_incarnation)
+            Event::Arrival { stream } => self.rpc_arrived(now, stream, 0, true),
+            Event::Retry { stream, retries } => self.rpc_arrived(now, stream, retries, false),
+            Event::ClientCancel { rpc } => self.client_cancelled(rpc),
+            Event::RpcExpiry { rpc } => self.rpc_expired(rpc),
+            Event::Timer { gateway, incarnation, token } => {
+                self.timer_expired(now, gateway, incarnation, token)
             }
-            Event::AttemptEnd { attempt, how } => self.attempt_ended(now, attempt, how),
+            Event::AttemptArrival { attempt, server, server_incarnation } => {
+                self.attempt_arrived(now, attempt, server, server_incarnation)
+            }
+            Event::AttemptEnd { attempt, outcome } => self.attempt_ended(now, attempt, outcome),
             Event::AttemptTimeout { attempt } => self.attempt_ended(now, attempt, CallOutcome::TimedOut),
-            Event::ServerFreed { server, server_incarnation } => {
+            Event::AttemptServed { server, server_incarnation } => {
                 self.servers.release_slot(server, server_incarnation)
             }
             Event::CounterRequest(call) => self.counter_request(now, call),
             Event::CounterReply { call, total } => self.counter_call_ended(now, call, CallOutcome::Ok, total),
             Event::CounterTimeout(call) => self.counter_call_ended(now, call, CallOutcome::TimedOut, 0.0),
-            Event::List => self.list(now),
-            Event::Trouble { index, starts } => self.trouble(now, index, starts),
-            Event::Replace { server } => self.replace(now, server),
-            Event::Stop { gateway, incarnation } => self.stop(now, gateway, incarnation),
-            Event::Start { gateway } => self.start(now, gateway),
-            Event::Tick => self.tick(now),
+            Event::ServerList => self.send_server_list(now),
+            Event::Fault { index, starts } => self.apply_fault(now, index, starts),
+            Event::ReplaceServer { server } => self.replace_server(now, server),
+            Event::StopGateway { gateway, incarnation } => self.stop_gateway(now, gateway, incarnation),
+            Event::StartGateway { gateway } => self.start_gateway(now, gateway),
+            Event::Sample => self.sample_gauges(now),
         }
     }
 
-    fn tick(&mut self, now: Nanos) {
+    fn sample_gauges(&mut self, now: Nanos) {
         let up = self.gateways.iter().filter(|gateway| gateway.lifecycle.accepts_clients()).count() as u32;
         self.record.gauge(now, up, self.rpcs.len() as u64);
         if now < self.end {
-            self.queue.schedule_after(nanos(self.scenario.bucket_seconds), Event::Tick);
+            self.queue.schedule_after(nanos(self.scenario.bucket_seconds), Event::Sample);
         }
     }
 }
 
-/// What an ok answer earns: the method's credit by its soft deadline, falling evenly to nought at the deadline.
+/// The utility of an ok answer: the method's credit until its soft deadline, then falling linearly to 0 at the deadline.
 pub fn utility(method: &Method, arrived: Nanos, deadline: Nanos, now: Nanos) -> f64 {
     let soft = arrived + method.soft;
     if now <= soft {
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers, from the gateway to the server and back.
+//! Emulates the attempts at servers, from the gateway to the server and back.
 
 use super::{Attempt, Event, RpcState, World, utility};
 use crate::Nanos;
@@ -8,43 +8,43 @@
 impl World {
     pub(super) fn send_attempt(&mut self, now: Nanos, gateway: u32, rpc: u32, server: u32, limit: Nanos) {
         let Some(live) = self.rpcs.get_mut(&rpc).filter(|live| live.gateway == gateway) else { return };
-        let (nth, deadline, stream) = (live.nth, live.deadline, live.stream);
-        live.nth += 1;
+        let (number, deadline, stream) = (live.next_attempt, live.deadline, live.stream);
+        live.next_attempt += 1;
         if live.state == RpcState::Waiting {
             self.set_state(rpc, RpcState::Attempting);
         }
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-        let attempt = AttemptRef { gateway, incarnation, rpc, number: nth };
+        let attempt = AttemptRef { gateway, incarnation, rpc, number };
         self.record.add(now, |counts| counts.call_outs += 1);
-        if nth == 0 {
-            let at = &self.clients.streams[stream as usize];
-            let plan = &self.plans[at.plan as usize];
-            self.record.sent(now, at.customer, at.units, plan.rate, plan.burst);
+        if number == 0 {
+            let arrivals = &self.clients.streams[stream as usize];
+            let plan = &self.plans[arrivals.plan as usize];
+            self.record.sent(now, arrivals.customer, arrivals.units, plan.rate, plan.burst);
         }
         let ends = if limit > 0 { (now + limit).min(deadline) } else { deadline };
         self.queue.schedule_at(ends.max(now + 1), Event::AttemptTimeout { attempt });
-        let Some(at) = self.servers.all.get(server as usize) else {
+        let Some(target) = self.servers.all.get(server as usize) else {
             return self.queue.schedule_after(
                 self.network.refuse_delay,
-                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+                Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
             );
         };
-        let (zone, server_incarnation) = (self.gateways[gateway as usize].lifecycle.zone, at.incarnation);
+        let (zone, server_incarnation) = (self.gateways[gateway as usize].lifecycle.zone, target.incarnation);
         self.gateways[gateway as usize]
             .attempts
-            .insert((rpc, nth), Attempt { server, server_incarnation, sent: now });
-        if !self.network.reaches(zone, at.zone) {
+            .insert((rpc, number), Attempt { server, server_incarnation, sent_at: now });
+        if !self.network.reaches(zone, target.zone) {
             return self.queue.schedule_after(
                 self.dial_timeout,
-                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+                Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
             );
         }
-        if let Some(hop) = self.network.message_delay() {
-            self.queue.schedule_after(hop, Event::AttemptAtServer { attempt, server, server_incarnation });
+        if let Some(delay) = self.network.message_delay() {
+            self.queue.schedule_after(delay, Event::AttemptArrival { attempt, server, server_incarnation });
         }
     }
 
-    pub(super) fn at_server(
+    pub(super) fn attempt_arrived(
         &mut self,
         now: Nanos,
         attempt: AttemptRef,
@@ -54,39 +54,40 @@
         match self.servers.accept(now, server, server_incarnation, attempt) {
             Disposition::Refused => self.queue.schedule_after(
                 self.network.refuse_delay,
-                Event::AttemptEnd { attempt, how: CallOutcome::NoConnection },
+                Event::AttemptEnd { attempt, outcome: CallOutcome::NoConnection },
             ),
-            Disposition::Full => self.answer(attempt, 0, CallOutcome::Full),
+            Disposition::Full => self.send_answer(attempt, 0, CallOutcome::Full),
             Disposition::Serving { after, ok } => {
-                self.queue.schedule_after(after, Event::ServerFreed { server, server_incarnation });
-                self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
+                self.queue.schedule_after(after, Event::AttemptServed { server, server_incarnation });
+                self.send_answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
             Disposition::Held => {}
         }
     }
 
-    pub(super) fn answer(&mut self, attempt: AttemptRef, after: Nanos, how: CallOutcome) {
-        if let Some(hop) = self.network.message_delay() {
-            self.queue.schedule_after(after + hop, Event::AttemptEnd { attempt, how });
+    pub(super) fn send_answer(&mut self, attempt: AttemptRef, after: Nanos, outcome: CallOutcome) {
+        if let Some(delay) = self.network.message_delay() {
+            self.queue.schedule_after(after + delay, Event::AttemptEnd { attempt, outcome });
         }
     }
 
-    /// An attempt ended at its gateway: answered, failed, or its time over. One that ended before is passed over.
-    pub(super) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptRef, how: CallOutcome) {
+    /// Handles the end of an attempt at its gateway: answered, failed or timed out. Ignored if the attempt has already
+    /// ended.
+    pub(super) fn attempt_ended(&mut self, now: Nanos, attempt: AttemptRef, outcome: CallOutcome) {
         let gateway = &mut self.gateways[attempt.gateway as usize];
         if gateway.lifecycle.incarnation != attempt.incarnation || !gateway.lifecycle.is_running() {
             return;
         }
-        let Some(out) = gateway.attempts.remove(&(attempt.rpc, attempt.number)) else { return };
-        let took = now - out.sent;
+        let Some(sent) = gateway.attempts.remove(&(attempt.rpc, attempt.number)) else { return };
+        let duration = now - sent.sent_at;
         let live = self
             .rpcs
             .get(&attempt.rpc)
             .filter(|live| live.gateway == attempt.gateway && live.incarnation == attempt.incarnation);
         let open = live.is_some_and(|live| live.state.is_open());
         if let Some(live) = live.filter(|_| open) {
-            let (arrived, deadline, stream) = (live.arrived, live.deadline, live.stream);
-            if how == CallOutcome::Ok {
+            let (arrived, deadline, stream) = (live.arrived_at, live.deadline, live.stream);
+            if outcome == CallOutcome::Ok {
                 let method = &self.methods[self.clients.streams[stream as usize].method as usize];
                 let earned = utility(method, arrived, deadline, now);
                 self.record.add(now, |counts| {
@@ -99,18 +100,18 @@
                 self.set_state(attempt.rpc, RpcState::Waiting);
             }
         }
-        let closed = !open || how == CallOutcome::Ok;
-        let ended = AttemptResult {
+        let closed = !open || outcome == CallOutcome::Ok;
+        let result = AttemptResult {
             rpc: attempt.rpc,
-            server: out.server,
+            server: sent.server,
             attempt: attempt.number,
-            outcome: how,
-            duration: took,
+            outcome,
+            duration,
             rpc_answered: closed,
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.with_policy(attempt.gateway, |policy, actions| policy.on_attempt_end(actions, now, &ended));
+        self.with_policy(attempt.gateway, |policy, actions| policy.on_attempt_end(actions, now, &result));
         self.execute_actions(now, attempt.gateway);
     }
 }
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: changes of the fleet of servers come to the gateways with a delay.
+//! Emulates discovery: changes in the fleet of servers reach the gateways after a delay.
 
 use super::{Event, World};
 use crate::servers::AttemptRef;
@@ -6,16 +6,16 @@
 use martenramp::host::{CallOutcome, DiscoveredServer};
 
 impl World {
-    pub(super) fn list_changed(&mut self) {
-        if !self.list_due {
-            self.list_due = true;
-            let delay = nanos(self.scenario.discovery.delay_ms / 1e3) + self.list_late;
-            self.queue.schedule_after(delay, Event::List);
+    pub(super) fn schedule_server_list(&mut self) {
+        if !self.list_scheduled {
+            self.list_scheduled = true;
+            let delay = nanos(self.scenario.discovery.delay_ms / 1e3) + self.extra_list_delay;
+            self.queue.schedule_after(delay, Event::ServerList);
         }
     }
 
-    pub(super) fn list(&mut self, now: Nanos) {
-        self.list_due = false;
+    pub(super) fn send_server_list(&mut self, now: Nanos) {
+        self.list_scheduled = false;
         let list: Vec<DiscoveredServer> = self.servers.discovery_list();
         for gateway in &mut self.gateways {
             if let Some(policy) = gateway.policy.as_deref_mut() {
@@ -24,18 +24,20 @@
         }
     }
 
-    /// Attempts open on servers that are gone end as reset, a moment later. `servers` is in order.
+    /// Ends the open attempts at servers that have gone as reset, after the network's `refuse_delay`. `servers` must be
+    /// sorted.
     pub(super) fn reset_attempts_on(&mut self, servers: &[u32]) {
         let mut reset = Vec::new();
-        for (number, gateway) in self.gateways.iter().enumerate() {
-            for (&(rpc, nth), out) in &gateway.attempts {
-                let on = self.servers.all[out.server as usize].incarnation == out.server_incarnation;
-                if on && servers.binary_search(&out.server).is_ok() {
+        for (gateway_number, gateway) in self.gateways.iter().enumerate() {
+            for (&(rpc, number), attempt) in &gateway.attempts {
+                let is_current =
+                    self.servers.all[attempt.server as usize].incarnation == attempt.server_incarnation;
+                if is_current && servers.binary_search(&attempt.server).is_ok() {
                     reset.push(AttemptRef {
-                        gateway: number as u32,
+                        gateway: gateway_number as u32,
                         incarnation: gateway.lifecycle.incarnation,
                         rpc,
-                        number: nth,
+                        number,
                     });
                 }
             }
@@ -43,14 +45,14 @@
         for attempt in reset {
             self.queue.schedule_after(
                 self.network.refuse_delay,
-                Event::AttemptEnd { attempt, how: CallOutcome::Reset },
+                Event::AttemptEnd { attempt, outcome: CallOutcome::Reset },
             );
         }
     }
 
-    pub(super) fn replace(&mut self, now: Nanos, server: u32) {
+    pub(super) fn replace_server(&mut self, now: Nanos, server: u32) {
         self.reset_attempts_on(&[server]);
         self.servers.replace(server, now);
-        self.list_changed();
+        self.schedule_server_list();
     }
 }
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles: each begins, and most end, at a time of the scenario.
+//! Applies the faults of a scenario: each begins, and most of them end, at a time that the scenario sets.
 
 use super::{Event, World};
 use crate::scenario::Trouble;
@@ -7,8 +7,8 @@
 use martenramp::host::CallOutcome;
 
 impl World {
-    /// A trouble of the scenario begins or ends.
-    pub(super) fn trouble(&mut self, now: Nanos, index: usize, starts: bool) {
+    /// Begins or ends a fault of the scenario.
+    pub(super) fn apply_fault(&mut self, now: Nanos, index: usize, starts: bool) {
         match self.scenario.troubles[index].clone() {
             Trouble::CounterStall { .. } => self.counter.stalled = starts,
             Trouble::CounterSplit { .. } if starts => self.counter.split(),
@@ -20,48 +20,51 @@
             Trouble::Partition { zone, .. } => self.network.set_cut_off(zone, starts),
             Trouble::Slow { share, factor, .. } => {
                 let factor = if starts { factor } else { 1.0 };
-                let hit = self.servers_hit(index, share, starts);
-                hit.into_iter().for_each(|server| self.servers.set_slow_factor(server, factor));
+                let affected = self.affected_servers(index, share, starts);
+                affected.into_iter().for_each(|server| self.servers.set_slow_factor(server, factor));
             }
             Trouble::Fail { share, error_share, .. } => {
                 let error_share = if starts { error_share } else { self.servers.base_error_share() };
-                let hit = self.servers_hit(index, share, starts);
-                hit.into_iter().for_each(|server| self.servers.set_error_share(server, error_share));
+                let affected = self.affected_servers(index, share, starts);
+                affected.into_iter().for_each(|server| self.servers.set_error_share(server, error_share));
             }
             Trouble::Pause { share, .. } => {
-                let hit = self.servers_hit(index, share, starts);
+                let affected = self.affected_servers(index, share, starts);
                 if starts {
-                    hit.into_iter().for_each(|server| self.servers.pause(server));
+                    affected.into_iter().for_each(|server| self.servers.pause(server));
                 } else {
-                    hit.into_iter().for_each(|server| self.resume_server(server));
+                    affected.into_iter().for_each(|server| self.resume_server(server));
                 }
             }
             Trouble::Replace { share, seconds, .. } if starts => self.replace_servers(index, share, seconds),
             Trouble::Replace { .. } => {}
             Trouble::Burst { factor, .. } => self.clients.burst = if starts { factor.max(0.0) } else { 1.0 },
             Trouble::ListLate { delay_ms, .. } => {
-                self.list_late = if starts { nanos(delay_ms / 1e3) } else { 0 }
+                self.extra_list_delay = if starts { nanos(delay_ms / 1e3) } else { 0 }
             }
         }
     }
 
     fn kill_gateways(&mut self, now: Nanos, index: usize, share: f64, back_after: Option<f64>) {
-        let killed = self.pick_running(index, share);
-        self.cut(now, &killed);
+        let killed = self.pick_running_gateways(index, share);
+        self.take_down_gateways(now, &killed);
         let Some(back_after) = back_after else { return };
         for gateway in killed {
-            self.queue.schedule_after(nanos(back_after), Event::Start { gateway });
+            self.queue.schedule_after(nanos(back_after), Event::StartGateway { gateway });
         }
     }
 
     fn drain_gateways(&mut self, now: Nanos, index: usize, share: f64, back_after: Option<f64>) {
-        for gateway in self.pick_running(index, share) {
+        for gateway in self.pick_running_gateways(index, share) {
             let lifecycle = &mut self.gateways[gateway as usize].lifecycle;
             lifecycle.drain(now);
             let incarnation = lifecycle.incarnation;
-            self.queue.schedule_after(lifecycle::DRAIN_TIME, Event::Stop { gateway, incarnation });
-            if let Some(back) = back_after {
-                self.queue.schedule_after(lifecycle::DRAIN_TIME + nanos(back), Event::Start { gateway });
+            self.queue.schedule_after(lifecycle::DRAIN_TIME, Event::StopGateway { gateway, incarnation });
+            if let Some(back_after) = back_after {
+                self.queue.schedule_after(
+                    lifecycle::DRAIN_TIME + nanos(back_after),
+                    Event::StartGateway { gateway },
+                );
             }
         }
     }
@@ -75,47 +78,47 @@
         } else {
             in_zone.iter().for_each(|&server| self.servers.replace(server, now));
         }
-        self.list_changed();
+        self.schedule_server_list();
     }
 
-    /// The pause of a server is over: what it held is served now.
+    /// Ends the pause of a server, which now serves the attempts that it held.
     fn resume_server(&mut self, server: u32) {
         let server_incarnation = self.servers.all[server as usize].incarnation;
         for (attempt, disposition) in self.servers.resume(server) {
             if let Disposition::Serving { after, ok } = disposition {
-                self.queue.schedule_after(after, Event::ServerFreed { server, server_incarnation });
-                self.answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
+                self.queue.schedule_after(after, Event::AttemptServed { server, server_incarnation });
+                self.send_answer(attempt, after, if ok { CallOutcome::Ok } else { CallOutcome::Error });
             }
         }
     }
 
     fn replace_servers(&mut self, index: usize, share: f64, seconds: f64) {
-        let replaced = self.pick(index, self.scenario.servers.count, share);
-        let step = nanos(seconds) / (replaced.len() as Nanos).max(1);
-        for (at, server) in replaced.into_iter().enumerate() {
-            self.queue.schedule_after(step * at as Nanos, Event::Replace { server });
+        let replaced = self.pick_targets(index, self.scenario.servers.count, share);
+        let interval = nanos(seconds) / (replaced.len() as Nanos).max(1);
+        for (position, server) in replaced.into_iter().enumerate() {
+            self.queue.schedule_after(interval * position as Nanos, Event::ReplaceServer { server });
         }
     }
 
-    /// The servers that a trouble hits: drawn when it starts, the same when it ends.
-    fn servers_hit(&mut self, index: usize, share: f64, starts: bool) -> Vec<u32> {
+    /// The servers that a fault affects: drawn when it starts, and the same ones when it ends.
+    fn affected_servers(&mut self, index: usize, share: f64, starts: bool) -> Vec<u32> {
         if starts {
-            return self.pick(index, self.scenario.servers.count, share);
+            return self.pick_targets(index, self.scenario.servers.count, share);
         }
-        self.picked.get(&index).cloned().unwrap_or_default()
+        self.fault_targets.get(&index).cloned().unwrap_or_default()
     }
 
-    fn pick(&mut self, index: usize, count: u32, share: f64) -> Vec<u32> {
-        let picked = lifecycle::sample_share(count, share, &mut self.troubles);
-        self.picked.insert(index, picked.clone());
-        picked
+    fn pick_targets(&mut self, index: usize, count: u32, share: f64) -> Vec<u32> {
+        let targets = lifecycle::sample_share(count, share, &mut self.fault_rng);
+        self.fault_targets.insert(index, targets.clone());
+        targets
     }
 
-    fn pick_running(&mut self, index: usize, share: f64) -> Vec<u32> {
+    fn pick_running_gateways(&mut self, index: usize, share: f64) -> Vec<u32> {
         let gateways = self.gateways.iter().zip(0u32..);
         let running = gateways.filter(|(gateway, _)| gateway.lifecycle.is_running());
         let running: Vec<u32> = running.map(|(_, number)| number).collect();
-        let picked = self.pick(index, running.len() as u32, share);
-        picked.into_iter().map(|at| running[at as usize]).collect()
+        let targets = self.pick_targets(index, running.len() as u32, share);
+        targets.into_iter().map(|index| running[index as usize]).collect()
     }
 }
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -1,6 +1,6 @@
-//! Gateways: what their policies ask for is carried out, and they start, drain, stop and are killed.
+//! Emulates the gateways: executes the actions of their policies, and starts, stops and kills them.
 
-use super::{Event, Refusal, RpcState, World};
+use super::{ErrorAnswer, Event, RpcState, World};
 use crate::lifecycle::Phase;
 use crate::policies::{self, HostAction, HostActions, Policy};
 use crate::{Nanos, rng};
@@ -16,9 +16,9 @@
         Some(call(policy, &mut self.actions))
     }
 
-    /// Carries out what a policy wished during its last call, in order.
+    /// Executes, in order, the actions that a policy requested during its last call.
     pub(super) fn execute_actions(&mut self, now: Nanos, gateway: u32) {
-        // Nothing carried out here calls a policy, so the buffer can be taken and given back with its room.
+        // No action calls a policy, so nothing is added to the buffer meanwhile. Putting it back keeps its capacity.
         let mut actions = std::mem::take(&mut self.actions.0);
         for action in actions.drain(..) {
             match action {
@@ -26,12 +26,12 @@
                     self.send_attempt(now, gateway, rpc, server, timeout)
                 }
                 HostAction::Reject { rpc, retry_after } => {
-                    self.refuse(now, rpc, Refusal::Rejected { retry_after })
+                    self.answer_with_error(now, rpc, ErrorAnswer::Rejected { retry_after })
                 }
-                HostAction::Abort { rpc } => self.refuse(now, rpc, Refusal::Aborted),
+                HostAction::Abort { rpc } => self.answer_with_error(now, rpc, ErrorAnswer::Aborted),
                 HostAction::SetTimer { after, token } => {
                     let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-                    self.queue.schedule_after(after.max(1), Event::Wake { gateway, incarnation, token });
+                    self.queue.schedule_after(after.max(1), Event::Timer { gateway, incarnation, token });
                 }
                 HostAction::AddToCounter { name, add, forget } => {
                     self.call_counter(now, gateway, name, add, forget)
@@ -41,7 +41,7 @@
         self.actions.0 = actions;
     }
 
-    pub(super) fn wake(&mut self, now: Nanos, gateway: u32, incarnation: u32, token: u32) {
+    pub(super) fn timer_expired(&mut self, now: Nanos, gateway: u32, incarnation: u32, token: u32) {
         if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
             self.with_policy(gateway, |policy, actions| policy.on_timer(actions, now, token));
             self.execute_actions(now, gateway);
@@ -55,43 +55,45 @@
         self.gateways[gateway as usize].policy = Some(policy);
     }
 
-    /// Gateways gone at once: what they held is cut, and the clients may come again elsewhere.
-    pub(super) fn cut(&mut self, now: Nanos, gone: &[u32]) {
-        let mut down = vec![false; self.gateways.len()];
-        for &gateway in gone {
-            down[gateway as usize] = true;
-            let at = &mut self.gateways[gateway as usize];
-            at.lifecycle.kill();
-            (at.policy, at.attempts, at.counter_calls) = (None, BTreeMap::new(), BTreeSet::new());
+    /// Takes gateways down at once. Their open RPCs count as `cut`, and the clients may retry at other gateways.
+    pub(super) fn take_down_gateways(&mut self, now: Nanos, gateways: &[u32]) {
+        let mut is_down = vec![false; self.gateways.len()];
+        for &gateway in gateways {
+            is_down[gateway as usize] = true;
+            let state = &mut self.gateways[gateway as usize];
+            state.lifecycle.kill();
+            (state.policy, state.attempts, state.counter_calls) = (None, BTreeMap::new(), BTreeSet::new());
         }
-        let held: Vec<(u32, u32, u32)> = (self.rpcs.iter())
-            .filter(|(_, live)| down[live.gateway as usize] && live.state.is_open())
-            .map(|(rpc, live)| (*rpc, live.stream, live.tries))
+        let open_rpcs: Vec<(u32, u32, u32)> = (self.rpcs.iter())
+            .filter(|(_, live)| is_down[live.gateway as usize] && live.state.is_open())
+            .map(|(rpc, live)| (*rpc, live.stream, live.retries))
             .collect();
-        for (rpc, stream, tries) in held {
+        for (rpc, stream, retries) in open_rpcs {
             self.set_state(rpc, RpcState::Abandoned);
             self.record.add(now, |counts| counts.cut += 1);
-            self.schedule_retry(stream, tries, 0);
+            self.schedule_retry(stream, retries, 0);
         }
     }
 
-    pub(super) fn stop(&mut self, now: Nanos, gateway: u32, incarnation: u32) {
-        let at = &self.gateways[gateway as usize];
-        if at.lifecycle.incarnation != incarnation || !matches!(at.lifecycle.phase, Phase::Draining { .. }) {
+    pub(super) fn stop_gateway(&mut self, now: Nanos, gateway: u32, incarnation: u32) {
+        let state = &self.gateways[gateway as usize];
+        if state.lifecycle.incarnation != incarnation
+            || !matches!(state.lifecycle.phase, Phase::Draining { .. })
+        {
             return;
         }
-        let held: Vec<u32> = (self.rpcs.iter())
+        let open_rpcs: Vec<u32> = (self.rpcs.iter())
             .filter(|(_, live)| live.gateway == gateway && live.state.is_open())
             .map(|(rpc, _)| *rpc)
             .collect();
-        for rpc in held {
-            self.refuse(now, rpc, Refusal::Rejected { retry_after: 0 });
+        for rpc in open_rpcs {
+            self.answer_with_error(now, rpc, ErrorAnswer::Rejected { retry_after: 0 });
         }
         self.gateways[gateway as usize].lifecycle.stop();
-        self.cut(now, &[gateway]);
+        self.take_down_gateways(now, &[gateway]);
     }
 
-    pub(super) fn start(&mut self, now: Nanos, gateway: u32) {
+    pub(super) fn start_gateway(&mut self, now: Nanos, gateway: u32) {
         if self.gateways[gateway as usize].lifecycle.phase != Phase::Down {
             return;
         }
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -1,64 +1,70 @@
-//! RPCs from their arrival to their final answer, and the clients that send them again.
+//! Emulates RPCs from their arrival to their final answer, and the clients' retries.
 
-use super::{Event, GRACE, LiveRpc, Refusal, RpcState, World};
+use super::{ANSWER_GRACE, ErrorAnswer, Event, RpcState, TrackedRpc, World};
 use crate::{MS, Nanos};
 use martenramp::host::Arrival;
 
-/// What the gateway takes off a client's deadline before telling the module, as `martenramp serve` does.
-const MARGIN: Nanos = MS;
+/// How much earlier than the client's deadline the deadline passed to the policy is, as in `martenramp serve`.
+const DEADLINE_MARGIN: Nanos = MS;
 
 impl World {
-    /// Every change of an RPC's state goes through here.
+    /// Changes the state of an RPC. No other function does.
     pub(super) fn set_state(&mut self, rpc: u32, to: RpcState) {
         if let Some(live) = self.rpcs.get_mut(&rpc) {
             live.state = to;
         }
     }
 
-    pub(super) fn arrive(&mut self, now: Nanos, stream: u32, tries: u32, fresh: bool) {
+    pub(super) fn rpc_arrived(&mut self, now: Nanos, stream: u32, retries: u32, is_new: bool) {
         if let Some(gap) =
-            (fresh && now < self.end).then(|| self.clients.next_arrival_delay(stream as usize)).flatten()
+            (is_new && now < self.end).then(|| self.clients.next_arrival_delay(stream as usize)).flatten()
         {
-            self.queue.schedule_after(gap, Event::Arrive { stream });
+            self.queue.schedule_after(gap, Event::Arrival { stream });
         }
         if now >= self.end {
             return;
         }
-        let at = &self.clients.streams[stream as usize];
-        let method = &self.methods[at.method as usize];
+        let arrivals = &self.clients.streams[stream as usize];
+        let method = &self.methods[arrivals.method as usize];
         let (credit, deadline) = (method.credit, now + method.deadline);
-        let (customer, method_number, plan, units, width, first) =
-            (at.customer, at.method, at.plan, at.units, at.width, at.first);
+        let (customer, method_number, plan, units, width, first) = (
+            arrivals.customer,
+            arrivals.method,
+            arrivals.plan,
+            arrivals.units,
+            arrivals.width,
+            arrivals.first,
+        );
         self.record.add(now, |counts| {
             counts.arrived += 1;
             counts.asked += credit;
         });
-        let (gateways, lives) = (self.scenario.gateways, &self.gateways);
+        let (gateways, fleet) = (self.scenario.gateways, &self.gateways);
         let Some(gateway) = self.clients.pick_gateway(
             stream as usize,
-            |at| lives[at as usize].lifecycle.accepts_clients(),
+            |number| fleet[number as usize].lifecycle.accepts_clients(),
             gateways,
         ) else {
             self.record.add(now, |counts| counts.cut += 1);
-            return self.schedule_retry(stream, tries, 0);
+            return self.schedule_retry(stream, retries, 0);
         };
         let rpc = self.next_rpc;
         self.next_rpc = self.next_rpc.wrapping_add(1).max(1);
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
-        let live = LiveRpc {
+        let live = TrackedRpc {
             gateway,
             incarnation,
             stream,
-            arrived: now,
+            arrived_at: now,
             deadline,
-            tries,
-            nth: 0,
+            retries,
+            next_attempt: 0,
             state: RpcState::Waiting,
         };
         self.rpcs.insert(rpc, live);
-        self.queue.schedule_at(deadline + GRACE, Event::Overdue { rpc });
+        self.queue.schedule_at(deadline + ANSWER_GRACE, Event::RpcExpiry { rpc });
         if let Some(after) = self.clients.cancel_delay(deadline - now) {
-            self.queue.schedule_after(after, Event::Leave { rpc });
+            self.queue.schedule_after(after, Event::ClientCancel { rpc });
         }
         let arrival = Arrival {
             id: rpc,
@@ -66,7 +72,7 @@
             plan,
             customer,
             service: 0,
-            deadline: deadline.saturating_sub(MARGIN),
+            deadline: deadline.saturating_sub(DEADLINE_MARGIN),
             units,
             gateway_count: width,
             first_gateway: first,
@@ -75,8 +81,9 @@
         self.execute_actions(now, gateway);
     }
 
-    /// The client leaves early: the gateway is told, and the RPC counts as left if it had no answer.
-    pub(super) fn leave(&mut self, rpc: u32) {
+    /// Handles a client that cancels its RPC early. If the RPC has no answer yet, it counts as left and the gateway is
+    /// notified.
+    pub(super) fn client_cancelled(&mut self, rpc: u32) {
         let Some(live) = self.rpcs.get(&rpc) else { return };
         if live.state.is_open() {
             let (gateway, incarnation, now) = (live.gateway, live.incarnation, self.queue.now());
@@ -88,8 +95,8 @@
         }
     }
 
-    /// The deadline and the grace are over: an RPC still without an answer is lost; all are forgotten.
-    pub(super) fn overdue(&mut self, rpc: u32) {
+    /// Removes an RPC at the end of its deadline and grace period. Without an answer by then it counts as lost.
+    pub(super) fn rpc_expired(&mut self, rpc: u32) {
         let Some(live) = self.rpcs.remove(&rpc) else { return };
         if live.state.is_open() {
             let now = self.queue.now();
@@ -100,28 +107,28 @@
         }
     }
 
-    /// A final answer other than ok, from the gateway.
-    pub(super) fn refuse(&mut self, now: Nanos, rpc: u32, refusal: Refusal) {
+    /// Handles a gateway's final answer other than ok.
+    pub(super) fn answer_with_error(&mut self, now: Nanos, rpc: u32, answer: ErrorAnswer) {
         let Some(live) = self.rpcs.get(&rpc) else { return };
         match live.state {
             RpcState::Waiting | RpcState::Attempting => {}
             RpcState::Answered => return self.record.add(now, |counts| counts.twice += 1),
             RpcState::Abandoned => return,
         }
-        let (stream, tries) = (live.stream, live.tries);
+        let (stream, retries) = (live.stream, live.retries);
         self.set_state(rpc, RpcState::Answered);
-        match refusal {
-            Refusal::Rejected { retry_after } => {
+        match answer {
+            ErrorAnswer::Rejected { retry_after } => {
                 self.record.add(now, |counts| counts.pushed_back += 1);
-                self.schedule_retry(stream, tries, retry_after);
+                self.schedule_retry(stream, retries, retry_after);
             }
-            Refusal::Aborted => self.record.add(now, |counts| counts.aborted += 1),
+            ErrorAnswer::Aborted => self.record.add(now, |counts| counts.aborted += 1),
         }
     }
 
-    pub(super) fn schedule_retry(&mut self, stream: u32, tries: u32, retry_after: Nanos) {
-        if let Some(after) = self.clients.retry_delay(tries, retry_after) {
-            self.queue.schedule_after(after, Event::Retry { stream, tries: tries + 1 });
+    pub(super) fn schedule_retry(&mut self, stream: u32, retries: u32, retry_after: Nanos) {
+        if let Some(after) = self.clients.retry_delay(retries, retry_after) {
+            self.queue.schedule_after(after, Event::Retry { stream, retries: retries + 1 });
         }
     }
 }
