--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -94,7 +94,7 @@
 pub struct HostActions(pub Vec<HostAction>);
 
 impl Host for HostActions {
-    fn send_attempt(&mut self, rpc: u32, server: u32, timeout: Nanos, _before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, timeout: Nanos, _write_before: Nanos) {
         self.0.push(HostAction::SendAttempt { rpc, server, timeout });
     }
     fn reject(&mut self, rpc: u32, retry_after: Nanos) {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -42,7 +42,7 @@
 }
 
 impl RpcState {
-    /// Whether the RPC has yet to be answered.
+    /// Whether the RPC still needs a final answer.
     fn is_open(self) -> bool {
         matches!(self, RpcState::Waiting | RpcState::Attempting)
     }
@@ -52,20 +52,25 @@
 struct TrackedRpc {
     gateway: u32,
     incarnation: u32,
+    /// The index of the arrival stream that the RPC belongs to.
     stream: u32,
     arrived_at: Nanos,
     deadline: Nanos,
+    /// How often the client had sent the RPC before.
     retries: u32,
+    /// The number of the next attempt, from 0.
     next_attempt: u16,
     state: RpcState,
 }
 
+/// An open attempt, as its gateway tracks it.
 struct Attempt {
     server: u32,
     server_incarnation: u32,
     sent_at: Nanos,
 }
 
+/// A gateway and its open attempts, by RPC and number.
 struct Gateway {
     lifecycle: Lifecycle,
     policy: Option<Box<dyn Policy>>,
@@ -105,6 +110,7 @@
     Aborted,
 }
 
+/// The events of the emulation. Timers, replies and ends of attempts for an earlier incarnation are ignored.
 #[derive(Debug)]
 enum Event {
     Arrival { stream: u32 },
@@ -146,14 +152,20 @@
     pub record: Record,
     shared_buckets: Rc<RefCell<SharedBuckets>>,
     fault_rng: ChaCha8Rng,
+    /// The numbers drawn for each fault, by its index in the scenario. A fault ends at the servers at which it began.
     fault_targets: BTreeMap<usize, Vec<u32>>,
+    /// Whether a server list is scheduled. Changes until then are sent with it.
     list_scheduled: bool,
+    /// The additional delay of server lists during a `list_late` fault.
     extra_list_delay: Nanos,
+    /// The end of the scenario, after which no RPCs arrive.
     end: Nanos,
+    /// Events after this time aren't handled. All RPCs expire before it.
     horizon: Nanos,
     counter_timeout: Nanos,
     dial_timeout: Nanos,
     next_serial: u64,
+    /// The buffer for the actions that a policy requests during one call.
     actions: HostActions,
 }
 
@@ -175,16 +187,18 @@
         let methods = scenario.methods().unwrap_or_default();
         let plans = scenario.plans().unwrap_or_default();
         let settings = scenario.flat_settings();
-        let number = |name: &str, default: f64| {
+        let number_setting = |name: &str, default: f64| {
             settings.get(name).and_then(|text| text.parse().ok()).unwrap_or(default)
         };
-        let (counter_timeout, dial_timeout) =
-            (nanos(number("extra.countWait", 0.05)), nanos(number("ceilings.dialTimeout", 0.25)));
+        let (counter_timeout, dial_timeout) = (
+            nanos(number_setting("extra.countWait", 0.05)),
+            nanos(number_setting("ceilings.dialTimeout", 0.25)),
+        );
         let zones = scenario.servers.zones;
         let gateways = (0..scenario.gateways).map(|number| Gateway::new(number % zones)).collect();
         let end = nanos(scenario.seconds);
-        let longest = methods.iter().map(|method| method.deadline).max().unwrap_or(SEC);
-        let window = nanos(60.0).min(end.max(1));
+        let longest_deadline = methods.iter().map(|method| method.deadline).max().unwrap_or(SEC);
+        let overshoot_window = nanos(60.0).min(end.max(1));
         let mut world = World {
             kind,
             queue: EventQueue::default(),
@@ -195,14 +209,14 @@
             gateways,
             rpcs: BTreeMap::new(),
             next_rpc: 1,
-            record: Record::new(nanos(scenario.bucket_seconds), window),
+            record: Record::new(nanos(scenario.bucket_seconds), overshoot_window),
             shared_buckets: SharedBuckets::new_shared(nanos(scenario.baselines.late_ms / 1e3)),
             fault_rng: rng::stream(seed, Stream::Faults),
             fault_targets: BTreeMap::new(),
             list_scheduled: false,
             extra_list_delay: 0,
             end,
-            horizon: end + longest + ANSWER_GRACE + SEC,
+            horizon: end + longest_deadline + ANSWER_GRACE + SEC,
             counter_timeout,
             dial_timeout,
             next_serial: 0,
@@ -223,8 +237,8 @@
         self.queue.schedule_at(0, Event::ServerList);
         self.queue.schedule_at(0, Event::Sample);
         for stream in 0..self.clients.streams.len() {
-            if let Some(gap) = self.clients.next_arrival_delay(stream) {
-                self.queue.schedule_at(gap, Event::Arrival { stream: stream as u32 });
+            if let Some(delay) = self.clients.next_arrival_delay(stream) {
+                self.queue.schedule_at(delay, Event::Arrival { stream: stream as u32 });
             }
         }
         for (index, trouble) in self.scenario.troubles.iter().enumerate() {
@@ -243,7 +257,7 @@
             if let (Event::Sample, Some(bar)) = (&event, progress) {
                 bar.set_position(now / SEC);
             }
-            self.handle(now, event);
+            self.handle_event(now, event);
             if self.queue.now() > self.end && self.rpcs.is_empty() {
                 break;
             }
@@ -259,7 +273,7 @@
         self.record.finish(|customer| by_customer.get(&customer).copied().unwrap_or((0.0, 0.0)));
     }
 
-    fn handle(&mut self, now: Nanos, event: Event) {
+    fn handle_event(&mut self, now: Nanos, event: Event) {
         match event {
             Event::Arrival { stream } => self.rpc_arrived(now, stream, 0, true),
             Event::Retry { stream, retries } => self.rpc_arrived(now, stream, retries, false),
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -6,6 +6,7 @@
 use martenramp::host::{AttemptResult, CallOutcome};
 
 impl World {
+    /// Sends an attempt of an RPC to a server. If the request or the answer is lost, the attempt ends at its timeout.
     pub(super) fn send_attempt(&mut self, now: Nanos, gateway: u32, rpc: u32, server: u32, limit: Nanos) {
         let Some(live) = self.rpcs.get_mut(&rpc).filter(|live| live.gateway == gateway) else { return };
         let (number, deadline, stream) = (live.next_attempt, live.deadline, live.stream);
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Handles an attempt that reaches its server.
     pub(super) fn attempt_arrived(
         &mut self,
         now: Nanos,
@@ -65,6 +67,7 @@
         }
     }
 
+    /// Sends the outcome of an attempt to its gateway after a service time. The message may be lost.
     pub(super) fn send_answer(&mut self, attempt: AttemptRef, after: Nanos, outcome: CallOutcome) {
         if let Some(delay) = self.network.message_delay() {
             self.queue.schedule_after(after + delay, Event::AttemptEnd { attempt, outcome });
--- a/crates/lab/src/world/discovery.rs
+++ b/crates/lab/src/world/discovery.rs
@@ -6,6 +6,7 @@
 use martenramp::host::{CallOutcome, DiscoveredServer};
 
 impl World {
+    /// Schedules a server list after the discovery delay, unless one is scheduled already.
     pub(super) fn schedule_server_list(&mut self) {
         if !self.list_scheduled {
             self.list_scheduled = true;
@@ -14,6 +15,7 @@
         }
     }
 
+    /// Sends the complete server list to all running gateways.
     pub(super) fn send_server_list(&mut self, now: Nanos) {
         self.list_scheduled = false;
         let list: Vec<DiscoveredServer> = self.servers.discovery_list();
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Replaces a server by a new incarnation.
     pub(super) fn replace_server(&mut self, now: Nanos, server: u32) {
         self.reset_attempts_on(&[server]);
         self.servers.replace(server, now);
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -119,6 +119,6 @@
         let running = gateways.filter(|(gateway, _)| gateway.lifecycle.is_running());
         let running: Vec<u32> = running.map(|(_, number)| number).collect();
         let targets = self.pick_targets(index, running.len() as u32, share);
-        targets.into_iter().map(|index| running[index as usize]).collect()
+        targets.into_iter().map(|position| running[position as usize]).collect()
     }
 }
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -7,6 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl World {
+    /// Calls a gateway's policy. `None` if the gateway isn't running.
     pub(super) fn with_policy<T>(
         &mut self,
         gateway: u32,
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Creates the policy of a gateway's current incarnation.
     pub(super) fn start_policy(&mut self, gateway: u32) {
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
         let seed = rng::gateway_seed(self.scenario.seed, gateway, incarnation);
@@ -75,6 +77,7 @@
         }
     }
 
+    /// Stops a draining gateway at the end of its drain time. Its open RPCs are rejected, without a time for the retry.
     pub(super) fn stop_gateway(&mut self, now: Nanos, gateway: u32, incarnation: u32) {
         let state = &self.gateways[gateway as usize];
         if state.lifecycle.incarnation != incarnation
@@ -93,6 +96,7 @@
         self.take_down_gateways(now, &[gateway]);
     }
 
+    /// Starts a gateway that is down, with the current server list.
     pub(super) fn start_gateway(&mut self, now: Nanos, gateway: u32) {
         if self.gateways[gateway as usize].lifecycle.phase != Phase::Down {
             return;
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -15,11 +15,12 @@
         }
     }
 
+    /// Handles an RPC that a client sends. Unless it is a retry (`is_new` is false), schedules the stream's next arrival.
     pub(super) fn rpc_arrived(&mut self, now: Nanos, stream: u32, retries: u32, is_new: bool) {
-        if let Some(gap) =
+        if let Some(delay) =
             (is_new && now < self.end).then(|| self.clients.next_arrival_delay(stream as usize)).flatten()
         {
-            self.queue.schedule_after(gap, Event::Arrival { stream });
+            self.queue.schedule_after(delay, Event::Arrival { stream });
         }
         if now >= self.end {
             return;
@@ -126,6 +127,7 @@
         }
     }
 
+    /// Schedules a retry of an RPC, if its client retries.
     pub(super) fn schedule_retry(&mut self, stream: u32, retries: u32, retry_after: Nanos) {
         if let Some(after) = self.clients.retry_delay(retries, retry_after) {
             self.queue.schedule_after(after, Event::Retry { stream, retries: retries + 1 });
