--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -96,9 +96,9 @@
     /// The time after which the client retries a rejected RPC or one whose connection was lost, or `None` if it
     /// doesn't retry.
     pub fn retry_delay(&mut self, retries: u32, retry_after: Nanos) -> Option<Nanos> {
-        let retries_again =
+        let will_retry =
             retries < self.model.retries_most && self.rng.random::<f64>() < self.model.retry_share;
         let delay = if self.model.retry_at_once { nanos(0.001) } else { retry_after.max(nanos(0.05)) };
-        retries_again.then_some(delay)
+        will_retry.then_some(delay)
     }
 }
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -207,10 +207,12 @@
         }
         bucket.level = (bucket.level + seconds(as_of - bucket.as_of) * bucket.rate).min(bucket.burst);
         bucket.as_of = as_of;
-        let own: f64 = bucket.taken.iter().filter(|entry| entry.1 == gateway).map(|entry| entry.2).sum();
-        (bucket.level + seconds(now - as_of) * bucket.rate).min(bucket.burst) - own
+        let own_units: f64 =
+            bucket.taken.iter().filter(|entry| entry.1 == gateway).map(|entry| entry.2).sum();
+        (bucket.level + seconds(now - as_of) * bucket.rate).min(bucket.burst) - own_units
     }
 
+    /// Takes units from a customer's bucket.
     fn take(&mut self, now: Nanos, gateway: u32, key: u64, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&key) {
             bucket.taken.push_back((now, gateway, units));
@@ -229,6 +231,7 @@
     updated_at: Nanos,
 }
 
+/// An RPC without a final answer. `server` is that of the last attempt.
 struct OpenRpc {
     method: u16,
     deadline: Nanos,
@@ -248,6 +251,7 @@
     ready: Vec<u32>,
     /// This gateway's open attempts at each server, for the plain baseline.
     open_attempts: BTreeMap<u32, u32>,
+    /// Increases with each choice of a server, so that ties are broken in rotation.
     rotation: usize,
 }
 
@@ -273,6 +277,7 @@
         }
     }
 
+    /// A numeric setting, or the default if it is missing or not a number.
     fn number_setting(&self, name: &str, default: f64) -> f64 {
         self.settings.get(name).and_then(|text| text.parse().ok()).unwrap_or(default)
     }
@@ -328,6 +333,7 @@
             .min_by_key(|server| open.get(server).copied().unwrap_or(0))
     }
 
+    /// Sends the next attempt of an RPC, or rejects the RPC if no server is left or its deadline has passed.
     fn send_attempt_or_reject(&mut self, host: &mut HostActions, now: Nanos, id: u32) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (excluded, deadline) = (rpc.server, rpc.deadline);
@@ -346,6 +352,7 @@
         }
     }
 
+    /// Changes the number of open attempts at a server.
     fn add_open_attempts(&mut self, server: u32, change: i64) {
         let mut shared_buckets = self.shared_buckets.borrow_mut();
         let open = if self.kind == PolicyKind::Late {
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -24,7 +24,7 @@
 /// How a server handles an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// The server isn't running, or is another incarnation: the connection is refused.
+    /// The connection is refused: this incarnation of the server is no longer running.
     Refused,
     /// All slots that the server currently has are in use.
     Full,
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -302,9 +302,11 @@
         }
     }
 
+    /// Records the numbers of gateways that accept clients and of tracked RPCs, once in each row of the table.
     fn sample_gauges(&mut self, now: Nanos) {
-        let up = self.gateways.iter().filter(|gateway| gateway.lifecycle.accepts_clients()).count() as u32;
-        self.record.gauge(now, up, self.rpcs.len() as u64);
+        let gateways_up =
+            self.gateways.iter().filter(|gateway| gateway.lifecycle.accepts_clients()).count() as u32;
+        self.record.gauge(now, gateways_up, self.rpcs.len() as u64);
         if now < self.end {
             self.queue.schedule_after(nanos(self.scenario.bucket_seconds), Event::Sample);
         }
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// Sends an attempt of an RPC to a server. If the request or the answer is lost, the attempt ends at its timeout.
-    pub(super) fn send_attempt(&mut self, now: Nanos, gateway: u32, rpc: u32, server: u32, limit: Nanos) {
+    pub(super) fn send_attempt(&mut self, now: Nanos, gateway: u32, rpc: u32, server: u32, timeout: Nanos) {
         let Some(live) = self.rpcs.get_mut(&rpc).filter(|live| live.gateway == gateway) else { return };
         let (number, deadline, stream) = (live.next_attempt, live.deadline, live.stream);
         live.next_attempt += 1;
@@ -22,8 +22,8 @@
             let plan = &self.plans[arrivals.plan as usize];
             self.record.sent(now, arrivals.customer, arrivals.units, plan.rate, plan.burst);
         }
-        let ends = if limit > 0 { (now + limit).min(deadline) } else { deadline };
-        self.queue.schedule_at(ends.max(now + 1), Event::AttemptTimeout { attempt });
+        let ends_at = if timeout > 0 { (now + timeout).min(deadline) } else { deadline };
+        self.queue.schedule_at(ends_at.max(now + 1), Event::AttemptTimeout { attempt });
         let Some(target) = self.servers.all.get(server as usize) else {
             return self.queue.schedule_after(
                 self.network.refuse_delay,
