--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Handles an RPC that a client sends. Unless it is a retry (`is_new` is false), schedules the stream's next arrival.
+    /// Handles an RPC that a client sends. Schedules the stream's next arrival unless it is a retry (`is_new` is false).
     pub(super) fn rpc_arrived(&mut self, now: Nanos, stream: u32, retries: u32, is_new: bool) {
         if let Some(delay) =
             (is_new && now < self.end).then(|| self.clients.next_arrival_delay(stream as usize)).flatten()
