--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -3,8 +3,8 @@
 use super::Cost;
 use super::scenario::{Agreement as Sizes, List};
 use crate::ScaleError;
-use crate::alloc::uncounted;
-use crate::deployment::{START, WHOLE_INDEX};
+use crate::alloc::without_counting;
+use crate::deployment::{SNAPSHOT_INDEX, START_TIME};
 use crate::measure::{Operation, Traffic};
 use agreement::config::AgreementConfig;
 use agreement::lease::ContentId;
@@ -69,7 +69,7 @@
     let terms =
         AgreementConfig { voters: (0..voters).collect(), lease_duration: LEASE, max_clock_error: CLOCK };
     let content = ContentId { version: 1, digest: 1 };
-    let mut member = Agreement::new(terms, Some(number), number, START, content, 0);
+    let mut member = Agreement::new(terms, Some(number), number, START_TIME, content, 0);
     member.skip_recovery();
     member
 }
@@ -80,7 +80,7 @@
     let mut recorded: Vec<Vec<Datagram>> = (0..seconds).map(|_| Vec::new()).collect();
     let every = LEASE / 4;
     for tick in 0..seconds * SECOND / every {
-        let at = START + tick * every;
+        let at = START_TIME + tick * every;
         let words: Vec<LeaseMessage> =
             members.iter_mut().flat_map(|member| member.poll_messages(at)).collect();
         for member in &mut members {
@@ -95,7 +95,7 @@
 
 /// So many gateways that don't vote hear a second of all voters' datagrams, and look at what they may act on after each.
 pub fn heard_for_a_second(voters: u32, gateways: usize) -> Result<Operation, ScaleError> {
-    let recorded = uncounted(|| record(voters, WARM_SECONDS + SECONDS));
+    let recorded = without_counting(|| record(voters, WARM_SECONDS + SECONDS));
     let mut members: Vec<Agreement> =
         (0..gateways).map(|number| member(voters + number as u32, voters)).collect();
     let mut seconds = recorded.into_iter().skip(WARM_SECONDS as usize);
@@ -107,7 +107,7 @@
                 traffic.received.add(datagram.bytes.len());
                 hear(member, &datagram);
             }
-            uncounted(|| drop(datagram));
+            without_counting(|| drop(datagram));
         }
         Ok(traffic)
     };
@@ -133,13 +133,13 @@
 
 /// A whole list that says what is held already.
 pub fn judged_whole(servers: u64) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| seen(servers));
+    let list = without_counting(|| seen(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
-    let mut index = WHOLE_INDEX;
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
-        std::hint::black_box(lists.apply(START, index, true, &list));
+        std::hint::black_box(lists.apply(START_TIME, index, true, &list));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
@@ -147,16 +147,16 @@
 
 /// A change of one server, away or back.
 pub fn judged_change(servers: u64) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| seen(servers));
+    let list = without_counting(|| seen(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
     let one = list[list.len() / 2];
-    uncounted(|| drop(list));
-    let mut index = WHOLE_INDEX;
+    without_counting(|| drop(list));
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
         let ready = index % 2 == 1;
-        std::hint::black_box(lists.apply(START, index, false, &[ListedServer { ready, ..one }]));
+        std::hint::black_box(lists.apply(START_TIME, index, false, &[ListedServer { ready, ..one }]));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
