--- a/crates/scale/src/deployment.rs
+++ b/crates/scale/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that measurements are made in: its settings, and its servers as discovery lists them.
+//! The synthetic deployment that measurements run against: service settings and the server lists that discovery sends.
 
 use gateway::entry::Entry;
 use gateway::list::ListUpdate;
@@ -6,36 +6,40 @@
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
 
-/// Zones of the deployment; servers stand in them by turns.
+/// Number of zones; servers are assigned to them round-robin.
 pub const ZONE_COUNT: usize = 9;
-/// The version of the list that is told as a whole, and of the change after it.
+/// List version of the initial snapshot.
 pub const SNAPSHOT_INDEX: u64 = 1;
+/// List version of the incremental update that follows the snapshot.
 pub const UPDATE_INDEX: u64 = 2;
-/// When measurements begin, by the module's clock.
+/// Start of the measurements on the decision module's clock.
 pub const START_TIME: Nanos = 1_000_000_000_000;
 
-/// Settings of a service, before they are flattened.
+/// Parameters from which the service settings are generated.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceConfig {
-    /// How many gateways there are, and which of them this one is; none where it is not told.
+    /// Number of gateways in the fleet.
     pub fleet_size: usize,
+    /// This gateway's index in the fleet, or `None` to leave it out of the settings.
     pub gateway_index: Option<usize>,
-    /// How many plans the settings hold, and what each lets in: units a second, and so many at once.
+    /// Number of plans in the settings.
     pub plan_count: usize,
+    /// Units per second that each plan admits.
     pub rate: f64,
+    /// Units that each plan admits in a burst.
     pub burst: f64,
 }
 
 impl ServiceConfig {
-    /// The first gateway of a fleet, with one plan that never binds.
+    /// Settings for the first gateway of a fleet, with a single plan whose limits are too high to take effect.
     pub fn for_fleet(fleet_size: usize) -> ServiceConfig {
         ServiceConfig { fleet_size, gateway_index: Some(0), plan_count: 1, rate: 1e6, burst: 1e6 }
     }
 
-    /// As the operators hand the settings over.
+    /// The settings in the nested form that operators write.
     pub fn nested_settings(&self) -> Map<String, Value> {
-        let plan = |number: usize| {
-            json!({"name": format!("plan{number}"), "perSecond": self.rate, "depth": self.burst,
+        let plan = |index: usize| {
+            json!({"name": format!("plan{index}"), "perSecond": self.rate, "depth": self.burst,
                 "worth": 1.0, "price": 1.0})
         };
         let zones: Vec<String> = (0..ZONE_COUNT).map(zone_name).collect();
@@ -50,28 +54,28 @@
             Value::Object(nested) => nested,
             _ => Map::new(),
         };
-        if let Some(number) = self.gateway_index {
-            nested.insert("me".to_string(), json!(number));
+        if let Some(index) = self.gateway_index {
+            nested.insert("me".to_string(), json!(index));
         }
         nested
     }
 
-    /// As the module reads them.
+    /// The settings in the flattened form that the decision module reads.
     pub fn flat_settings(&self) -> Settings {
         martenramp::settings::flatten(&self.nested_settings())
     }
 }
 
-fn zone_name(number: usize) -> String {
-    format!("z{number}")
+fn zone_name(index: usize) -> String {
+    format!("z{index}")
 }
 
-/// The zones of the deployment.
+/// Names of all zones of the deployment.
 pub fn zone_names() -> Vec<String> {
     (0..ZONE_COUNT).map(zone_name).collect()
 }
 
-/// What discovery tells of a server.
+/// A server's status in the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Ready,
@@ -79,13 +83,13 @@
     Gone,
 }
 
-/// A server of the deployment as the gateway reads it.
-pub fn server_entry(number: usize, status: Status) -> Entry {
-    let address = SocketAddr::from(([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 8000));
+/// The discovery entry for a server, as the gateway parses it.
+pub fn server_entry(index: usize, status: Status) -> Entry {
+    let address = SocketAddr::from(([10, (index >> 16) as u8, (index >> 8) as u8, index as u8], 8000));
     Entry {
-        name: format!("server-{number:06}").into(),
+        name: format!("server-{index:06}").into(),
         address,
-        zone: zone_name(number % ZONE_COUNT).into(),
+        zone: zone_name(index % ZONE_COUNT).into(),
         kind: "m".into(),
         service: 0,
         cell: 0,
@@ -96,19 +100,19 @@
     }
 }
 
-/// The whole list of so many servers.
+/// A snapshot that lists the given number of servers, all ready.
 pub fn full_list(servers: usize) -> ListUpdate {
-    let entries = (0..servers).map(|number| server_entry(number, Status::Ready)).collect();
+    let entries = (0..servers).map(|index| server_entry(index, Status::Ready)).collect();
     ListUpdate { index: SNAPSHOT_INDEX, is_snapshot: true, entries, ..ListUpdate::default() }
 }
 
-/// A change of some servers.
+/// An incremental update that sets the status of the given servers.
 pub fn status_update(servers: impl IntoIterator<Item = usize>, status: Status) -> ListUpdate {
-    let entries = servers.into_iter().map(|number| server_entry(number, status)).collect();
+    let entries = servers.into_iter().map(|index| server_entry(index, status)).collect();
     ListUpdate { index: UPDATE_INDEX, is_snapshot: false, entries, ..ListUpdate::default() }
 }
 
-/// A list or a change as discovery sends it: one JSON object on a line, as a chunk of the watch's answer.
+/// Encodes a snapshot or update as discovery sends it: one JSON object per line, in a chunk of the watch response.
 pub fn encode_chunk(update: &ListUpdate) -> Vec<u8> {
     let entries: Vec<Value> = update.entries.iter().map(encode_entry).collect();
     let object =
@@ -122,7 +126,7 @@
         (false, true) => "ready",
         (false, false) => "draining",
     };
-    let listed = standins::discovery::Entry {
+    let encoded = standins::discovery::Entry {
         name: entry.name.to_string(),
         address: entry.address,
         zone: entry.zone.to_string(),
@@ -130,5 +134,5 @@
         weight: entry.weight,
         since_ms: entry.started_ms,
     };
-    listed.json(entry.address)
+    encoded.json(entry.address)
 }
--- a/crates/scale/src/gateway_driver.rs
+++ b/crates/scale/src/gateway_driver.rs
@@ -1,5 +1,5 @@
-//! A gateway's path of an RPC without sockets: the module, its timers, its line to the counter, and servers and a counter
-//! that answer at once.
+//! Drives RPCs through one gateway without sockets: the decision module, its timers and its counter connection, with
+//! emulated servers and an emulated counter that replies at once.
 
 use crate::ScaleError;
 use crate::alloc;
@@ -11,13 +11,14 @@
 use martenramp::host::{Arrival, AttemptResult, CallOutcome, Host, Nanos};
 use std::collections::{HashMap, VecDeque};
 
-/// How long a client waits, and a server takes where nothing else is told.
-const PATIENCE: Nanos = 6_000_000_000;
-const SERVED_IN: Nanos = 1_000_000;
-/// Through how many gateways a tenant's RPCs come in where nothing else is told.
-const WIDTH: u32 = 8;
+/// Time from an RPC's arrival to its deadline.
+const RPC_TIMEOUT: Nanos = 6_000_000_000;
+/// Default time that a server takes to answer.
+const DEFAULT_SERVICE_TIME: Nanos = 1_000_000;
+/// Number of gateways that receive a tenant's RPCs.
+const GATEWAYS_PER_TENANT: u32 = 8;
 
-/// A call-out that is open.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenAttempt {
     pub rpc: u32,
@@ -26,24 +27,24 @@
     pub sent: Nanos,
 }
 
-/// The module's host: keeps what it asks for.
+/// A host that records the decision module's actions.
 #[derive(Default)]
 pub struct RecordingHost {
     pub now: Nanos,
     pub attempts: VecDeque<OpenAttempt>,
-    /// RPCs answered without a server.
+    /// Number of RPCs that were rejected or aborted.
     pub rejected: u64,
-    /// Calls to the counter that have not been written: name, amount, and for how long it is remembered.
+    /// Counter calls that have not been sent: name, amount and time to live.
     pub counter_calls: VecDeque<(u64, f64, Nanos)>,
     pub timers: Timers<u32>,
 }
 
 impl Host for RecordingHost {
-    fn send_attempt(&mut self, rpc: u32, server: u32, _limit: Nanos, _before: Nanos) {
+    fn send_attempt(&mut self, rpc: u32, server: u32, _timeout: Nanos, _write_before: Nanos) {
         self.attempts.push_back(OpenAttempt { rpc, server, attempt: 0, sent: self.now });
     }
 
-    fn reject(&mut self, _rpc: u32, _come_back: Nanos) {
+    fn reject(&mut self, _rpc: u32, _retry_after: Nanos) {
         self.rejected += 1;
     }
 
@@ -55,29 +56,32 @@
         self.timers.set(self.now + after, token);
     }
 
-    fn add_to_counter(&mut self, name: u64, add: f64, forget: Nanos) {
-        self.counter_calls.push_back((name, add, forget));
+    fn add_to_counter(&mut self, name: u64, add: f64, ttl: Nanos) {
+        self.counter_calls.push_back((name, add, ttl));
     }
 }
 
-/// One gateway that serves RPCs on its own clock.
+/// One gateway that serves RPCs on an emulated clock.
 pub struct GatewayDriver {
     pub replica: Replica,
     pub host: RecordingHost,
     pub traffic: Traffic,
-    /// Time between two RPCs, and that a server takes.
+    /// Time between two RPCs.
     pub arrival_interval: Nanos,
+    /// Time that a server takes to answer.
     pub service_time: Nanos,
-    /// The line to the counter, what is written on it, and the totals that the emulated counter holds.
-    line: CounterConnection,
-    written: Vec<u8>,
+    /// The connection to the emulated counter.
+    connection: CounterConnection,
+    /// Bytes of the latest call on that connection.
+    output: Vec<u8>,
+    /// The totals that the emulated counter holds.
     totals: HashMap<u64, f64>,
     last_rpc: u32,
     last_call: u64,
 }
 
 impl GatewayDriver {
-    /// A gateway of this service with all servers listed.
+    /// A gateway with the given number of servers listed and its counter connection open.
     pub fn new(
         service: &ServiceConfig,
         servers: usize,
@@ -87,112 +91,101 @@
         let list = alloc::uncounted(|| crate::deployment::full_list(servers));
         replica.apply(START_TIME, &list);
         alloc::uncounted(|| drop(list));
-        let mut line = CounterConnection::default();
-        line.connected(&mut Vec::new(), START_TIME);
+        let mut connection = CounterConnection::default();
+        connection.connected(&mut Vec::new(), START_TIME);
         Ok(GatewayDriver {
             replica,
             host: RecordingHost { now: START_TIME, ..RecordingHost::default() },
             traffic: Traffic::default(),
             arrival_interval,
-            service_time: SERVED_IN.min(arrival_interval),
-            line,
-            written: Vec::new(),
+            service_time: DEFAULT_SERVICE_TIME.min(arrival_interval),
+            connection,
+            output: Vec::new(),
             totals: HashMap::new(),
             last_rpc: 0,
             last_call: 0,
         })
     }
 
-    /// Time goes on by one step; timers that come due ring.
+    /// Advances the clock by one arrival interval and runs the timers that are due.
     pub fn advance(&mut self) {
         self.host.now += self.arrival_interval;
         let now = self.host.now;
         while let Some(token) = self.host.timers.pop_due(now) {
             self.replica.controller.on_timer(&mut self.host, now, token);
-            self.answer_counts();
+            self.answer_counter_calls();
         }
     }
 
-    /// An RPC of a tenant comes in and goes as far as it can now.
+    /// Starts an RPC of the tenant and processes it as far as possible without a server's answer.
     pub fn start_rpc(&mut self, tenant: u64, plan: u16) {
         self.last_rpc += 1;
         let now = self.host.now;
-        let deadline = now + PATIENCE;
-        let (id, width) = (self.last_rpc, WIDTH);
-        let arrival = Arrival {
-            id,
-            plan,
-            customer: tenant,
-            deadline,
-            units: 1.0,
-            gateway_count: width,
-            ..Arrival::default()
-        };
+        let deadline = now + RPC_TIMEOUT;
+        let (id, gateway_count) = (self.last_rpc, GATEWAYS_PER_TENANT);
+        let arrival =
+            Arrival { id, plan, customer: tenant, deadline, units: 1.0, gateway_count, ..Arrival::default() };
         self.replica.controller.on_arrival(&mut self.host, now, &arrival);
-        self.answer_counts();
+        self.answer_counter_calls();
     }
 
-    /// The oldest open call-out ends well; false if there is none.
+    /// Ends the oldest open attempt successfully, and returns false if there is none.
     pub fn complete_oldest_attempt(&mut self) -> bool {
-        let Some(open) = self.host.attempts.pop_front() else { return false };
-        let now = self.host.now.max(open.sent + self.service_time);
+        let Some(attempt) = self.host.attempts.pop_front() else { return false };
+        let now = self.host.now.max(attempt.sent + self.service_time);
         self.host.now = now;
-        let ended = AttemptResult {
-            rpc: open.rpc,
-            server: open.server,
-            attempt: open.attempt,
+        let result = AttemptResult {
+            rpc: attempt.rpc,
+            server: attempt.server,
+            attempt: attempt.attempt,
             outcome: CallOutcome::Ok,
-            duration: now - open.sent,
+            duration: now - attempt.sent,
             rpc_answered: true,
             settled_units: 0.0,
             load_report: Vec::new(),
         };
-        self.replica.controller.on_attempt_end(&mut self.host, now, &ended);
-        self.answer_counts();
+        self.replica.controller.on_attempt_end(&mut self.host, now, &result);
+        self.answer_counter_calls();
         true
     }
 
-    /// An RPC from its arrival to its answer; an error if no server answered it.
+    /// Serves one RPC from arrival to answer, and fails if it is not sent to a server.
     pub fn serve_rpc(&mut self, tenant: u64, plan: u16) -> Result<(), ScaleError> {
         self.advance();
         self.start_rpc(tenant, plan);
         let rejected = self.host.rejected;
         if !self.complete_oldest_attempt() {
-            let why = format!("an RPC was not called out ({rejected} turned away)");
+            let why = format!("an RPC was not sent to a server ({rejected} rejected or aborted so far)");
             return Err(ScaleError::Measurement { what: "serving RPCs".to_string(), why });
         }
         Ok(())
     }
 
-    /// Traffic since the last look.
+    /// Returns the traffic since the previous call and resets it.
     pub fn take_traffic(&mut self) -> Traffic {
         std::mem::take(&mut self.traffic)
     }
 
-    /// Calls to the counter are written on the line, and answered at once.
-    fn answer_counts(&mut self) {
-        while let Some((name, add, forget)) = self.host.counter_calls.pop_front() {
+    /// Sends the pending counter calls and delivers the emulated counter's replies at once.
+    fn answer_counter_calls(&mut self) {
+        while let Some((name, add, ttl)) = self.host.counter_calls.pop_front() {
             self.last_call += 1;
             let now = self.host.now;
-            self.written.clear();
-            self.line.send_call(
-                &mut self.written,
-                now,
-                Call { serial: self.last_call, name, add, ttl: forget },
-            );
-            self.traffic.sent.add(self.written.len());
+            self.output.clear();
+            self.connection.send_call(&mut self.output, now, Call { serial: self.last_call, name, add, ttl });
+            self.traffic.sent.add(self.output.len());
             let total = alloc::uncounted(|| {
                 let total = self.totals.entry(name).or_insert(0.0);
                 *total += add;
                 *total
             });
-            let answer = alloc::uncounted(|| counter_reply(total));
-            self.traffic.received.add(answer.len());
-            let mut ended = Vec::new();
-            let _ = self.line.feed(now, &answer, &mut ended);
-            alloc::uncounted(|| drop(answer));
-            for (call, how, total) in ended {
-                self.replica.controller.on_counter_reply(&mut self.host, now, call.name, how, total);
+            let reply = alloc::uncounted(|| counter_reply(total));
+            self.traffic.received.add(reply.len());
+            let mut completed = Vec::new();
+            let _ = self.connection.feed(now, &reply, &mut completed);
+            alloc::uncounted(|| drop(reply));
+            for (call, outcome, total) in completed {
+                self.replica.controller.on_counter_reply(&mut self.host, now, call.name, outcome, total);
             }
         }
     }
@@ -204,7 +197,7 @@
     }
 }
 
-/// A total as the counter answers it.
+/// The counter's reply with a total, as a RESP bulk string.
 pub fn counter_reply(total: f64) -> Vec<u8> {
     let text = total.to_string();
     format!("${}\r\n{text}\r\n", text.len()).into_bytes()
