--- a/crates/scale/src/hollow/stats.rs
+++ b/crates/scale/src/hollow/stats.rs
@@ -1,4 +1,4 @@
-//! What a run measures beside traffic: times until changes are in force, outcomes of RPCs, and processor time.
+//! Statistics of a run other than traffic: propagation delays of changes, RPC outcomes and CPU time.
 
 use super::traffic::Frame;
 use super::{Nanos, SEC};
@@ -7,16 +7,16 @@
 
 const DAY: Nanos = 86_400 * SEC;
 
-/// What a gateway's processor time went to.
+/// The kind of work that a gateway spends CPU time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Lines of the list.
+    /// Snapshots and updates of the server list.
     List,
-    /// The counter: answers, time-outs, pings.
+    /// Replies, timeouts and pings of the counter.
     Counter,
-    /// Datagrams, files with versions, and settings that begin to hold.
+    /// Agreement datagrams, version files and activation of settings.
     Agreement,
-    /// RPCs and call-outs: not control.
+    /// RPCs and their attempts; not control work.
     Rpcs,
 }
 
@@ -37,19 +37,19 @@
     }
 }
 
-/// This thread's processor time so far.
+/// CPU time that this thread has used.
 pub fn thread_cpu_time() -> Nanos {
-    let spent = clock_gettime(ClockId::ThreadCPUTime);
-    spent.tv_sec as Nanos * SEC + spent.tv_nsec as Nanos
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    time.tv_sec as Nanos * SEC + time.tv_nsec as Nanos
 }
 
-/// CPU time of the played gateways. It is the machine's and not the emulation's: no two runs give the same.
+/// CPU time of the simulated gateways. It is real rather than emulated time, so it differs from run to run.
 pub struct CpuUsage {
     frame: Frame,
     total: [Nanos; 4],
-    /// For control, by gateway and second.
+    /// CPU time of control work for each gateway and second.
     control: Vec<Vec<u32>>,
-    /// Of each line of the list that changed something.
+    /// CPU time for each snapshot or update that contains entries.
     pub list_changes: Histogram<u64>,
 }
 
@@ -68,28 +68,28 @@
         }
     }
 
-    /// The share of a core that a gateway spent on this kind of work, on average.
+    /// The mean share of a core that a gateway spent on this kind of work.
     pub fn core_share(&self, work: WorkKind) -> f64 {
-        let spans = (self.frame.seconds * self.control.len()).max(1) as f64 * SEC as f64;
-        self.total[work as usize] as f64 / spans
+        let gateway_time = (self.frame.seconds * self.control.len()).max(1) as f64 * SEC as f64;
+        self.total[work as usize] as f64 / gateway_time
     }
 
-    /// The share of a core that control took of a gateway in its busiest second, at the quantile of gateways.
+    /// The share of a core that control work took in a gateway's busiest second, at the given quantile over gateways.
     pub fn busiest_second(&self, quantile: f64) -> f64 {
-        let most = |seconds: &Vec<u32>| seconds.iter().copied().max().unwrap_or(0);
-        let mut all: Vec<u32> = self.control.iter().map(most).collect();
-        all.sort_unstable();
-        let place = ((all.len() as f64 * quantile).ceil() as usize).clamp(1, all.len().max(1)) - 1;
-        all.get(place).map_or(0.0, |spent| f64::from(*spent) / SEC as f64)
+        let peak = |seconds: &Vec<u32>| seconds.iter().copied().max().unwrap_or(0);
+        let mut peaks: Vec<u32> = self.control.iter().map(peak).collect();
+        peaks.sort_unstable();
+        let index = ((peaks.len() as f64 * quantile).ceil() as usize).clamp(1, peaks.len().max(1)) - 1;
+        peaks.get(index).map_or(0.0, |spent| f64::from(*spent) / SEC as f64)
     }
 }
 
-/// A histogram of nanoseconds with three digits; what is over a day counts as a day.
+/// A histogram of nanoseconds with three significant digits and a maximum of one day; recorders saturate at the maximum.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, DAY, 3).expect("the bounds are in order and three digits are allowed")
+    Histogram::new_with_bounds(1, DAY, 3).expect("valid bounds and number of digits")
 }
 
-/// Times from a change to its being in force at a gateway, all changes at all gateways.
+/// Delays from a change until it is in force at a gateway, over all pairs of a change and a gateway.
 pub struct PropagationDelays {
     from: Nanos,
     pub delays: Histogram<u64>,
@@ -100,7 +100,8 @@
         PropagationDelays { from, delays: histogram() }
     }
 
-    /// A change made at `at` is in force now; a gateway that began later counts from its start.
+    /// Records that a change made at `at` is in force now. For a gateway that started after the change, the delay counts from
+    /// its start. Changes before the measured part of the run are ignored.
     pub fn record(&mut self, at: Nanos, started: Nanos, now: Nanos) {
         if at >= self.from {
             self.delays.saturating_record(now - at.max(started));
@@ -116,21 +117,21 @@
     }
 }
 
-/// Outcomes of RPCs and what they cost.
+/// Counters over the measured part of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunCounters {
     pub rpcs: u64,
     pub ok: u64,
     pub rejected: u64,
     pub aborted: u64,
-    /// Held by a gateway that was killed, or meant for a set of gateways that were all down.
+    /// RPCs lost because their gateway was killed, or because all gateways of their tenant were down.
     pub lost: u64,
     pub attempts: u64,
     pub counter_calls: u64,
     pub watch_requests: u64,
     pub watches_broken: u64,
     pub list_changes: u64,
-    /// Bytes of lines that tell whole lists or changes, at all played gateways.
+    /// Bytes of list snapshots and updates that all simulated gateways received.
     pub list_bytes: u64,
     pub versions: u64,
 }
