--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -195,7 +195,7 @@
     let text = SMALL.replace("servers = 60", "servers = 170000").replace("gateways = 12", "gateways = 5800");
     let text = text.replace("services = 6\nservices_met = 2", "services = 1");
     let why = Scenario::from_toml(Path::new("small.toml"), &text).unwrap_err().to_string();
-    assert!(why.starts_with("'sample': 5800 gateways that are each told 170000 servers"), "{why}");
+    assert!(why.starts_with("'sample': 5800 gateways with 170000 listed servers each"), "{why}");
 }
 
 #[test]
