--- a/crates/scale/src/hollow/steps.rs
+++ b/crates/scale/src/hollow/steps.rs
@@ -1,4 +1,4 @@
-//! The events of a scenario, step by step: what happens to servers, gateways, control machines and regions.
+//! Executes a scenario's events as timed steps that change servers, gateways, discovery agents, regions and the counter.
 
 use super::discovery::Status;
 use super::fleet::{Event, Fleet};
@@ -9,94 +9,64 @@
 use rand::Rng;
 
 const MS: Nanos = 1_000_000;
-/// A ready server is drawn so often before the whole list is looked through.
-const DRAWS_MOST: usize = 64;
+/// Number of random draws for a ready server before all servers are searched in order.
+const MAX_DRAWS: usize = 64;
 
-/// One thing to do at a time.
+/// A step of an event, executed at a given time.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A server that is drawn now fails or is restarted.
-    ChurnServer {
-        fail_share: f64,
-        drain: Nanos,
-        down: Nanos,
-    },
-    /// Servers of a zone that is drawn now fail together.
-    FailRack {
-        servers: usize,
-        delisted_after: Nanos,
-        down: Nanos,
-    },
-    /// These servers fail now, are told to be gone after a while and come back.
-    FailServers {
-        servers: Vec<u32>,
-        delisted_after: Nanos,
-        down: Nanos,
-    },
-    /// The list says this of them from now on.
-    SetStatus {
-        servers: Vec<u32>,
-        status: Status,
-    },
-    /// They go out of service, and the list says so.
-    RemoveServers {
-        servers: Vec<u32>,
-    },
-    /// They start anew.
-    RestoreServers {
-        servers: Vec<u32>,
-    },
-    /// A server drains, `new` takes its place, and it goes.
-    ReplaceServer {
-        old: u32,
-        new: u32,
-        drain: Nanos,
-    },
+    /// A random ready server fails or is restarted.
+    ChurnServer { fail_share: f64, drain: Nanos, down: Nanos },
+    /// Servers of a random zone fail at once.
+    FailRack { servers: usize, delisted_after: Nanos, down: Nanos },
+    /// The servers fail now, are delisted later and then restart.
+    FailServers { servers: Vec<u32>, delisted_after: Nanos, down: Nanos },
+    /// The servers' status in the list changes.
+    SetStatus { servers: Vec<u32>, status: Status },
+    /// The servers stop and are delisted.
+    RemoveServers { servers: Vec<u32> },
+    /// The servers start in a new incarnation and are listed as ready.
+    RestoreServers { servers: Vec<u32> },
+    /// The server `old` drains while `new` is listed, and then stops.
+    ReplaceServer { old: u32, new: u32, drain: Nanos },
+    /// A new version of the settings is published.
     PublishVersion,
-    IsolateRegion {
-        region: Option<usize>,
-    },
-    KillGateways {
-        share: f64,
-        first: usize,
-        down: Nanos,
-    },
-    StartGateways {
-        gateways: Vec<usize>,
-    },
-    StopAgents {
-        share: f64,
-        seconds: Nanos,
-    },
-    RestartAgents {
-        gateways: Vec<usize>,
-    },
-    StallCounter {
-        stalled: bool,
-    },
+    /// The region loses its connection to all others; `None` reconnects it.
+    IsolateRegion { region: Option<usize> },
+    /// A random share of the gateways and the `first` ones of the fleet are killed, and restarted after `down`.
+    KillGateways { share: f64, first: usize, down: Nanos },
+    /// Killed gateways start again.
+    StartGateways { gateways: Vec<usize> },
+    /// The discovery agents on a random share of the control machines stop.
+    StopAgents { share: f64, seconds: Nanos },
+    /// The discovery agents of these gateways run again.
+    RestartAgents { gateways: Vec<usize> },
+    /// The counter stops or resumes replying.
+    StallCounter { stalled: bool },
 }
 
 impl Fleet<'_> {
-    /// Puts all steps of the scenario's events on the clock.
+    /// Schedules the steps of all events of the scenario, relative to `from`.
     pub(super) fn schedule_events(&mut self, from: Nanos) {
-        let mut spare = self.scenario.servers as u32;
+        let mut next_spare = self.scenario.servers as u32;
         for event in &self.scenario.events {
-            for (at, step) in self.steps(event, &mut spare) {
+            for (at, step) in self.steps(event, &mut next_spare) {
                 self.queue.at(from + at, Event::Step(step));
             }
         }
     }
 
-    /// The steps of an event that are known beforehand; `spare` is the next server that is not listed yet.
-    fn steps(&mut self, event: &ScenarioEvent, spare: &mut u32) -> Vec<(Nanos, Step)> {
-        let every = |at: f64, seconds: f64, gap: f64, step: Step| -> Vec<(Nanos, Step)> {
-            let count = (seconds / gap).ceil() as usize;
-            (0..count).map(|nth| (nanos(at + nth as f64 * gap), step.clone())).collect()
+    /// Returns an event's initial steps; executing them may schedule more. `next_spare` is the next server that is not listed
+    /// yet.
+    fn steps(&mut self, event: &ScenarioEvent, next_spare: &mut u32) -> Vec<(Nanos, Step)> {
+        let repeat = |at: f64, seconds: f64, interval: f64, step: Step| -> Vec<(Nanos, Step)> {
+            let count = (seconds / interval).ceil() as usize;
+            (0..count).map(|nth| (nanos(at + nth as f64 * interval), step.clone())).collect()
         };
         match event {
-            ScenarioEvent::Churn { at, seconds, every: gap, fail_share, drain, down } => {
+            ScenarioEvent::Churn { at, seconds, every: interval, fail_share, drain, down } => {
                 let (drain, down) = (nanos(*drain), nanos(*down));
-                every(*at, *seconds, *gap, Step::ChurnServer { fail_share: *fail_share, drain, down })
+                repeat(*at, *seconds, *interval, Step::ChurnServer { fail_share: *fail_share, drain, down })
             }
             ScenarioEvent::Rack { at, servers, delisted_after, down } => {
                 let (delisted_after, down) = (nanos(*delisted_after), nanos(*down));
@@ -112,16 +82,19 @@
             }
             ScenarioEvent::Replace { at, share, seconds, drain } => {
                 let old = pick(self.scenario.servers as u32, *share, &mut self.draws);
-                let gap = seconds / old.len().max(1) as f64;
+                let interval = seconds / old.len().max(1) as f64;
                 let drain = nanos(*drain);
-                let each = old.into_iter().enumerate().map(|(nth, old)| {
-                    *spare += 1;
-                    (nanos(at + gap * nth as f64), Step::ReplaceServer { old, new: *spare - 1, drain })
+                let steps = old.into_iter().enumerate().map(|(nth, old)| {
+                    *next_spare += 1;
+                    (
+                        nanos(at + interval * nth as f64),
+                        Step::ReplaceServer { old, new: *next_spare - 1, drain },
+                    )
                 });
-                each.collect()
+                steps.collect()
             }
-            ScenarioEvent::Versions { at, seconds, every: gap } => {
-                every(*at, *seconds, *gap, Step::PublishVersion)
+            ScenarioEvent::Versions { at, seconds, every: interval } => {
+                repeat(*at, *seconds, *interval, Step::PublishVersion)
             }
             ScenarioEvent::RegionIsolated { at, region, seconds } => vec![
                 (nanos(*at), Step::IsolateRegion { region: Some(*region) }),
@@ -143,49 +116,49 @@
         }
     }
 
-    /// Does one step; what it puts off goes on the clock.
+    /// Executes a step and schedules the steps that follow from it.
     pub(super) fn run_step(&mut self, now: Nanos, step: Step) {
         match step {
-            Step::ChurnServer { fail_share, drain, down } => self.churn(now, fail_share, drain, down),
+            Step::ChurnServer { fail_share, drain, down } => self.churn_server(now, fail_share, drain, down),
             Step::FailRack { servers, delisted_after, down } => {
                 let zone = self.draws.random_range(0..self.scenario.zones);
-                let of_zone = (0..self.scenario.servers as u32).filter(|server| {
+                let candidates = (0..self.scenario.servers as u32).filter(|server| {
                     *server as usize % self.scenario.zones == zone && self.is_ready(*server)
                 });
-                let servers = of_zone.take(servers).collect();
-                self.fail(now, servers, delisted_after, down);
+                let servers = candidates.take(servers).collect();
+                self.fail_servers(now, servers, delisted_after, down);
             }
             Step::FailServers { servers, delisted_after, down } => {
-                self.fail(now, servers, delisted_after, down)
+                self.fail_servers(now, servers, delisted_after, down)
             }
             Step::SetStatus { servers, status } => {
-                servers.iter().for_each(|server| self.list(now, *server, status))
+                servers.iter().for_each(|server| self.set_status(now, *server, status))
             }
             Step::RemoveServers { servers } => {
                 for server in servers {
                     self.servers.down(server);
-                    self.list(now, server, Status::Gone);
+                    self.set_status(now, server, Status::Gone);
                 }
             }
             Step::RestoreServers { servers } => {
                 for server in servers {
                     self.servers.replace(server, now);
-                    self.list(now, server, Status::Ready);
+                    self.set_status(now, server, Status::Ready);
                 }
             }
             Step::ReplaceServer { old, new, drain } => {
-                self.list(now, old, Status::Draining);
+                self.set_status(now, old, Status::Draining);
                 self.servers.replace(new, now);
-                self.list(now, new, Status::Ready);
+                self.set_status(now, new, Status::Ready);
                 self.queue.after(drain, Event::Step(Step::RemoveServers { servers: vec![old] }));
             }
             Step::PublishVersion => self.put_out_version(now),
-            Step::IsolateRegion { region } => self.cut_region(now, region),
+            Step::IsolateRegion { region } => self.isolate_region(now, region),
             Step::KillGateways { share, first, down } => self.kill_gateways(share, first, down),
             Step::StartGateways { gateways } => {
                 gateways.into_iter().for_each(|gateway| self.start(now, gateway, false));
             }
-            Step::StopAgents { share, seconds } => self.lose_machines(now, share, seconds),
+            Step::StopAgents { share, seconds } => self.stop_agents(now, share, seconds),
             Step::RestartAgents { gateways } => {
                 gateways.into_iter().for_each(|gateway| self.discovery.set_agent_up(gateway, true));
             }
@@ -199,7 +172,8 @@
         self.discovery.status(server) == Status::Ready && self.servers.all[server as usize].up
     }
 
-    fn list(&mut self, now: Nanos, server: u32, status: Status) {
+    /// Changes a server's status in the list and schedules the agents' writes.
+    fn set_status(&mut self, now: Nanos, server: u32, status: Status) {
         let came_up = self.servers.all[server as usize].came_up;
         self.counts.list_changes += u64::from(now >= self.frame.from);
         for write in self.discovery.record_change(now, server, status, came_up / MS) {
@@ -207,25 +181,25 @@
         }
     }
 
-    fn churn(&mut self, now: Nanos, fail_share: f64, drain: Nanos, down: Nanos) {
+    fn churn_server(&mut self, now: Nanos, fail_share: f64, drain: Nanos, down: Nanos) {
         let count = self.discovery.server_count() as u32;
-        let drawn = (0..DRAWS_MOST).map(|_| self.draws.random_range(0..count)).collect::<Vec<_>>();
+        let drawn = (0..MAX_DRAWS).map(|_| self.draws.random_range(0..count)).collect::<Vec<_>>();
         let Some(server) = drawn.into_iter().chain(0..count).find(|server| self.is_ready(*server)) else {
             return;
         };
         let servers = vec![server];
         if self.draws.random::<f64>() < fail_share {
-            return self.fail(now, servers, drain, down);
+            return self.fail_servers(now, servers, drain, down);
         }
-        self.list(now, server, Status::Draining);
+        self.set_status(now, server, Status::Draining);
         self.queue.after(drain, Event::Step(Step::RemoveServers { servers: servers.clone() }));
         self.queue.after(down, Event::Step(Step::RestoreServers { servers }));
     }
 
-    fn fail(&mut self, now: Nanos, servers: Vec<u32>, delisted_after: Nanos, down: Nanos) {
+    fn fail_servers(&mut self, now: Nanos, servers: Vec<u32>, delisted_after: Nanos, down: Nanos) {
         servers.iter().for_each(|server| self.servers.down(*server));
-        let told = Step::SetStatus { servers: servers.clone(), status: Status::Gone };
-        self.queue.at(now + delisted_after, Event::Step(told));
+        let delist = Step::SetStatus { servers: servers.clone(), status: Status::Gone };
+        self.queue.at(now + delisted_after, Event::Step(delist));
         self.queue.at(now + down, Event::Step(Step::RestoreServers { servers }));
     }
 
@@ -233,15 +207,16 @@
 
     fn kill_gateways(&mut self, share: f64, first: usize, down: Nanos) {
         let drawn = pick(self.places.len() as u32, share, &mut self.draws);
-        let gateways: Vec<usize> = (0..first).chain(drawn.into_iter().map(|at| at as usize)).collect();
+        let gateways: Vec<usize> = (0..first).chain(drawn.into_iter().map(|index| index as usize)).collect();
         gateways.iter().for_each(|gateway| self.kill(*gateway));
         self.queue.after(down, Event::Step(Step::StartGateways { gateways }));
     }
 
-    fn lose_machines(&mut self, now: Nanos, share: f64, seconds: Nanos) {
+    fn stop_agents(&mut self, now: Nanos, share: f64, seconds: Nanos) {
         let machines = pick(self.scenario.control_machines as u32, share, &mut self.draws);
-        let lost = |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
-        let gateways: Vec<usize> = (0..self.places.len()).filter(lost).collect();
+        let affected =
+            |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
+        let gateways: Vec<usize> = (0..self.places.len()).filter(affected).collect();
         for gateway in &gateways {
             self.discovery.set_agent_up(*gateway, false);
             let life = self.places[*gateway].life;
@@ -253,13 +228,13 @@
         self.queue.after(seconds, Event::Step(Step::RestartAgents { gateways }));
     }
 
-    fn cut_region(&mut self, now: Nanos, region: Option<usize>) {
+    fn isolate_region(&mut self, now: Nanos, region: Option<usize>) {
         self.apart = region;
         for gateway in 0..self.places.len() {
-            let cut = self.is_apart(self.places[gateway].region, HOME_REGION);
-            let was = self.discovery.is_disconnected(gateway);
-            self.discovery.set_disconnected(gateway, cut);
-            if was && !cut {
+            let disconnected = self.is_apart(self.places[gateway].region, HOME_REGION);
+            let was_disconnected = self.discovery.is_disconnected(gateway);
+            self.discovery.set_disconnected(gateway, disconnected);
+            if was_disconnected && !disconnected {
                 self.agent_goes_on(now, gateway);
             }
         }
