--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -1,4 +1,5 @@
-//! Tables of a run. All but `processor.csv` come from the emulated clock and are the same for the same scenario and seed.
+//! Result tables of a run. All except `processor.csv` depend only on the emulated clock, so they are identical for the same
+//! scenario and seed.
 
 use super::discovery::Status;
 use super::fleet::Fleet;
@@ -10,19 +11,20 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// Windows in which the spread of RPCs over servers is looked at.
+/// Width of the windows over which the spread of RPCs over servers is measured.
 const SPREAD_WINDOW: u64 = 5 * SEC;
 
-/// One run: what was played, and counts over its measured part.
+/// Parameters of a run, and counters over its measured part.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RunRow {
     pub scenario: String,
     pub seed: u64,
     pub seconds: f64,
-    /// The size of the fleet, how many of it were played, and by how much their figures are multiplied.
+    /// Size of the fleet.
     pub gateways: usize,
     #[serde(rename = "played")]
     pub simulated_gateways: usize,
+    /// Factor by which figures of the simulated gateways are scaled up to the whole fleet.
     #[serde(rename = "multiplied_by")]
     pub scale_factor: f64,
     pub servers: usize,
@@ -50,28 +52,30 @@
     pub counter_calls: u64,
     #[serde(rename = "count_calls_per_rpc")]
     pub counter_calls_per_rpc: f64,
-    /// Names that the counter holds at the end.
+    /// Number of names that the counter holds at the end.
     pub counter_names: usize,
     pub list_changes: u64,
-    /// Bytes of lines that tell lists or changes, for each played gateway.
+    /// Mean bytes of list snapshots and updates that a simulated gateway received.
     #[serde(rename = "list_bytes_each")]
     pub list_bytes_per_gateway: f64,
     pub versions: u64,
     pub watch_requests: u64,
     pub watches_broken: u64,
-    /// RPCs of the busiest and of the least busy server over the mean, in the middle window of 5 s; nought where only a
-    /// sample of the fleet is played.
+    /// Number of RPCs at the busiest server divided by the mean, as the median over windows of 5 s; 0 if only a sample of the
+    /// fleet is simulated or the run is too large to keep every visit to a server.
     pub server_peak: f64,
+    /// The same for the least busy server.
     pub server_least: f64,
 }
 
-/// Times until changes of one kind were in force at gateways.
+/// Delays until changes of one kind were in force at gateways.
 #[derive(Clone, Debug, Serialize)]
 pub struct PropagationRow {
     pub what: &'static str,
-    /// Pairs of a change and a gateway that it concerns, and those not in force at the end.
+    /// Number of pairs of a change and a gateway where the change came into force.
     #[serde(rename = "reached")]
     pub applied: u64,
+    /// Number of pairs where the change was not in force at the end.
     pub missing: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -79,33 +83,34 @@
     pub max_ms: f64,
 }
 
-/// What went between a gateway and one kind of peer, in one direction. Only voters send datagrams to other gateways: what
-/// they send is shown of one voter.
+/// Traffic between a gateway and one kind of peer, in one direction. Only voters send datagrams to other gateways, so sent
+/// datagrams are averaged over the voters.
 #[derive(Clone, Debug, Serialize)]
 pub struct TrafficRow {
     pub peer: &'static str,
     pub direction: &'static str,
-    /// Of a gateway, a second: on average, and in the second in which the fleet had most bytes.
+    /// Mean per gateway.
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
+    /// Mean per gateway in the second in which all gateways together had the most bytes.
     pub peak_messages_per_s: f64,
     pub peak_bytes_per_s: f64,
 }
 
-/// What control machines carry for the whole fleet.
+/// Load on the control machines from the whole fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct ControlRow {
     pub what: &'static str,
     pub machines: usize,
-    /// Of one machine on average, a second.
+    /// Mean per machine.
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
-    /// The most that one machine had in a second.
+    /// The most messages, and separately the most bytes, of any one machine in any second.
     pub peak_messages_per_s: f64,
     pub peak_bytes_per_s: f64,
 }
 
-/// One second of the run, all played gateways together.
+/// Traffic of all simulated gateways in one second of the run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SecondRow {
     pub t_s: usize,
@@ -116,7 +121,7 @@
     pub datagram_bytes: u64,
 }
 
-/// What the run took of this machine.
+/// CPU time or memory that the run used on this machine.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessorRow {
     pub what: &'static str,
@@ -133,7 +138,7 @@
     pub control: Vec<ControlRow>,
     pub seconds: Vec<SecondRow>,
     pub processor: Vec<ProcessorRow>,
-    /// The most bytes for control that one gateway had in one second.
+    /// Bytes of control traffic in the busiest second of any gateway.
     pub busiest_gateway_second: u32,
 }
 
@@ -142,7 +147,7 @@
 }
 
 impl Tables {
-    /// The tables of a fleet that was played.
+    /// Builds the tables of a fleet after its run.
     pub fn from_fleet(fleet: &Fleet) -> Tables {
         Tables {
             run: run_row(fleet),
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Every table that depends on scenario and seed alone: its file's name and its text.
+    /// The tables that depend only on the scenario and seed, as file names and CSV text.
     pub fn emulated_tables(&self) -> Result<Vec<(&'static str, String)>, ScaleError> {
         Ok(vec![
             ("run.csv", csv(std::slice::from_ref(&self.run))?),
@@ -178,14 +183,14 @@
         Ok(())
     }
 
-    /// The figures for a person.
+    /// A human-readable summary of the figures.
     pub fn summary(&self) -> String {
         let run = &self.run;
         let mut text = format!(
-            "{}: {} of {} gateways played (fleet figures multiplied by {:.1}), {} servers in {} services, {} told to each\n\
-             {} RPCs: {} ok, {} pushed back, {} aborted, {} cut; {} call-outs, {:.3} counter calls an RPC; \
-             busiest server {:.2}, least {:.2} of the mean\n\
-             {} changes of the list, {} versions, {} watch requests\n",
+            "{}: {} of {} gateways simulated (fleet figures scaled by {:.1}), {} servers in {} services, {} per gateway\n\
+             {} RPCs: {} ok, {} rejected, {} aborted, {} lost; {} attempts, {:.3} counter calls per RPC; \
+             busiest server {:.2}, least busy {:.2} times the mean\n\
+             {} list changes, {} versions, {} watch requests\n",
             run.scenario,
             run.simulated_gateways,
             run.gateways,
@@ -208,13 +213,13 @@
         );
         for row in &self.propagation {
             text += &format!(
-                "in force, {}: p50 {:.0} ms, p99 {:.0} ms, at most {:.0} ms; {} reached, {} not\n",
+                "in force, {}: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms; {} applied, {} missing\n",
                 row.what, row.p50_ms, row.p99_ms, row.max_ms, row.applied, row.missing
             );
         }
         for row in &self.traffic {
             text += &format!(
-                "a gateway, {} {}: {:.2} messages/s, {:.0} B/s; in the peak second {:.1} and {:.0}\n",
+                "per gateway, {} {}: {:.2} messages/s, {:.0} B/s; in the peak second {:.1} messages, {:.0} B\n",
                 row.peer,
                 row.direction,
                 row.messages_per_s,
@@ -223,10 +228,11 @@
                 row.peak_bytes_per_s
             );
         }
-        text += &format!("the busiest second of any gateway: {} B\n", self.busiest_gateway_second);
+        text += &format!("busiest second of any gateway: {} B\n", self.busiest_gateway_second);
         for row in &self.control {
             text += &format!(
-                "one of {} control machines, {}: {:.0} messages/s, {:.0} B/s; most in a second {:.0} and {:.0}\n",
+                "per machine of {} control machines, {}: {:.0} messages/s, {:.0} B/s; \
+                 in the peak second {:.0} messages, {:.0} B\n",
                 row.machines,
                 row.what,
                 row.messages_per_s,
@@ -242,15 +248,15 @@
     }
 }
 
-/// Rows as the text of a table.
+/// Serializes rows as CSV with a header line.
 fn csv<Row: Serialize>(rows: &[Row]) -> Result<String, ScaleError> {
-    let fail = |why: String| ScaleError::Measurement { what: "table".to_string(), why };
+    let csv_error = |why: String| ScaleError::Measurement { what: "table".to_string(), why };
     let mut writer = csv::Writer::from_writer(Vec::new());
     for row in rows {
-        writer.serialize(row).map_err(|why| fail(why.to_string()))?;
+        writer.serialize(row).map_err(|why| csv_error(why.to_string()))?;
     }
-    let bytes = writer.into_inner().map_err(|why| fail(why.to_string()))?;
-    String::from_utf8(bytes).map_err(|why| fail(why.to_string()))
+    let bytes = writer.into_inner().map_err(|why| csv_error(why.to_string()))?;
+    String::from_utf8(bytes).map_err(|why| csv_error(why.to_string()))
 }
 
 fn run_row(fleet: &Fleet) -> RunRow {
@@ -291,13 +297,13 @@
     }
 }
 
-/// All servers with the spans in which each was listed as ready.
+/// All servers, each with the time spans in which it was listed as ready.
 fn ready_servers(fleet: &Fleet) -> Vec<ServerHistory> {
-    let listed_first = |server: usize| server < fleet.scenario.servers;
-    let first = |server| if listed_first(server) { vec![(0, Nanos::MAX)] } else { Vec::new() };
+    let listed_at_start = |server: usize| server < fleet.scenario.servers;
+    let initial = |server| if listed_at_start(server) { vec![(0, Nanos::MAX)] } else { Vec::new() };
     let all = 0..fleet.scenario.total_servers();
     let mut servers: Vec<ServerHistory> =
-        all.map(|server| ServerHistory { weight: 1.0, ready_spans: first(server) }).collect();
+        all.map(|server| ServerHistory { weight: 1.0, ready_spans: initial(server) }).collect();
     for change in &fleet.discovery.changes {
         let spans = &mut servers[change.server as usize].ready_spans;
         let open = spans.last_mut().filter(|span| span.1 == Nanos::MAX);
@@ -310,7 +316,7 @@
     servers
 }
 
-/// How evenly RPCs came to the servers that were ready throughout a window, as the rig measures it.
+/// How evenly RPCs were spread over the servers that were ready throughout a window, measured as in the rig.
 fn spread(fleet: &Fleet) -> Option<Spread> {
     let visits = fleet.load.visits.as_ref()?;
     let (from, to) = (fleet.frame.from, fleet.frame.from + fleet.frame.seconds as u64 * SEC);
@@ -320,17 +326,17 @@
 }
 
 fn propagation_rows(fleet: &Fleet) -> Vec<PropagationRow> {
-    let row = |what, in_force: &PropagationDelays, missing| PropagationRow {
+    let row = |what, propagation: &PropagationDelays, missing| PropagationRow {
         what,
-        applied: in_force.delays.len(),
+        applied: propagation.delays.len(),
         missing,
-        p50_ms: round(in_force.quantile_ms(0.5)),
-        p99_ms: round(in_force.quantile_ms(0.99)),
-        max_ms: round(in_force.max_ms()),
+        p50_ms: round(propagation.quantile_ms(0.5)),
+        p99_ms: round(propagation.quantile_ms(0.99)),
+        max_ms: round(propagation.max_ms()),
     };
-    let untold = fleet.discovery.undelivered_changes(fleet.frame.from) as u64;
+    let undelivered = fleet.discovery.undelivered_changes(fleet.frame.from) as u64;
     vec![
-        row("list", &fleet.lists_in_force, untold),
+        row("list", &fleet.lists_in_force, undelivered),
         row("version", &fleet.versions_in_force, fleet.versions_not_in_force()),
     ]
 }
@@ -342,18 +348,18 @@
     for peer in Peer::ALL {
         for direction in Direction::ALL {
             let total = fleet.traffic.total(peer, direction);
-            let by_voters = (peer, direction) == (Peer::Gateways, Direction::Sent);
-            let gateways = if by_voters { voters } else { fleet.scenario.simulated_gateways() } as f64;
+            let only_voters = (peer, direction) == (Peer::Gateways, Direction::Sent);
+            let gateways = if only_voters { voters } else { fleet.scenario.simulated_gateways() } as f64;
             let all = (0..seconds).map(|second| fleet.traffic.of_second(second, peer, direction));
             let peak = all.max_by_key(|tally| tally.bytes).unwrap_or_default();
-            let each = |count: u64| round(count as f64 / gateways);
+            let per_gateway = |count: u64| round(count as f64 / gateways);
             rows.push(TrafficRow {
                 peer: peer.name(),
                 direction: direction.name(),
                 messages_per_s: round(total.messages as f64 / gateways / seconds as f64),
                 bytes_per_s: round(total.bytes as f64 / gateways / seconds as f64),
-                peak_messages_per_s: each(peak.messages),
-                peak_bytes_per_s: each(peak.bytes),
+                peak_messages_per_s: per_gateway(peak.messages),
+                peak_bytes_per_s: per_gateway(peak.bytes),
             });
         }
     }
@@ -361,17 +367,17 @@
 }
 
 fn control_rows(fleet: &Fleet) -> Vec<ControlRow> {
-    let (machines, times) = (fleet.scenario.control_machines, fleet.scenario.scale_factor());
-    let spans = (machines * fleet.frame.seconds) as f64;
+    let (machines, scale) = (fleet.scenario.control_machines, fleet.scenario.scale_factor());
+    let machine_seconds = (machines * fleet.frame.seconds) as f64;
     let row = |what, load: &ControlLoad| {
         let (total, peak): (Tally, Tally) = (load.total(), load.busiest_second());
         ControlRow {
             what,
             machines,
-            messages_per_s: round(total.messages as f64 * times / spans),
-            bytes_per_s: round(total.bytes as f64 * times / spans),
-            peak_messages_per_s: round(peak.messages as f64 * times),
-            peak_bytes_per_s: round(peak.bytes as f64 * times),
+            messages_per_s: round(total.messages as f64 * scale / machine_seconds),
+            bytes_per_s: round(total.bytes as f64 * scale / machine_seconds),
+            peak_messages_per_s: round(peak.messages as f64 * scale),
+            peak_bytes_per_s: round(peak.bytes as f64 * scale),
         }
     };
     vec![
@@ -383,22 +389,22 @@
 
 fn second_rows(fleet: &Fleet) -> Vec<SecondRow> {
     let row = |second: usize| {
-        let of = |peer, direction| fleet.traffic.of_second(second, peer, direction);
-        let both = |peer| of(peer, Direction::Sent).bytes + of(peer, Direction::Received).bytes;
+        let tally = |peer, direction| fleet.traffic.of_second(second, peer, direction);
+        let bytes = |peer| tally(peer, Direction::Sent).bytes + tally(peer, Direction::Received).bytes;
         SecondRow {
             t_s: second,
-            list_bytes: both(Peer::Discovery),
-            counter_calls: of(Peer::Counter, Direction::Sent).messages,
-            counter_bytes: both(Peer::Counter),
-            datagrams: of(Peer::Gateways, Direction::Received).messages,
-            datagram_bytes: both(Peer::Gateways),
+            list_bytes: bytes(Peer::Discovery),
+            counter_calls: tally(Peer::Counter, Direction::Sent).messages,
+            counter_bytes: bytes(Peer::Counter),
+            datagrams: tally(Peer::Gateways, Direction::Received).messages,
+            datagram_bytes: bytes(Peer::Gateways),
         }
     };
     (0..fleet.frame.seconds).map(row).collect()
 }
 
 fn processor_rows(fleet: &Fleet) -> Vec<ProcessorRow> {
-    let share = |value: f64| round(100.0 * value);
+    let percent = |value: f64| round(100.0 * value);
     let milliseconds = |nanos: u64| round(nanos as f64 / 1e6);
     let megabytes = |bytes: u64| round(bytes as f64 / (1 << 20) as f64);
     let row = |what, value, unit| ProcessorRow { what, value, unit };
@@ -407,9 +413,9 @@
     let mut rows: Vec<ProcessorRow> = WorkKind::ALL
         .into_iter()
         .zip(names)
-        .map(|(work, name)| row(name, share(fleet.processor.core_share(work)), "% of a core"))
+        .map(|(work, name)| row(name, percent(fleet.processor.core_share(work)), "% of a core"))
         .collect();
-    let busiest = |quantile| share(fleet.processor.busiest_second(quantile));
+    let busiest = |quantile| percent(fleet.processor.busiest_second(quantile));
     rows.push(row("control in its busiest second, gateway at p50", busiest(0.5), "% of a core"));
     rows.push(row("control in its busiest second, gateway at p99", busiest(0.99), "% of a core"));
     rows.push(row("control in its busiest second, worst gateway", busiest(1.0), "% of a core"));
@@ -418,9 +424,9 @@
     rows.push(row("a line of the list, p99", milliseconds(changes.value_at_quantile(0.99)), "ms"));
     rows.push(row("a line of the list, at most", milliseconds(changes.max()), "ms"));
     let memory = fleet.memory;
-    let each = |bytes: u64| megabytes(bytes / fleet.scenario.simulated_gateways() as u64);
-    rows.push(row("held a gateway, once started", each(memory.started), "MB"));
-    rows.push(row("held a gateway, at the end", each(memory.ended), "MB"));
+    let per_gateway = |bytes: u64| megabytes(bytes / fleet.scenario.simulated_gateways() as u64);
+    rows.push(row("held a gateway, once started", per_gateway(memory.started), "MB"));
+    rows.push(row("held a gateway, at the end", per_gateway(memory.ended), "MB"));
     rows.push(row("peak of the whole emulation", megabytes(memory.peak), "MB"));
     rows
 }
