--- a/crates/scale/tests/bad_input.rs
+++ b/crates/scale/tests/bad_input.rs
@@ -1,51 +1,53 @@
-//! Scenarios and arguments that can't be taken: one line that names the key, and nothing is measured or written.
+//! Invalid scenarios and arguments of `slopes`: the command fails with a one-line error that names the key or file, before
+//! anything is measured or written.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-struct Folder(PathBuf);
+/// A temporary directory that is removed when dropped.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("martenramp-scale-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+impl TempDir {
+    fn new(name: &str) -> TempDir {
+        let dir = std::env::temp_dir().join(format!("martenramp-scale-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
+        TempDir(dir)
     }
 
-    fn file(&self, text: &str) -> PathBuf {
+    fn write_scenario(&self, text: &str) -> PathBuf {
         let file = self.0.join("scenario.toml");
         std::fs::write(&file, text).unwrap();
         file
     }
 
-    fn out(&self) -> PathBuf {
+    fn output_dir(&self) -> PathBuf {
         self.0.join("out")
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn slopes(scenario: &Path, out: &Path, more: &[&str]) -> Output {
+fn run_slopes(scenario: &Path, out: &Path, extra_args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenramp-scale"));
-    command.arg("slopes").arg("--scenario").arg(scenario).arg("--out").arg(out).args(more);
+    command.arg("slopes").arg("--scenario").arg(scenario).arg("--out").arg(out).args(extra_args);
     command.output().unwrap()
 }
 
-/// The one line that was said; the run failed.
-fn refusal(output: &Output) -> String {
-    let said = String::from_utf8(output.stderr.clone()).unwrap();
-    assert!(!output.status.success(), "it was taken");
-    assert_eq!(said.trim_end().lines().count(), 1, "{said}");
-    said
+/// Asserts that the command failed with a one-line error, and returns that line.
+fn error_line(output: &Output) -> String {
+    let stderr = String::from_utf8(output.stderr.clone()).unwrap();
+    assert!(!output.status.success(), "the command succeeded");
+    assert_eq!(stderr.trim_end().lines().count(), 1, "{stderr}");
+    stderr
 }
 
 #[test]
-fn scenarios_that_cannot_be_taken_are_refused_by_the_key() {
-    let folder = Folder::new("keys");
+fn invalid_scenarios_are_rejected_with_an_error_that_names_the_key() {
+    let dir = TempDir::new("keys");
     let cases = [
         ("colour = 3", "colour"),
         ("[list]\nserver = [1, 2]", "server"),
@@ -76,35 +78,35 @@
         ("[rpcs]\nin_flight = [10, 10000000]", "rpcs.in_flight"),
     ];
     for (text, key) in cases {
-        let said = refusal(&slopes(&folder.file(text), &folder.out(), &[]));
-        assert!(said.contains(key), "{text}: {said}");
-        assert!(!folder.out().exists(), "{text}: something was written");
+        let error = error_line(&run_slopes(&dir.write_scenario(text), &dir.output_dir(), &[]));
+        assert!(error.contains(key), "{text}: {error}");
+        assert!(!dir.output_dir().exists(), "{text}: the output directory was created");
     }
 }
 
 #[test]
-fn files_and_names_that_are_not_there_are_said_so() {
-    let folder = Folder::new("files");
-    let missing = folder.0.join("missing.toml");
-    assert!(refusal(&slopes(&missing, &folder.out(), &[])).contains("missing.toml"));
-    let good = folder.file("effort_ms = 1");
-    let said = refusal(&slopes(&good, &folder.out(), &["--only", "no such cost"]));
-    assert!(said.contains("--only"), "{said}");
-    assert!(!folder.out().exists());
-    // The folder of the tables is a file: said before anything is measured.
-    assert!(refusal(&slopes(&good, &good, &[])).contains("scenario.toml"));
+fn missing_files_and_unknown_costs_are_reported() {
+    let dir = TempDir::new("files");
+    let missing = dir.0.join("missing.toml");
+    assert!(error_line(&run_slopes(&missing, &dir.output_dir(), &[])).contains("missing.toml"));
+    let valid = dir.write_scenario("effort_ms = 1");
+    let error = error_line(&run_slopes(&valid, &dir.output_dir(), &["--only", "no such cost"]));
+    assert!(error.contains("--only"), "{error}");
+    assert!(!dir.output_dir().exists());
+    // The output path is a file: this is reported before anything is measured.
+    assert!(error_line(&run_slopes(&valid, &valid, &[])).contains("scenario.toml"));
 }
 
 #[test]
-fn a_small_scenario_writes_its_tables_and_says_what_was_cut_off() {
-    let folder = Folder::new("good");
+fn a_small_scenario_writes_its_tables_and_marks_sizes_over_the_time_limit() {
+    let dir = TempDir::new("good");
     let text = "effort_ms = 1\nsize_seconds = 0.001\n[settings]\nplans = [10, 20, 40, 60000]";
-    let output = slopes(&folder.file(text), &folder.out(), &["--only", "version digested"]);
+    let output = run_slopes(&dir.write_scenario(text), &dir.output_dir(), &["--only", "version digested"]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let table = std::fs::read_to_string(folder.out().join("slopes.csv")).unwrap();
+    let table = std::fs::read_to_string(dir.output_dir().join("slopes.csv")).unwrap();
     assert!(table.lines().any(|line| line.contains(",10,measured,")), "{table}");
     assert!(table.lines().any(|line| line.contains(",60000,cut off: ")), "{table}");
     for name in ["fits.csv", "slopes.svg"] {
-        assert!(folder.out().join(name).exists(), "{name}");
+        assert!(dir.output_dir().join(name).exists(), "{name}");
     }
 }
