--- a/crates/scale/src/gateway_driver.rs
+++ b/crates/scale/src/gateway_driver.rs
@@ -88,9 +88,9 @@
         arrival_interval: Nanos,
     ) -> Result<GatewayDriver, ScaleError> {
         let mut replica = Replica::new(service)?;
-        let list = alloc::uncounted(|| crate::deployment::full_list(servers));
+        let list = alloc::without_counting(|| crate::deployment::full_list(servers));
         replica.apply(START_TIME, &list);
-        alloc::uncounted(|| drop(list));
+        alloc::without_counting(|| drop(list));
         let mut connection = CounterConnection::default();
         connection.connected(&mut Vec::new(), START_TIME);
         Ok(GatewayDriver {
@@ -174,16 +174,16 @@
             self.output.clear();
             self.connection.send_call(&mut self.output, now, Call { serial: self.last_call, name, add, ttl });
             self.traffic.sent.add(self.output.len());
-            let total = alloc::uncounted(|| {
+            let total = alloc::without_counting(|| {
                 let total = self.totals.entry(name).or_insert(0.0);
                 *total += add;
                 *total
             });
-            let reply = alloc::uncounted(|| counter_reply(total));
+            let reply = alloc::without_counting(|| counter_reply(total));
             self.traffic.received.add(reply.len());
             let mut completed = Vec::new();
             let _ = self.connection.feed(now, &reply, &mut completed);
-            alloc::uncounted(|| drop(reply));
+            alloc::without_counting(|| drop(reply));
             for (call, outcome, total) in completed {
                 self.replica.controller.on_counter_reply(&mut self.host, now, call.name, outcome, total);
             }
@@ -193,7 +193,7 @@
 
 impl Drop for GatewayDriver {
     fn drop(&mut self) {
-        alloc::uncounted(|| drop(std::mem::take(&mut self.totals)));
+        alloc::without_counting(|| drop(std::mem::take(&mut self.totals)));
     }
 }
 
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -6,12 +6,12 @@
 //! the same tables byte for byte, but for `processor.csv`, which holds what the run took of this machine. Figures are
 //! emulated. `docs/scale-hollow.md` says what each of them means.
 
-mod agreeing;
 mod discovery;
 mod fleet;
 mod gateway;
 mod rpcs;
 pub mod scenario;
+mod settings_agreement;
 mod stats;
 mod steps;
 mod tables;
--- a/crates/scale/src/hollow/stats.rs
+++ b/crates/scale/src/hollow/stats.rs
@@ -1,6 +1,6 @@
 //! Statistics of a run other than traffic: propagation delays of changes, RPC outcomes and CPU time.
 
-use super::traffic::Frame;
+use super::traffic::MeasuredPeriod;
 use super::{Nanos, SEC};
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
@@ -45,7 +45,7 @@
 
 /// CPU time of the simulated gateways. It is real rather than emulated time, so it differs from run to run.
 pub struct CpuUsage {
-    frame: Frame,
+    frame: MeasuredPeriod,
     total: [Nanos; 4],
     /// CPU time of control work for each gateway and second.
     control: Vec<Vec<u32>>,
@@ -54,13 +54,13 @@
 }
 
 impl CpuUsage {
-    pub fn new(frame: Frame, gateways: usize) -> CpuUsage {
+    pub fn new(frame: MeasuredPeriod, gateways: usize) -> CpuUsage {
         let control = vec![vec![0; frame.seconds]; gateways];
         CpuUsage { frame, total: [0; 4], control, list_changes: histogram() }
     }
 
     pub fn add(&mut self, now: Nanos, gateway: usize, work: WorkKind, spent: Nanos) {
-        let Some(second) = self.frame.second(now) else { return };
+        let Some(second) = self.frame.second_index(now) else { return };
         self.total[work as usize] += spent;
         if work.is_control() {
             let cell = &mut self.control[gateway][second];
--- a/crates/scale/src/hollow/steps.rs
+++ b/crates/scale/src/hollow/steps.rs
@@ -5,7 +5,7 @@
 use super::rpcs::HOME_REGION;
 use super::scenario::ScenarioEvent;
 use super::{Nanos, nanos};
-use lab::lifecycle::pick;
+use lab::lifecycle::sample_share;
 use rand::Rng;
 
 const MS: Nanos = 1_000_000;
@@ -51,7 +51,7 @@
         let mut next_spare = self.scenario.servers as u32;
         for event in &self.scenario.events {
             for (at, step) in self.steps(event, &mut next_spare) {
-                self.queue.at(from + at, Event::Step(step));
+                self.queue.schedule_at(from + at, Event::Step(step));
             }
         }
     }
@@ -81,7 +81,7 @@
                 vec![(nanos(*at), Step::FailServers { servers, delisted_after, down })]
             }
             ScenarioEvent::Replace { at, share, seconds, drain } => {
-                let old = pick(self.scenario.servers as u32, *share, &mut self.draws);
+                let old = sample_share(self.scenario.servers as u32, *share, &mut self.rng);
                 let interval = seconds / old.len().max(1) as f64;
                 let drain = nanos(*drain);
                 let steps = old.into_iter().enumerate().map(|(nth, old)| {
@@ -121,7 +121,7 @@
         match step {
             Step::ChurnServer { fail_share, drain, down } => self.churn_server(now, fail_share, drain, down),
             Step::FailRack { servers, delisted_after, down } => {
-                let zone = self.draws.random_range(0..self.scenario.zones);
+                let zone = self.rng.random_range(0..self.scenario.zones);
                 let candidates = (0..self.scenario.servers as u32).filter(|server| {
                     *server as usize % self.scenario.zones == zone && self.is_ready(*server)
                 });
@@ -136,7 +136,7 @@
             }
             Step::RemoveServers { servers } => {
                 for server in servers {
-                    self.servers.down(server);
+                    self.servers.take_down(server);
                     self.set_status(now, server, Status::Gone);
                 }
             }
@@ -150,13 +150,13 @@
                 self.set_status(now, old, Status::Draining);
                 self.servers.replace(new, now);
                 self.set_status(now, new, Status::Ready);
-                self.queue.after(drain, Event::Step(Step::RemoveServers { servers: vec![old] }));
+                self.queue.schedule_after(drain, Event::Step(Step::RemoveServers { servers: vec![old] }));
             }
-            Step::PublishVersion => self.put_out_version(now),
+            Step::PublishVersion => self.publish_version(now),
             Step::IsolateRegion { region } => self.isolate_region(now, region),
             Step::KillGateways { share, first, down } => self.kill_gateways(share, first, down),
             Step::StartGateways { gateways } => {
-                gateways.into_iter().for_each(|gateway| self.start(now, gateway, false));
+                gateways.into_iter().for_each(|gateway| self.start_gateway(now, gateway, false));
             }
             Step::StopAgents { share, seconds } => self.stop_agents(now, share, seconds),
             Step::RestartAgents { gateways } => {
@@ -174,68 +174,68 @@
 
     /// Changes a server's status in the list and schedules the agents' writes.
     fn set_status(&mut self, now: Nanos, server: u32, status: Status) {
-        let came_up = self.servers.all[server as usize].came_up;
-        self.counts.list_changes += u64::from(now >= self.frame.from);
+        let came_up = self.servers.all[server as usize].started_at;
+        self.counts.list_changes += u64::from(now >= self.measured.from);
         for write in self.discovery.record_change(now, server, status, came_up / MS) {
-            self.queue.at(write.at, Event::AgentWrites { agent: write.agent });
+            self.queue.schedule_at(write.at, Event::AgentWrite { agent: write.agent });
         }
     }
 
     fn churn_server(&mut self, now: Nanos, fail_share: f64, drain: Nanos, down: Nanos) {
         let count = self.discovery.server_count() as u32;
-        let drawn = (0..MAX_DRAWS).map(|_| self.draws.random_range(0..count)).collect::<Vec<_>>();
+        let drawn = (0..MAX_DRAWS).map(|_| self.rng.random_range(0..count)).collect::<Vec<_>>();
         let Some(server) = drawn.into_iter().chain(0..count).find(|server| self.is_ready(*server)) else {
             return;
         };
         let servers = vec![server];
-        if self.draws.random::<f64>() < fail_share {
+        if self.rng.random::<f64>() < fail_share {
             return self.fail_servers(now, servers, drain, down);
         }
         self.set_status(now, server, Status::Draining);
-        self.queue.after(drain, Event::Step(Step::RemoveServers { servers: servers.clone() }));
-        self.queue.after(down, Event::Step(Step::RestoreServers { servers }));
+        self.queue.schedule_after(drain, Event::Step(Step::RemoveServers { servers: servers.clone() }));
+        self.queue.schedule_after(down, Event::Step(Step::RestoreServers { servers }));
     }
 
     fn fail_servers(&mut self, now: Nanos, servers: Vec<u32>, delisted_after: Nanos, down: Nanos) {
-        servers.iter().for_each(|server| self.servers.down(*server));
+        servers.iter().for_each(|server| self.servers.take_down(*server));
         let delist = Step::SetStatus { servers: servers.clone(), status: Status::Gone };
-        self.queue.at(now + delisted_after, Event::Step(delist));
-        self.queue.at(now + down, Event::Step(Step::RestoreServers { servers }));
+        self.queue.schedule_at(now + delisted_after, Event::Step(delist));
+        self.queue.schedule_at(now + down, Event::Step(Step::RestoreServers { servers }));
     }
 
     // ---- Gateways, control machines and regions
 
     fn kill_gateways(&mut self, share: f64, first: usize, down: Nanos) {
-        let drawn = pick(self.places.len() as u32, share, &mut self.draws);
+        let drawn = sample_share(self.nodes.len() as u32, share, &mut self.rng);
         let gateways: Vec<usize> = (0..first).chain(drawn.into_iter().map(|index| index as usize)).collect();
-        gateways.iter().for_each(|gateway| self.kill(*gateway));
-        self.queue.after(down, Event::Step(Step::StartGateways { gateways }));
+        gateways.iter().for_each(|gateway| self.kill_gateway(*gateway));
+        self.queue.schedule_after(down, Event::Step(Step::StartGateways { gateways }));
     }
 
     fn stop_agents(&mut self, now: Nanos, share: f64, seconds: Nanos) {
-        let machines = pick(self.scenario.control_machines as u32, share, &mut self.draws);
+        let machines = sample_share(self.scenario.control_machines as u32, share, &mut self.rng);
         let affected =
             |gateway: &usize| machines.contains(&((gateway % self.scenario.control_machines) as u32));
-        let gateways: Vec<usize> = (0..self.places.len()).filter(affected).collect();
+        let gateways: Vec<usize> = (0..self.nodes.len()).filter(affected).collect();
         for gateway in &gateways {
             self.discovery.set_agent_up(*gateway, false);
-            let life = self.places[*gateway].life;
-            let watches = self.places[*gateway].hollow.as_ref().is_some_and(|hollow| hollow.watching);
+            let life = self.nodes[*gateway].incarnation;
+            let watches = self.nodes[*gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
             if watches {
-                self.watch_broke(now, *gateway, life);
+                self.retry_watch(now, *gateway, life);
             }
         }
-        self.queue.after(seconds, Event::Step(Step::RestartAgents { gateways }));
+        self.queue.schedule_after(seconds, Event::Step(Step::RestartAgents { gateways }));
     }
 
     fn isolate_region(&mut self, now: Nanos, region: Option<usize>) {
-        self.apart = region;
-        for gateway in 0..self.places.len() {
-            let disconnected = self.is_apart(self.places[gateway].region, HOME_REGION);
+        self.isolated_region = region;
+        for gateway in 0..self.nodes.len() {
+            let disconnected = self.is_partitioned(self.nodes[gateway].region, HOME_REGION);
             let was_disconnected = self.discovery.is_disconnected(gateway);
             self.discovery.set_disconnected(gateway, disconnected);
             if was_disconnected && !disconnected {
-                self.agent_goes_on(now, gateway);
+                self.schedule_agent_write(now, gateway);
             }
         }
     }
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -286,7 +286,7 @@
         attempts: counts.attempts,
         counter_calls: counts.counter_calls,
         counter_calls_per_rpc: round(counts.counter_calls as f64 / counts.rpcs.max(1) as f64),
-        counter_names: fleet.counter.names(),
+        counter_names: fleet.counter.name_count(),
         list_changes: counts.list_changes,
         list_bytes_per_gateway: round(counts.list_bytes as f64 / scenario.simulated_gateways() as f64),
         versions: counts.versions,
@@ -318,8 +318,8 @@
 
 /// How evenly RPCs were spread over the servers that were ready throughout a window, measured as in the rig.
 fn spread(fleet: &Fleet) -> Option<Spread> {
-    let visits = fleet.load.visits.as_ref()?;
-    let (from, to) = (fleet.frame.from, fleet.frame.from + fleet.frame.seconds as u64 * SEC);
+    let visits = fleet.load.served_attempts.as_ref()?;
+    let (from, to) = (fleet.measured.from, fleet.measured.from + fleet.measured.seconds as u64 * SEC);
     let servers = ready_servers(fleet);
     let windows = WindowSeries { from, to, width: SPREAD_WINDOW }.windows(&servers, visits, Quantity::Rpcs);
     Some(Spread::of(&windows))
@@ -334,7 +334,7 @@
         p99_ms: round(propagation.quantile_ms(0.99)),
         max_ms: round(propagation.max_ms()),
     };
-    let undelivered = fleet.discovery.undelivered_changes(fleet.frame.from) as u64;
+    let undelivered = fleet.discovery.undelivered_changes(fleet.measured.from) as u64;
     vec![
         row("list", &fleet.lists_in_force, undelivered),
         row("version", &fleet.versions_in_force, fleet.versions_not_in_force()),
@@ -343,14 +343,14 @@
 
 fn traffic_rows(fleet: &Fleet) -> Vec<TrafficRow> {
     let voters = fleet.scenario.agreement.as_ref().map_or(1, |terms| terms.voters);
-    let seconds = fleet.frame.seconds;
+    let seconds = fleet.measured.seconds;
     let mut rows = Vec::new();
     for peer in Peer::ALL {
         for direction in Direction::ALL {
             let total = fleet.traffic.total(peer, direction);
             let only_voters = (peer, direction) == (Peer::Gateways, Direction::Sent);
             let gateways = if only_voters { voters } else { fleet.scenario.simulated_gateways() } as f64;
-            let all = (0..seconds).map(|second| fleet.traffic.of_second(second, peer, direction));
+            let all = (0..seconds).map(|second| fleet.traffic.in_second(second, peer, direction));
             let peak = all.max_by_key(|tally| tally.bytes).unwrap_or_default();
             let per_gateway = |count: u64| round(count as f64 / gateways);
             rows.push(TrafficRow {
@@ -368,7 +368,7 @@
 
 fn control_rows(fleet: &Fleet) -> Vec<ControlRow> {
     let (machines, scale) = (fleet.scenario.control_machines, fleet.scenario.scale_factor());
-    let machine_seconds = (machines * fleet.frame.seconds) as f64;
+    let machine_seconds = (machines * fleet.measured.seconds) as f64;
     let row = |what, load: &ControlLoad| {
         let (total, peak): (Tally, Tally) = (load.total(), load.busiest_second());
         ControlRow {
@@ -389,7 +389,7 @@
 
 fn second_rows(fleet: &Fleet) -> Vec<SecondRow> {
     let row = |second: usize| {
-        let tally = |peer, direction| fleet.traffic.of_second(second, peer, direction);
+        let tally = |peer, direction| fleet.traffic.in_second(second, peer, direction);
         let bytes = |peer| tally(peer, Direction::Sent).bytes + tally(peer, Direction::Received).bytes;
         SecondRow {
             t_s: second,
@@ -400,7 +400,7 @@
             datagram_bytes: bytes(Peer::Gateways),
         }
     };
-    (0..fleet.frame.seconds).map(row).collect()
+    (0..fleet.measured.seconds).map(row).collect()
 }
 
 fn processor_rows(fleet: &Fleet) -> Vec<ProcessorRow> {
@@ -425,8 +425,8 @@
     rows.push(row("a line of the list, at most", milliseconds(changes.max()), "ms"));
     let memory = fleet.memory;
     let per_gateway = |bytes: u64| megabytes(bytes / fleet.scenario.simulated_gateways() as u64);
-    rows.push(row("held a gateway, once started", per_gateway(memory.started), "MB"));
-    rows.push(row("held a gateway, at the end", per_gateway(memory.ended), "MB"));
+    rows.push(row("held a gateway, once started", per_gateway(memory.after_start), "MB"));
+    rows.push(row("held a gateway, at the end", per_gateway(memory.at_end), "MB"));
     rows.push(row("peak of the whole emulation", megabytes(memory.peak), "MB"));
     rows
 }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -3,7 +3,7 @@
 use super::Cost;
 use super::scenario::List;
 use crate::ScaleError;
-use crate::alloc::uncounted;
+use crate::alloc::without_counting;
 use crate::deployment::{
     START_TIME, ServiceConfig, Status, ZONE_COUNT, encode_chunk, full_list, status_update,
 };
@@ -64,7 +64,7 @@
 
 /// The bytes of a whole list are read into entries.
 pub fn read_whole(servers: usize) -> Result<Operation, ScaleError> {
-    let bytes = uncounted(|| encode_chunk(&full_list(servers)));
+    let bytes = without_counting(|| encode_chunk(&full_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(bytes.len());
@@ -76,7 +76,7 @@
 
 /// A gateway that knows nothing takes a whole list that has been read.
 pub fn taken_whole(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let list = uncounted(|| full_list(servers));
+    let list = without_counting(|| full_list(servers));
     let mut held: Vec<Replica> = Vec::new();
     let step = move || {
         held.clear();
@@ -107,10 +107,10 @@
     away: Status,
 ) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&ServiceConfig::for_fleet(fleet))?;
-    let list = uncounted(|| full_list(servers));
+    let list = without_counting(|| full_list(servers));
     replica.apply(START_TIME, &list);
-    uncounted(|| drop(list));
-    let encoded = |status| uncounted(|| encode_chunk(&status_update(changed.iter().copied(), status)));
+    without_counting(|| drop(list));
+    let encoded = |status| without_counting(|| encode_chunk(&status_update(changed.iter().copied(), status)));
     let changes = [encoded(away), encoded(Status::Ready)];
     let (mut now, mut next) = (START_TIME, 0);
     let step = move || {
