--- a/crates/scale/src/hollow/stats.rs
+++ b/crates/scale/src/hollow/stats.rs
@@ -45,7 +45,7 @@
 
 /// CPU time of the simulated gateways. It is real rather than emulated time, so it differs from run to run.
 pub struct CpuUsage {
-    frame: MeasuredPeriod,
+    period: MeasuredPeriod,
     total: [Nanos; 4],
     /// CPU time of control work for each gateway and second.
     control: Vec<Vec<u32>>,
@@ -54,13 +54,13 @@
 }
 
 impl CpuUsage {
-    pub fn new(frame: MeasuredPeriod, gateways: usize) -> CpuUsage {
-        let control = vec![vec![0; frame.seconds]; gateways];
-        CpuUsage { frame, total: [0; 4], control, list_changes: histogram() }
+    pub fn new(period: MeasuredPeriod, gateways: usize) -> CpuUsage {
+        let control = vec![vec![0; period.seconds]; gateways];
+        CpuUsage { period, total: [0; 4], control, list_changes: histogram() }
     }
 
     pub fn add(&mut self, now: Nanos, gateway: usize, work: WorkKind, spent: Nanos) {
-        let Some(second) = self.frame.second_index(now) else { return };
+        let Some(second) = self.period.second_index(now) else { return };
         self.total[work as usize] += spent;
         if work.is_control() {
             let cell = &mut self.control[gateway][second];
@@ -70,7 +70,7 @@
 
     /// The mean share of a core that a gateway spent on this kind of work.
     pub fn core_share(&self, work: WorkKind) -> f64 {
-        let gateway_time = (self.frame.seconds * self.control.len()).max(1) as f64 * SEC as f64;
+        let gateway_time = (self.period.seconds * self.control.len()).max(1) as f64 * SEC as f64;
         self.total[work as usize] as f64 / gateway_time
     }
 
--- a/crates/scale/src/hollow/steps.rs
+++ b/crates/scale/src/hollow/steps.rs
@@ -174,9 +174,9 @@
 
     /// Changes a server's status in the list and schedules the agents' writes.
     fn set_status(&mut self, now: Nanos, server: u32, status: Status) {
-        let came_up = self.servers.all[server as usize].started_at;
+        let started_at = self.servers.all[server as usize].started_at;
         self.counts.list_changes += u64::from(now >= self.measured.from);
-        for write in self.discovery.record_change(now, server, status, came_up / MS) {
+        for write in self.discovery.record_change(now, server, status, started_at / MS) {
             self.queue.schedule_at(write.at, Event::AgentWrite { agent: write.agent });
         }
     }
@@ -219,10 +219,11 @@
         let gateways: Vec<usize> = (0..self.nodes.len()).filter(affected).collect();
         for gateway in &gateways {
             self.discovery.set_agent_up(*gateway, false);
-            let life = self.nodes[*gateway].incarnation;
-            let watches = self.nodes[*gateway].running.as_ref().is_some_and(|hollow| hollow.is_watching);
-            if watches {
-                self.retry_watch(now, *gateway, life);
+            let incarnation = self.nodes[*gateway].incarnation;
+            let is_watching =
+                self.nodes[*gateway].running.as_ref().is_some_and(|gateway| gateway.is_watching);
+            if is_watching {
+                self.retry_watch(now, *gateway, incarnation);
             }
         }
         self.queue.schedule_after(seconds, Event::Step(Step::RestartAgents { gateways }));
--- a/crates/scale/src/hollow/tables.rs
+++ b/crates/scale/src/hollow/tables.rs
@@ -62,7 +62,7 @@
     pub watch_requests: u64,
     pub watches_broken: u64,
     /// Number of RPCs at the busiest server divided by the mean, as the median over windows of 5 s; 0 if only a sample of the
-    /// fleet is simulated or the run is too large to keep every visit to a server.
+    /// fleet is simulated or the run is too large to keep every served attempt.
     pub server_peak: f64,
     /// The same for the least busy server.
     pub server_least: f64,
@@ -318,10 +318,11 @@
 
 /// How evenly RPCs were spread over the servers that were ready throughout a window, measured as in the rig.
 fn spread(fleet: &Fleet) -> Option<Spread> {
-    let visits = fleet.load.served_attempts.as_ref()?;
+    let served_attempts = fleet.load.served_attempts.as_ref()?;
     let (from, to) = (fleet.measured.from, fleet.measured.from + fleet.measured.seconds as u64 * SEC);
     let servers = ready_servers(fleet);
-    let windows = WindowSeries { from, to, width: SPREAD_WINDOW }.windows(&servers, visits, Quantity::Rpcs);
+    let windows =
+        WindowSeries { from, to, width: SPREAD_WINDOW }.windows(&servers, served_attempts, Quantity::Rpcs);
     Some(Spread::of(&windows))
 }
 
