--- a/crates/scale/src/added/fleet.rs
+++ b/crates/scale/src/added/fleet.rs
@@ -1,4 +1,5 @@
-//! What one run is played with: stand-in servers, discovery with one agent, one process of the gateway, and the generator.
+//! The environment of one run: emulated servers, discovery with one agent, one gateway process, and the load
+//! generator.
 
 use crate::ScaleError;
 use rig::Stream;
@@ -11,72 +12,73 @@
 use standins::{MS, Nanos, SEC, nanos};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path as FilePath;
+use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
 const SERVERS: usize = 24;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-/// Wide enough that no request waits at a server, so that the servers' own time is the same on both paths.
+/// Enough that no request queues at a server, so that service time is the same on both routes.
 const CORES: usize = 256;
-const SERVICE: Nanos = 4 * MS;
+const MEDIAN_SERVICE_TIME: Nanos = 4 * MS;
 const SERVICE_SIGMA: f64 = 0.2;
 const CUSTOMERS: usize = 200;
-/// RPCs of this long before the measured part: connections are up and the gateway knows its servers.
-const WARM: Nanos = 2 * SEC;
-/// While the list changes, one entry changes so often.
-const CHANGE_EVERY: Nanos = 100 * MS;
-const READY_WITHIN: Nanos = 10 * SEC;
+/// Duration of load before the measured part, in which connections are opened and the gateway learns about its
+/// servers.
+const WARM_UP: Nanos = 2 * SEC;
+/// Interval between changes in [`Scenario::ListChanges`].
+const CHANGE_INTERVAL: Nanos = 100 * MS;
+const READY_TIMEOUT: Nanos = 10 * SEC;
 const DEADLINE_SECONDS: f64 = 5.0;
 
-/// What happens while the load runs.
+/// What happens during the load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scene {
+pub enum Scenario {
     /// Nothing.
     Quiet,
-    /// Entries of the list change ten times a second: a server drains, and is ready again.
+    /// A list entry changes ten times a second: a server starts to drain, then is ready again.
     ListChanges,
-    /// All servers of one zone drain at once in the middle of the run, told one by one in one moment.
-    ZoneGone,
+    /// All servers of one zone start to drain in the middle of the run, published one by one without delay.
+    ZoneDrains,
 }
 
-impl Scene {
-    /// Its name in the table.
+impl Scenario {
+    /// The name in the table.
     pub fn name(self) -> &'static str {
         match self {
-            Scene::Quiet => "quiet",
-            Scene::ListChanges => "list-changes",
-            Scene::ZoneGone => "zone-gone",
+            Scenario::Quiet => "quiet",
+            Scenario::ListChanges => "list-changes",
+            Scenario::ZoneDrains => "zone-gone",
         }
     }
 }
 
-/// Where the load goes.
+/// Where the load generator sends RPCs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
-    /// Straight to the servers, one drawn for each RPC.
+pub enum Route {
+    /// Directly to the servers, one of which is drawn for each RPC.
     Direct,
     /// Through one gateway.
     Gateway,
 }
 
-impl Path {
-    /// Its name in the table.
+impl Route {
+    /// The name in the table.
     pub fn name(self) -> &'static str {
         match self {
-            Path::Direct => "direct",
-            Path::Gateway => "gateway",
+            Route::Direct => "direct",
+            Route::Gateway => "gateway",
         }
     }
 }
 
-/// One run of one load.
+/// One run: a load, the route that it takes, and what happens meanwhile.
 pub struct Run<'a> {
-    pub program: &'a FilePath,
-    pub scene: Scene,
+    pub program: &'a Path,
+    pub scenario: Scenario,
     pub rate: f64,
-    pub path: Path,
-    /// Seconds that count.
+    pub route: Route,
+    /// Length of the measured part, seconds.
     pub seconds: f64,
     pub seed: u64,
 }
@@ -85,80 +87,81 @@
     clock: Clock,
     servers: Handle<Servers>,
     discovery: Handle<Discovery>,
-    front: Handle<LoadGenerator>,
+    generator: Handle<LoadGenerator>,
     entries: Vec<Entry>,
-    /// Ends its process when dropped.
+    /// The gateway process; it is ended when this is dropped.
     _gateway: Option<Program>,
 }
 
-fn any_port(last: u8) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 0, 0, last), 0))
+fn any_port(last_octet: u8) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::new(127, 0, 0, last_octet), 0))
 }
 
-fn failed(why: std::io::Error) -> ScaleError {
-    ScaleError::Measurement { what: "setting a run up".to_string(), why: why.to_string() }
+fn setup_error(error: std::io::Error) -> ScaleError {
+    ScaleError::Measurement { what: "setting up a run".to_string(), why: error.to_string() }
 }
 
 impl Run<'_> {
-    /// Plays it and brings back the RPCs that were due in the measured part.
-    pub fn play(&self) -> Result<Vec<ClientRpc>, ScaleError> {
-        let fleet = self.set_up().map_err(failed)?;
-        fleet.wait_ready(if self.path == Path::Direct { SERVERS } else { 1 })?;
-        fleet.front.with(|front, io| front.set_running(io, true));
-        let from = fleet.clock.now() + WARM;
-        let to = from + nanos(self.seconds);
-        fleet.sleep_until(from);
-        match self.scene {
-            Scene::Quiet => {}
-            Scene::ListChanges => fleet.change_until(to),
-            Scene::ZoneGone => {
-                fleet.sleep_until(from + (to - from) / 2);
+    /// Executes the run and returns the RPCs that were scheduled in the measured part.
+    pub fn execute(&self) -> Result<Vec<ClientRpc>, ScaleError> {
+        let fleet = self.set_up().map_err(setup_error)?;
+        fleet.wait_ready(if self.route == Route::Direct { SERVERS } else { 1 })?;
+        fleet.generator.with(|generator, io| generator.set_running(io, true));
+        let start = fleet.clock.now() + WARM_UP;
+        let end = start + nanos(self.seconds);
+        fleet.sleep_until(start);
+        match self.scenario {
+            Scenario::Quiet => {}
+            Scenario::ListChanges => fleet.change_list_until(end),
+            Scenario::ZoneDrains => {
+                fleet.sleep_until(start + (end - start) / 2);
                 fleet.drain_zone(ZONES[0]);
             }
         }
-        fleet.sleep_until(to);
-        fleet.front.with(|front, io| front.set_running(io, false));
-        fleet.sleep_until(to + nanos(DEADLINE_SECONDS).min(SEC));
-        let calls = fleet.front.with(|front, _| std::mem::take(&mut front.rpcs));
-        Ok(calls.into_iter().filter(|call| (from..to).contains(&call.scheduled_at)).collect())
+        fleet.sleep_until(end);
+        fleet.generator.with(|generator, io| generator.set_running(io, false));
+        fleet.sleep_until(end + nanos(DEADLINE_SECONDS).min(SEC));
+        let rpcs = fleet.generator.with(|generator, _| std::mem::take(&mut generator.rpcs));
+        Ok(rpcs.into_iter().filter(|rpc| (start..end).contains(&rpc.scheduled_at)).collect())
     }
 
     fn set_up(&self) -> std::io::Result<Fleet> {
         let clock = Clock::start();
         let servers = Handle::start(Servers::new(rig::stream_rng(self.seed, Stream::Servers)), clock)?;
         let discovery = Handle::start(Discovery::default(), clock)?;
-        let width = if self.path == Path::Direct { SERVERS } else { 1 };
-        let front = LoadGenerator::new(plan(self.rate, width), rig::stream_rng(self.seed, Stream::Arrivals));
-        let front = Handle::start(front, clock)?;
+        let width = if self.route == Route::Direct { SERVERS } else { 1 };
+        let generator =
+            LoadGenerator::new(load_profile(self.rate, width), rig::stream_rng(self.seed, Stream::Arrivals));
+        let generator = Handle::start(generator, clock)?;
         let mut entries = Vec::new();
         for number in 0..SERVERS {
-            let spec = spec(number);
+            let spec = server_spec(number);
             let (name, zone) = (spec.name.clone(), spec.zone.clone());
             let (_, address) = servers.with(move |servers, io| servers.add(io, spec, true))?;
             let entry = Entry { name, address, zone, status: "ready", weight: 1.0, since_ms: 0 };
             entries.push(entry.clone());
             discovery.with(move |discovery, io| discovery.publish(io, entry));
         }
-        let gateway = match self.path {
-            Path::Direct => {
+        let gateway = match self.route {
+            Route::Direct => {
                 let addresses: Vec<SocketAddr> = entries.iter().map(|entry| entry.address).collect();
-                front.with(move |front, io| {
-                    addresses.iter().for_each(|address| front.add_gateway(io, *address))
+                generator.with(move |generator, io| {
+                    addresses.iter().for_each(|address| generator.add_gateway(io, *address))
                 });
                 None
             }
-            Path::Gateway => {
+            Route::Gateway => {
                 let agent =
                     discovery.with(|discovery, io| discovery.add_agent(io, any_port(5), BTreeMap::new()))?;
                 let mut program =
                     Program::spawn(&mut Command::new(self.program), &configuration(agent, self.seed))?;
                 program.wait_started();
                 let address = program.address;
-                front.with(move |front, io| front.add_gateway(io, address));
+                generator.with(move |generator, io| generator.add_gateway(io, address));
                 Some(program)
             }
         };
-        Ok(Fleet { clock, servers, discovery, front, entries, _gateway: gateway })
+        Ok(Fleet { clock, servers, discovery, generator, entries, _gateway: gateway })
     }
 }
 
@@ -168,9 +171,9 @@
     }
 
     fn wait_ready(&self, count: usize) -> Result<(), ScaleError> {
-        let until = self.clock.now() + READY_WITHIN;
-        while self.front.with(|front, _| front.admitted_gateways()) < count {
-            if self.clock.now() > until {
+        let deadline = self.clock.now() + READY_TIMEOUT;
+        while self.generator.with(|generator, _| generator.admitted_gateways()) < count {
+            if self.clock.now() > deadline {
                 return Err(ScaleError::Measurement {
                     what: "starting the gateway".to_string(),
                     why: "not ready within 10 s".to_string(),
@@ -181,24 +184,24 @@
         Ok(())
     }
 
-    fn tell(&self, entry: &Entry, status: &'static str) {
+    fn publish_status(&self, entry: &Entry, status: &'static str) {
         let entry = Entry { status, ..entry.clone() };
         self.discovery.with(move |discovery, io| discovery.publish(io, entry));
     }
 
-    fn change_until(&self, to: Nanos) {
+    fn change_list_until(&self, to: Nanos) {
         let mut changes = 0;
         while self.clock.now() < to {
             let entry = &self.entries[changes / 2 % self.entries.len()];
-            self.tell(entry, if changes % 2 == 0 { "draining" } else { "ready" });
+            self.publish_status(entry, if changes % 2 == 0 { "draining" } else { "ready" });
             changes += 1;
-            self.sleep_until(self.clock.now() + CHANGE_EVERY);
+            self.sleep_until(self.clock.now() + CHANGE_INTERVAL);
         }
     }
 
     fn drain_zone(&self, zone: &str) {
-        let gone = self.entries.iter().filter(|entry| entry.zone == zone);
-        gone.for_each(|entry| self.tell(entry, "draining"));
+        let draining = self.entries.iter().filter(|entry| entry.zone == zone);
+        draining.for_each(|entry| self.publish_status(entry, "draining"));
     }
 }
 
@@ -208,7 +211,7 @@
     }
 }
 
-fn spec(number: usize) -> ServerSpec {
+fn server_spec(number: usize) -> ServerSpec {
     ServerSpec {
         name: format!("server-{number}"),
         zone: ZONES[number % ZONES.len()].to_string(),
@@ -216,7 +219,7 @@
         cores: CORES,
         queue_limit: CORES,
         max_connections: 4 * CORES,
-        median_service: SERVICE,
+        median_service: MEDIAN_SERVICE_TIME,
         service_sigma: SERVICE_SIGMA,
         cold_share: 1.0,
         warmup: 0,
@@ -226,7 +229,7 @@
     }
 }
 
-fn plan(rate: f64, width: usize) -> LoadProfile {
+fn load_profile(rate: f64, width: usize) -> LoadProfile {
     let method = Method {
         name: "read".to_string(),
         idempotency: "free".to_string(),
@@ -245,7 +248,8 @@
     }
 }
 
-/// Quotas are wide and there is no counter: what is measured is the way through, not what is turned away.
+/// The quota is too large to limit the load and there is no counter, because the run measures forwarding, not
+/// rejection.
 fn configuration(discovery: SocketAddr, seed: u64) -> String {
     json!({"name": "n0", "listen": any_port(3).to_string(), "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"), "limits": {"sockets": 4096, "memory_mb": 128},
--- a/crates/scale/src/added/mod.rs
+++ b/crates/scale/src/added/mod.rs
@@ -1,114 +1,117 @@
-//! Added time: open-loop load through one gateway over loopback, against the same load sent straight to the servers.
+//! Measures added latency: open-loop load through one gateway over loopback, compared to the same load sent directly
+//! to the servers.
 //!
-//! An RPC's latency counts from the moment at which it was due, whether or not the generator was late, so that a stall
-//! counts for every RPC that was due in it (no coordinated omission).
+//! Latency is measured from the scheduled time of an RPC, even if the generator was late. A stall therefore counts for
+//! every RPC scheduled during it, which avoids coordinated omission.
 
 mod fleet;
 
 use crate::ScaleError;
 use crate::report::{prepare_folder, write_csv};
-use fleet::{Path as LoadPath, Run, Scene};
+use fleet::{Route, Run, Scenario};
 use hdrhistogram::Histogram;
 use rig::load_generator::RpcOutcome;
 use serde::Serialize;
 use standins::Nanos;
 use std::path::PathBuf;
 
-/// RPCs a second: a gateway's share of the operators' peak, three and nine times of it.
+/// RPCs a second: one gateway's share of the operators' peak load, and three and nine times that.
 const RATES: [f64; 3] = [570.0, 1_700.0, 5_000.0];
-/// The generator's timers are whole milliseconds, on both paths alike. A run in which it was later than this for one RPC
-/// in a hundred tells nothing of added time.
-const LATE_AT_MOST: Nanos = 2_500_000;
-/// A histogram's values are within a thousandth.
+/// A run is void if the generator's 99th percentile of lateness exceeds this. Its timers have a resolution of one
+/// millisecond on both paths.
+const MAX_LATE_P99: Nanos = 2_500_000;
+/// Precision of histogram values: three digits, an error of at most 0.1 %.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Arguments of `martenramp-scale added`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// The gateway's program.
+    /// The gateway program.
     #[arg(long, default_value = "target/release/martenramp")]
     pub program: PathBuf,
-    /// Where the table goes.
+    /// The folder for the table.
     #[arg(long, default_value = "docs/scale-results")]
     pub out: PathBuf,
-    /// Seconds of load that count, in each run.
+    /// Measured seconds of load in each run.
     #[arg(long, default_value_t = 8.0)]
     pub seconds: f64,
-    /// The seed of all chance.
+    /// Seed of all random streams.
     #[arg(long, default_value_t = 37)]
     pub seed: u64,
 }
 
-/// One run of one load on one path.
+/// The result of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct AddedRow {
-    /// What happens meanwhile.
+    /// What happens during the load.
     pub scene: &'static str,
     /// RPCs a second.
     pub rate: f64,
     /// `direct` or `gateway`.
     pub path: &'static str,
-    /// RPCs that were due, and those answered ok.
+    /// RPCs scheduled in the measured part.
     pub rpcs: usize,
-    /// Those answered ok; the latencies are theirs.
+    /// RPCs answered successfully; latencies are over these.
     pub ok: usize,
-    /// Milliseconds from due to answered.
+    /// Median latency from scheduled time to answer, milliseconds.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of latency, milliseconds.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile of latency, milliseconds.
     pub p999_ms: f64,
-    /// How late the generator was for one RPC in a hundred, milliseconds.
+    /// 99th percentile of the generator's lateness, milliseconds.
     pub late_p99_ms: f64,
-    /// The generator was too late: the figures tell nothing.
+    /// The generator was too late, so the latencies are not valid.
     pub void: bool,
 }
 
-/// Measures the time that a gateway adds.
+/// Measures the latency that a gateway adds, and writes the table.
 pub fn run(args: Args) -> Result<(), ScaleError> {
     if !(1.0..=120.0).contains(&args.seconds) {
         return Err(ScaleError::bad_key("seconds", "must be from 1 to 120"));
     }
     if !args.program.is_file() {
-        return Err(ScaleError::bad_key("program", format!("{} is no file", args.program.display())));
+        return Err(ScaleError::bad_key("program", format!("{} is not a file", args.program.display())));
     }
     prepare_folder(&args.out)?;
     let mut rows = Vec::new();
-    for scene in [Scene::Quiet, Scene::ListChanges, Scene::ZoneGone] {
+    for scenario in [Scenario::Quiet, Scenario::ListChanges, Scenario::ZoneDrains] {
         for rate in RATES {
-            let direct = measure(&args, scene, rate, LoadPath::Direct)?;
-            let through = measure(&args, scene, rate, LoadPath::Gateway)?;
-            println!("{}", shown(&direct, &through));
+            let direct = measure(&args, scenario, rate, Route::Direct)?;
+            let through = measure(&args, scenario, rate, Route::Gateway)?;
+            println!("{}", summary(&direct, &through));
             rows.extend([direct, through]);
         }
     }
     write_csv(&args.out.join("added.csv"), &rows)
 }
 
-fn measure(args: &Args, scene: Scene, rate: f64, path: LoadPath) -> Result<AddedRow, ScaleError> {
-    let run = Run { program: &args.program, scene, rate, path, seconds: args.seconds, seed: args.seed };
-    let calls = run.play()?;
-    let mut latencies = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
-        .map_err(|why| ScaleError::Measurement { what: "a histogram".to_string(), why: why.to_string() })?;
-    let answered = calls.iter().filter(|call| call.outcome == RpcOutcome::Ok);
-    answered.for_each(|call| latencies += call.ended_at.saturating_sub(call.scheduled_at));
-    let milliseconds = |share: f64| latencies.value_at_quantile(share) as f64 / 1e6;
-    let late = rig::load_generator::lateness(&calls).1;
+fn measure(args: &Args, scenario: Scenario, rate: f64, route: Route) -> Result<AddedRow, ScaleError> {
+    let run = Run { program: &args.program, scenario, rate, route, seconds: args.seconds, seed: args.seed };
+    let rpcs = run.execute()?;
+    let mut latencies = Histogram::<u64>::new(SIGNIFICANT_DIGITS).map_err(|why| ScaleError::Measurement {
+        what: "creating a histogram".to_string(),
+        why: why.to_string(),
+    })?;
+    let answered = rpcs.iter().filter(|rpc| rpc.outcome == RpcOutcome::Ok);
+    answered.for_each(|rpc| latencies += rpc.ended_at.saturating_sub(rpc.scheduled_at));
+    let quantile_ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1e6;
+    let late_p99 = rig::load_generator::lateness(&rpcs).1;
     Ok(AddedRow {
-        scene: scene.name(),
+        scene: scenario.name(),
         rate,
-        path: path.name(),
-        rpcs: calls.len(),
+        path: route.name(),
+        rpcs: rpcs.len(),
         ok: latencies.len() as usize,
-        p50_ms: milliseconds(0.5),
-        p99_ms: milliseconds(0.99),
-        p999_ms: milliseconds(0.999),
-        late_p99_ms: late as f64 / 1e6,
-        void: late > LATE_AT_MOST,
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+        p999_ms: quantile_ms(0.999),
+        late_p99_ms: late_p99 as f64 / 1e6,
+        void: late_p99 > MAX_LATE_P99,
     })
 }
 
-fn shown(direct: &AddedRow, through: &AddedRow) -> String {
+fn summary(direct: &AddedRow, through: &AddedRow) -> String {
     format!(
         "{:<13} {:>5} RPCs/s  added p50 {:.2} p99 {:.2} p99.9 {:.2} ms  ok {} of {}{}",
         direct.scene,
--- a/crates/scale/tests/added.rs
+++ b/crates/scale/tests/added.rs
@@ -1,8 +1,8 @@
-//! `martenramp-scale added` refuses what it can't measure in one line that names the argument.
+//! `martenramp-scale added` rejects invalid arguments with a one-line error that names the argument.
 
 use std::process::Command;
 
-fn refused(arguments: &[&str]) -> String {
+fn rejection(arguments: &[&str]) -> String {
     let output =
         Command::new(env!("CARGO_BIN_EXE_martenramp-scale")).arg("added").args(arguments).output().unwrap();
     assert!(!output.status.success(), "{arguments:?}");
@@ -10,15 +10,15 @@
 }
 
 #[test]
-fn a_length_out_of_range_is_refused_by_its_key() {
+fn out_of_range_duration_is_rejected_by_key() {
     for seconds in ["0", "121", "NaN"] {
-        let said = refused(&["--seconds", seconds]);
-        assert_eq!(said, "martenramp-scale: 'seconds': must be from 1 to 120\n");
+        let message = rejection(&["--seconds", seconds]);
+        assert_eq!(message, "martenramp-scale: 'seconds': must be from 1 to 120\n");
     }
 }
 
 #[test]
-fn a_program_that_is_not_there_is_refused_by_its_key() {
-    let said = refused(&["--program", "no/such/program"]);
-    assert_eq!(said, "martenramp-scale: 'program': no/such/program is no file\n");
+fn missing_program_is_rejected_by_key() {
+    let message = rejection(&["--program", "no/such/program"]);
+    assert_eq!(message, "martenramp-scale: 'program': no/such/program is not a file\n");
 }
