--- a/crates/scale/src/measure.rs
+++ b/crates/scale/src/measure.rs
@@ -1,11 +1,11 @@
-//! Measures one operation: processor time of the thread, memory asked for and held, messages and bytes.
+//! Measures one operation: CPU time of the thread, allocations, live and peak memory, messages and bytes.
 
 use crate::ScaleError;
 use crate::alloc;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Messages and their bytes, as encoded.
+/// A number of messages and their encoded size.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Volume {
     pub messages: u64,
@@ -13,14 +13,14 @@
 }
 
 impl Volume {
-    /// Counts one more message of so many bytes.
+    /// Adds one message of `bytes` bytes.
     pub fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 }
 
-/// What a gateway sent and received in an operation.
+/// Messages that a gateway sent and received during an operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Traffic {
     pub sent: Volume,
@@ -28,7 +28,7 @@
 }
 
 impl Traffic {
-    /// Counts other traffic, too.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: Traffic) {
         self.sent.messages += other.sent.messages;
         self.sent.bytes += other.sent.bytes;
@@ -37,28 +37,28 @@
     }
 }
 
-/// One step of an operation, run again and again on the state that it owns.
+/// One step of an operation; it is run repeatedly and owns its state.
 pub type Step = Box<dyn FnMut() -> Result<Traffic, ScaleError>>;
 
-/// A prepared operation.
+/// An operation that is ready to be measured.
 pub struct Operation {
     pub step: Step,
-    /// So many operations are one step: the figures are divided by it.
+    /// Operations performed by one step; figures are divided by this.
     pub operations_per_step: u64,
-    /// The state serves so many steps.
-    pub steps_most: usize,
+    /// The maximum number of steps that the prepared state allows.
+    pub max_steps: usize,
 }
 
-/// Figures of one operation: medians over the steps, except for what is held at rest, which is counted after the last.
+/// Figures of one operation: medians over the steps, except `rest_bytes`, which is taken after the last step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
     pub steps: usize,
-    /// Processor time of the thread, nanoseconds.
+    /// CPU time of the thread, nanoseconds.
     pub cpu_ns: f64,
-    /// Times that memory was asked for, and the bytes asked for.
+    /// Number of allocations, and the bytes requested by them.
     pub allocations: f64,
     pub allocated_bytes: f64,
-    /// Bytes held by the whole state at rest, and the most held at once in a step.
+    /// Live bytes of the whole state between steps, and the peak during a step.
     pub rest_bytes: f64,
     pub peak_bytes: f64,
     pub sent_messages: f64,
@@ -67,25 +67,25 @@
     pub received_bytes: f64,
 }
 
-/// Processor time of this thread so far.
+/// CPU time used by this thread so far.
 pub fn thread_cpu() -> Duration {
     let now = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// Prepares an operation and runs it until `effort` of processor time is spent on it, once at least.
+/// Prepares an operation and repeats its step until `effort` of CPU time is spent, at least once.
 pub fn measure(
     prepare: &dyn Fn() -> Result<Operation, ScaleError>,
     effort: Duration,
 ) -> Result<Figures, ScaleError> {
-    let before = alloc::thread_counts().live_bytes;
+    let bytes_before = alloc::thread_counts().live_bytes;
     let mut operation = prepare()?;
     let per_step = operation.operations_per_step as f64;
-    let mut steps: Vec<Figures> = alloc::without_counting(|| Vec::with_capacity(operation.steps_most));
+    let mut steps: Vec<Figures> = alloc::without_counting(|| Vec::with_capacity(operation.max_steps));
     let mut spent = Duration::ZERO;
-    while steps.len() < operation.steps_most && (spent < effort || steps.is_empty()) {
+    while steps.len() < operation.max_steps && (spent < effort || steps.is_empty()) {
         alloc::reset_thread_peak();
-        let (counts, start) = (alloc::thread_counts(), thread_cpu());
+        let (counts_before, start) = (alloc::thread_counts(), thread_cpu());
         let traffic = (operation.step)()?;
         let cpu = thread_cpu() - start;
         let after = alloc::thread_counts();
@@ -93,10 +93,10 @@
         steps.push(Figures {
             steps: 1,
             cpu_ns: cpu.as_nanos() as f64 / per_step,
-            allocations: (after.allocations - counts.allocations) as f64 / per_step,
-            allocated_bytes: (after.allocated_bytes - counts.allocated_bytes) as f64 / per_step,
-            rest_bytes: (after.live_bytes - before) as f64,
-            peak_bytes: (after.peak_bytes - before) as f64,
+            allocations: (after.allocations - counts_before.allocations) as f64 / per_step,
+            allocated_bytes: (after.allocated_bytes - counts_before.allocated_bytes) as f64 / per_step,
+            rest_bytes: (after.live_bytes - bytes_before) as f64,
+            peak_bytes: (after.peak_bytes - bytes_before) as f64,
             sent_messages: traffic.sent.messages as f64 / per_step,
             sent_bytes: traffic.sent.bytes as f64 / per_step,
             received_messages: traffic.received.messages as f64 / per_step,
@@ -107,8 +107,8 @@
 }
 
 fn medians(steps: &[Figures]) -> Figures {
-    let median = |pick: fn(&Figures) -> f64| {
-        let mut values: Vec<f64> = steps.iter().map(pick).collect();
+    let median = |figure: fn(&Figures) -> f64| {
+        let mut values: Vec<f64> = steps.iter().map(figure).collect();
         values.sort_by(f64::total_cmp);
         values.get(values.len() / 2).copied().unwrap_or(0.0)
     };
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -1,7 +1,7 @@
-//! Costs of the agreement: a second of its datagrams at one gateway and over the fleet, and lists judged against each other.
+//! Costs of the agreement: one second of its datagrams at one gateway and over the fleet, and the evaluation of lists.
 
 use super::Cost;
-use super::scenario::{Agreement as Sizes, List};
+use super::scenario::{Agreement as AgreementSizes, List};
 use crate::ScaleError;
 use crate::alloc::without_counting;
 use crate::deployment::{START, WHOLE_INDEX};
@@ -14,19 +14,19 @@
 use martenramp::host::Nanos;
 
 const SECOND: Nanos = 1_000_000_000;
-/// Terms as the gateway's defaults have them.
-const LEASE: Nanos = 2 * SECOND;
-const CLOCK: Nanos = SECOND / 4;
-/// Voters of a fleet whose size changes.
+/// The gateway's default lease duration and clock error.
+const LEASE_DURATION: Nanos = 2 * SECOND;
+const MAX_CLOCK_ERROR: Nanos = SECOND / 4;
+/// Number of voters while the fleet size varies.
 const VOTERS: u32 = 7;
-/// Voters are silent for a while after their start; the seconds measured come after it.
-const WARM_SECONDS: u64 = 5;
-const SECONDS: u64 = 4;
-/// Lists are judged so many times at most.
-const JUDGED: usize = 50;
+/// Voters send nothing for a while after their start; measurement begins after this time.
+const WARM_UP_SECONDS: u64 = 5;
+const MEASURED_SECONDS: u64 = 4;
+/// Maximum number of steps that each evaluate a list.
+const MAX_EVALUATIONS: usize = 50;
 
 /// The costs of this family.
-pub fn costs(scenario: &Sizes, list: &List) -> Vec<Cost> {
+pub fn costs(scenario: &AgreementSizes, list: &List) -> Vec<Cost> {
     let lists = |name, prepare: fn(u64) -> Result<Operation, ScaleError>| Cost {
         family: "agreement",
         name,
@@ -35,93 +35,97 @@
         sizes: list.servers.clone(),
         prepare: Box::new(prepare),
     };
-    let one_gateway = Cost {
+    let gateway_cost = Cost {
         family: "agreement",
         name: "agreement second of a gateway",
         size_name: "voters",
         held: "one gateway, lease 2 s".to_string(),
         sizes: scenario.voters.clone(),
-        prepare: Box::new(|voters| heard_for_a_second(voters as u32, 1)),
+        prepare: Box::new(|voters| receive_one_second(voters as u32, 1)),
     };
-    let fleet = Cost {
+    let fleet_cost = Cost {
         family: "agreement",
         name: "agreement second of the fleet",
         size_name: "gateways",
         held: format!("voters {VOTERS}, lease 2 s"),
         sizes: scenario.gateways.clone(),
-        prepare: Box::new(|gateways| heard_for_a_second(VOTERS, gateways as usize)),
+        prepare: Box::new(|gateways| receive_one_second(VOTERS, gateways as usize)),
     };
     vec![
-        one_gateway,
-        fleet,
-        lists("list judged whole", judged_whole),
-        lists("list judged change", judged_change),
+        gateway_cost,
+        fleet_cost,
+        lists("list judged whole", evaluate_whole_list),
+        lists("list judged change", evaluate_changed_server),
     ]
 }
 
-/// A datagram on its way.
+/// An encoded datagram and the time at which it is sent and received.
 struct Datagram {
     at: Nanos,
     bytes: Vec<u8>,
 }
 
-fn member(number: u32, voters: u32) -> Agreement {
-    let terms =
-        AgreementConfig { voters: (0..voters).collect(), lease_duration: LEASE, max_clock_error: CLOCK };
+fn new_member(number: u32, voters: u32) -> Agreement {
+    let config = AgreementConfig {
+        voters: (0..voters).collect(),
+        lease_duration: LEASE_DURATION,
+        max_clock_error: MAX_CLOCK_ERROR,
+    };
     let content = ContentId { version: 1, digest: 1 };
-    let mut member = Agreement::new(terms, Some(number), number, START, content, 0);
+    let mut member = Agreement::new(config, Some(number), number, START, content, 0);
     member.skip_recovery();
     member
 }
 
-/// What voters tell, second by second.
-fn record(voters: u32, seconds: u64) -> Vec<Vec<Datagram>> {
-    let mut members: Vec<Agreement> = (0..voters).map(|number| member(number, voters)).collect();
+/// Records the datagrams that voters send, grouped by second.
+fn record_datagrams(voters: u32, seconds: u64) -> Vec<Vec<Datagram>> {
+    let mut members: Vec<Agreement> = (0..voters).map(|number| new_member(number, voters)).collect();
     let mut recorded: Vec<Vec<Datagram>> = (0..seconds).map(|_| Vec::new()).collect();
-    let every = LEASE / 4;
-    for tick in 0..seconds * SECOND / every {
-        let at = START + tick * every;
-        let words: Vec<LeaseMessage> =
+    let interval = LEASE_DURATION / 4;
+    for tick in 0..seconds * SECOND / interval {
+        let at = START + tick * interval;
+        let messages: Vec<LeaseMessage> =
             members.iter_mut().flat_map(|member| member.poll_messages(at)).collect();
         for member in &mut members {
-            words.iter().for_each(|word| _ = member.receive(at, word));
+            messages.iter().for_each(|message| _ = member.receive(at, message));
             member.evaluate(at);
         }
-        let second = &mut recorded[(tick * every / SECOND) as usize];
-        second.extend(words.iter().map(|word| Datagram { at, bytes: word.encode() }));
+        let second = &mut recorded[(tick * interval / SECOND) as usize];
+        second.extend(messages.iter().map(|message| Datagram { at, bytes: message.encode() }));
     }
     recorded
 }
 
-/// So many gateways that don't vote hear a second of all voters' datagrams, and look at what they may act on after each.
-pub fn heard_for_a_second(voters: u32, gateways: usize) -> Result<Operation, ScaleError> {
-    let recorded = without_counting(|| record(voters, WARM_SECONDS + SECONDS));
+/// Delivers one second of all voters' datagrams to `gateways` non-voting gateways. Each re-evaluates after every
+/// datagram which version it may act on.
+pub fn receive_one_second(voters: u32, gateways: usize) -> Result<Operation, ScaleError> {
+    let recorded = without_counting(|| record_datagrams(voters, WARM_UP_SECONDS + MEASURED_SECONDS));
     let mut members: Vec<Agreement> =
-        (0..gateways).map(|number| member(voters + number as u32, voters)).collect();
-    let mut seconds = recorded.into_iter().skip(WARM_SECONDS as usize);
+        (0..gateways).map(|number| new_member(voters + number as u32, voters)).collect();
+    let mut seconds = recorded.into_iter().skip(WARM_UP_SECONDS as usize);
     let step = move || {
         let mut traffic = Traffic::default();
         for datagram in seconds.next().unwrap_or_default() {
             traffic.sent.add(datagram.bytes.len());
             for member in &mut members {
                 traffic.received.add(datagram.bytes.len());
-                hear(member, &datagram);
+                deliver(member, &datagram);
             }
             without_counting(|| drop(datagram));
         }
         Ok(traffic)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: SECONDS as usize })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MEASURED_SECONDS as usize })
 }
 
-fn hear(member: &mut Agreement, datagram: &Datagram) {
-    if let Some(word) = LeaseMessage::decode(&datagram.bytes) {
-        member.receive(datagram.at, &word);
+fn deliver(member: &mut Agreement, datagram: &Datagram) {
+    if let Some(message) = LeaseMessage::decode(&datagram.bytes) {
+        member.receive(datagram.at, &message);
     }
     member.evaluate(datagram.at);
 }
 
-fn seen(servers: u64) -> Vec<ListedServer> {
+fn listed_servers(servers: u64) -> Vec<ListedServer> {
     (0..servers)
         .map(|number| ListedServer {
             key: number.wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -131,9 +135,9 @@
         .collect()
 }
 
-/// A whole list that says what is held already.
-pub fn judged_whole(servers: u64) -> Result<Operation, ScaleError> {
-    let list = without_counting(|| seen(servers));
+/// Evaluates a whole list that is equal to the current one.
+pub fn evaluate_whole_list(servers: u64) -> Result<Operation, ScaleError> {
+    let list = without_counting(|| listed_servers(servers));
     let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
     let mut index = WHOLE_INDEX;
@@ -142,22 +146,22 @@
         std::hint::black_box(lists.apply(START, index, true, &list));
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_EVALUATIONS })
 }
 
-/// A change of one server, away or back.
-pub fn judged_change(servers: u64) -> Result<Operation, ScaleError> {
-    let list = without_counting(|| seen(servers));
+/// Evaluates a change of one server, alternately to not ready and to ready.
+pub fn evaluate_changed_server(servers: u64) -> Result<Operation, ScaleError> {
+    let list = without_counting(|| listed_servers(servers));
     let mut lists = ListTracker::default();
     lists.apply(START, WHOLE_INDEX, true, &list);
-    let one = list[list.len() / 2];
+    let changed = list[list.len() / 2];
     without_counting(|| drop(list));
     let mut index = WHOLE_INDEX;
     let step = move || {
         index += 1;
         let ready = index % 2 == 1;
-        std::hint::black_box(lists.apply(START, index, false, &[ListedServer { ready, ..one }]));
+        std::hint::black_box(lists.apply(START, index, false, &[ListedServer { ready, ..changed }]));
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: JUDGED })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_EVALUATIONS })
 }
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -1,5 +1,8 @@
-//! Costs of the shared counter: calls for each RPC of one tenant, by its rate and by how many gateways its RPCs come in
-//! through. All of them run the module on one clock, with one counter that answers after a while.
+//! Costs of the shared counter: calls per RPC of one tenant, by its rate and by the number of gateways that receive
+//! its RPCs.
+//!
+//! All gateways run the module on one simulated clock and share one emulated counter that answers with a fixed
+//! latency.
 
 use super::Cost;
 use super::scenario::Counter;
@@ -14,21 +17,21 @@
 use std::collections::HashMap;
 
 const SECOND: Nanos = 1_000_000_000;
-/// The tenant, and what is held while the other size changes.
+/// The tenant, and the value of each size while the other one varies.
 const TENANT: u64 = 7;
-const HELD_RATE: u64 = 200;
-const HELD_GATEWAYS: u64 = 8;
-/// The plan lets in so many times the rate, and so many seconds of that at once.
+const FIXED_RATE: u64 = 200;
+const FIXED_GATEWAYS: u64 = 8;
+/// The plan's rate as a multiple of the tenant's rate, and its burst as seconds of the plan's rate.
 const PLAN_RATE: f64 = 2.0;
 const PLAN_BURST_SECONDS: f64 = 2.0;
-/// RPCs are played for so long, and at most so many.
-const PLAYED: Nanos = 20 * SECOND;
-const RPCS_MOST: u64 = 20_000;
+/// The simulated time during which RPCs arrive, and their maximum number.
+const SIMULATED_TIME: Nanos = 20 * SECOND;
+const MAX_RPCS: u64 = 20_000;
 const SERVERS: usize = 24;
-/// How long a call to the counter, and an RPC at a server, takes.
-const COUNTED_IN: Nanos = 1_000_000;
-const SERVED_IN: Nanos = 5_000_000;
-const PATIENCE: Nanos = 6 * SECOND;
+/// The duration of a call to the counter, and of an RPC at a server.
+const COUNTER_LATENCY: Nanos = 1_000_000;
+const SERVICE_TIME: Nanos = 5_000_000;
+const CLIENT_TIMEOUT: Nanos = 6 * SECOND;
 
 /// The costs of this family.
 pub fn costs(scenario: &Counter) -> Vec<Cost> {
@@ -36,50 +39,50 @@
         family: "counter",
         name: "counter calls of an RPC",
         size_name: "gateways of a tenant",
-        held: format!("{HELD_RATE} RPCs a second"),
+        held: format!("{FIXED_RATE} RPCs a second"),
         sizes: scenario.gateways.clone(),
-        prepare: Box::new(|gateways| played(gateways as usize, HELD_RATE)),
+        prepare: Box::new(|gateways| serve_tenant(gateways as usize, FIXED_RATE)),
     };
     let by_rate = Cost {
         family: "counter",
         name: "counter calls of an RPC",
         size_name: "RPCs a second",
-        held: format!("gateways of a tenant {HELD_GATEWAYS}"),
+        held: format!("gateways of a tenant {FIXED_GATEWAYS}"),
         sizes: scenario.rates.clone(),
-        prepare: Box::new(|rate| played(HELD_GATEWAYS as usize, rate)),
+        prepare: Box::new(|rate| serve_tenant(FIXED_GATEWAYS as usize, rate)),
     };
     vec![by_gateways, by_rate]
 }
 
-/// What happens at a gateway.
+/// An event at a gateway. The derived order breaks ties between events that are due at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives,
-    Woke(u32),
-    Answered {
+    RpcArrival,
+    TimerDue(u32),
+    AttemptEnded {
         rpc: u32,
         server: u32,
         attempt: u16,
         sent: Nanos,
     },
-    /// The total as bits, so that events have an order.
-    Counted {
+    /// The total is stored as bits, so that events can be ordered.
+    CounterReply {
         name: u64,
         total: u64,
     },
 }
 
-struct Member {
+struct Gateway {
     replica: Replica,
     asked: Asked,
 }
 
-/// Gateways that share a tenant, and their counter.
-struct Group {
-    members: Vec<Member>,
+/// Gateways that share one tenant, and their emulated counter.
+struct TenantSimulation {
+    gateways: Vec<Gateway>,
     events: Timers<(usize, Event)>,
     totals: HashMap<u64, f64>,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     rate: u64,
     traffic: Traffic,
     calls: u64,
@@ -87,27 +90,27 @@
     arrived: u64,
 }
 
-/// One step plays the whole of it.
-pub fn played(gateways: usize, rate: u64) -> Result<Operation, ScaleError> {
-    let rpcs = (rate * (PLAYED / SECOND)).min(RPCS_MOST);
-    let mut group = Group::new(gateways, rate)?;
+/// Prepares a simulation of one tenant; a single step runs all of it.
+pub fn serve_tenant(gateways: usize, rate: u64) -> Result<Operation, ScaleError> {
+    let rpcs = (rate * (SIMULATED_TIME / SECOND)).min(MAX_RPCS);
+    let mut simulation = TenantSimulation::new(gateways, rate)?;
     let step = move || {
-        group.play(rpcs);
-        // The plan has room for all; a tenth may be late or turned away.
-        if group.served * 10 < rpcs * 9 {
-            let why = format!("only {} of {rpcs} RPCs were served", group.served);
+        simulation.run(rpcs);
+        // The plan admits all of the load; up to a tenth may time out or be rejected.
+        if simulation.served * 10 < rpcs * 9 {
+            let why = format!("only {} of {rpcs} RPCs were served", simulation.served);
             return Err(ScaleError::Measurement { what: "calls to the counter".to_string(), why });
         }
-        Ok(std::mem::take(&mut group.traffic))
+        Ok(std::mem::take(&mut simulation.traffic))
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: rpcs, steps_most: 1 })
+    Ok(Operation { step: Box::new(step), operations_per_step: rpcs, max_steps: 1 })
 }
 
-impl Group {
-    fn new(gateways: usize, rate: u64) -> Result<Group, ScaleError> {
+impl TenantSimulation {
+    fn new(gateways: usize, rate: u64) -> Result<TenantSimulation, ScaleError> {
         let plan_rate = PLAN_RATE * rate as f64;
         let list = whole_list(SERVERS);
-        let member = |number: usize| {
+        let gateway = |number: usize| {
             let service = Service {
                 number: Some(number),
                 rate: plan_rate,
@@ -116,13 +119,13 @@
             };
             let mut replica = Replica::new(&service)?;
             replica.take(START, &list);
-            Ok(Member { replica, asked: Asked::default() })
+            Ok(Gateway { replica, asked: Asked::default() })
         };
-        Ok(Group {
-            members: (0..gateways).map(member).collect::<Result<_, ScaleError>>()?,
+        Ok(TenantSimulation {
+            gateways: (0..gateways).map(gateway).collect::<Result<_, ScaleError>>()?,
             events: Timers::default(),
             totals: HashMap::new(),
-            chance: fastrand::Rng::with_seed(rate),
+            rng: fastrand::Rng::with_seed(rate),
             rate,
             traffic: Traffic::default(),
             calls: 0,
@@ -131,36 +134,36 @@
         })
     }
 
-    /// Plays until all RPCs have their answer, or their clients have gone.
-    fn play(&mut self, rpcs: u64) {
-        self.events.set(START, (0, Event::Arrives));
+    /// Runs until all RPCs are answered or their clients have timed out.
+    fn run(&mut self, rpcs: u64) {
+        self.events.set(START, (0, Event::RpcArrival));
         let last = START + rpcs * SECOND / self.rate;
-        while let Some(at) = self.events.next_due().filter(|at| *at < last + PATIENCE) {
+        while let Some(at) = self.events.next_due().filter(|at| *at < last + CLIENT_TIMEOUT) {
             let Some((gateway, event)) = self.events.pop_due(at) else { return };
-            self.happens(at, gateway, event, rpcs);
+            self.handle_event(at, gateway, event, rpcs);
         }
     }
 
-    fn happens(&mut self, now: Nanos, gateway: usize, event: Event, rpcs: u64) {
-        if event == Event::Arrives {
-            return self.arrives(now, rpcs);
+    fn handle_event(&mut self, now: Nanos, gateway: usize, event: Event, rpcs: u64) {
+        if event == Event::RpcArrival {
+            return self.handle_arrival(now, rpcs);
         }
-        let Member { replica, asked } = &mut self.members[gateway];
+        let Gateway { replica, asked } = &mut self.gateways[gateway];
         asked.now = now;
         match event {
-            Event::Arrives => {}
-            Event::Woke(token) => replica.brain.on_timer(asked, now, token),
-            Event::Counted { name, total } => {
+            Event::RpcArrival => {}
+            Event::TimerDue(token) => replica.brain.on_timer(asked, now, token),
+            Event::CounterReply { name, total } => {
                 replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
-            Event::Answered { rpc, server, attempt, sent } => {
-                let (how, took) = (CallOutcome::Ok, now - sent);
+            Event::AttemptEnded { rpc, server, attempt, sent } => {
+                let (outcome, duration) = (CallOutcome::Ok, now - sent);
                 let ended = AttemptResult {
                     rpc,
                     server,
                     attempt,
-                    outcome: how,
-                    duration: took,
+                    outcome,
+                    duration,
                     rpc_answered: true,
                     settled_units: 0.0,
                     load_report: Vec::new(),
@@ -169,60 +172,65 @@
                 replica.brain.on_attempt_end(asked, now, &ended);
             }
         }
-        self.carry_out(now, gateway);
+        self.schedule_actions(now, gateway);
     }
 
-    /// One more RPC comes in through any gateway, and the next is set.
-    fn arrives(&mut self, now: Nanos, rpcs: u64) {
+    /// Delivers one RPC to a random gateway and schedules the next.
+    fn handle_arrival(&mut self, now: Nanos, rpcs: u64) {
         self.arrived += 1;
         if self.arrived < rpcs {
-            let wait = -(1.0 - self.chance.f64()).ln() * SECOND as f64 / self.rate as f64;
-            self.events.set(now + wait as Nanos, (0, Event::Arrives));
+            let wait = -(1.0 - self.rng.f64()).ln() * SECOND as f64 / self.rate as f64;
+            self.events.set(now + wait as Nanos, (0, Event::RpcArrival));
         }
-        let gateway = self.chance.usize(..self.members.len());
+        let gateway = self.rng.usize(..self.gateways.len());
         let arrival = Arrival {
             id: self.arrived as u32,
             customer: TENANT,
-            deadline: now + PATIENCE,
+            deadline: now + CLIENT_TIMEOUT,
             units: 1.0,
-            gateway_count: self.members.len() as u32,
+            gateway_count: self.gateways.len() as u32,
             ..Arrival::default()
         };
-        let Member { replica, asked } = &mut self.members[gateway];
+        let Gateway { replica, asked } = &mut self.gateways[gateway];
         asked.now = now;
         replica.brain.on_arrival(asked, now, &arrival);
-        self.carry_out(now, gateway);
+        self.schedule_actions(now, gateway);
     }
 
-    /// What the module asked for becomes events.
-    fn carry_out(&mut self, now: Nanos, gateway: usize) {
-        let asked = &mut self.members[gateway].asked;
-        for open in asked.call_outs.drain(..) {
-            let event =
-                Event::Answered { rpc: open.rpc, server: open.server, attempt: open.attempt, sent: now };
-            self.events.set(now + SERVED_IN, (gateway, event));
+    /// Schedules the events that follow from the module's actions.
+    fn schedule_actions(&mut self, now: Nanos, gateway: usize) {
+        let asked = &mut self.gateways[gateway].asked;
+        for attempt in asked.call_outs.drain(..) {
+            let event = Event::AttemptEnded {
+                rpc: attempt.rpc,
+                server: attempt.server,
+                attempt: attempt.attempt,
+                sent: now,
+            };
+            self.events.set(now + SERVICE_TIME, (gateway, event));
         }
         while let Some(at) = asked.timers.next_due() {
             if let Some(token) = asked.timers.pop_due(at) {
-                self.events.set(at, (gateway, Event::Woke(token)));
+                self.events.set(at, (gateway, Event::TimerDue(token)));
             }
         }
-        for (name, add, forget) in asked.counts.drain(..) {
+        for (name, add, ttl) in asked.counts.drain(..) {
             self.calls += 1;
-            self.traffic.sent.add(call_bytes(Call { serial: self.calls, name, add, ttl: forget }));
+            self.traffic.sent.add(encoded_call_len(Call { serial: self.calls, name, add, ttl }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
             self.traffic.received.add(counter_answer(*total).len());
-            self.events.set(now + COUNTED_IN, (gateway, Event::Counted { name, total: total.to_bits() }));
+            self.events
+                .set(now + COUNTER_LATENCY, (gateway, Event::CounterReply { name, total: total.to_bits() }));
         }
     }
 }
 
-/// The bytes of a call, as the gateway's line to the counter writes it.
-fn call_bytes(call: Call) -> usize {
-    let mut line = CounterConnection::default();
-    let mut written = Vec::new();
-    line.connected(&mut written, 0);
-    line.send_call(&mut written, 0, call);
-    written.len()
+/// The size of a call as the gateway writes it on its connection to the counter.
+fn encoded_call_len(call: Call) -> usize {
+    let mut connection = CounterConnection::default();
+    let mut output = Vec::new();
+    connection.connected(&mut output, 0);
+    connection.send_call(&mut output, 0, call);
+    output.len()
 }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -1,4 +1,5 @@
-//! Costs of discovery's list: read, taken whole, one change of it, a zone that goes at once.
+//! Costs of discovery's list: parsing it, applying it as a whole, and applying a change of one server or of a whole
+//! zone.
 
 use super::Cost;
 use super::scenario::List;
@@ -8,17 +9,20 @@
 use crate::measure::{Operation, Traffic};
 use crate::replica::{Replica, read_watch};
 
-/// Changes are run so many times at most.
-const CHANGES: usize = 200;
-/// A whole list is run so many times at most.
-const WHOLE_LISTS: usize = 20;
+/// Maximum number of steps that each apply one change.
+const MAX_CHANGES: usize = 200;
+/// Maximum number of steps that each read or apply a whole list.
+const MAX_WHOLE_LISTS: usize = 20;
 
-/// A cost with servers and the fleet's size given.
+/// Prepares an operation for a number of servers and a fleet size.
 type Prepare = fn(servers: usize, fleet: usize) -> Result<Operation, ScaleError>;
 
-/// What is measured both against servers and against the fleet's size.
-const BY_BOTH: [(&str, Prepare); 3] =
-    [("list taken whole", taken_whole), ("list one change", one_change), ("list zone gone", zone_gone)];
+/// Costs measured against both the number of servers and the fleet size.
+const BY_SERVERS_AND_FLEET: [(&str, Prepare); 3] = [
+    ("list taken whole", apply_whole_list),
+    ("list one change", apply_one_change),
+    ("list zone gone", apply_zone_change),
+];
 
 /// The costs of this family.
 pub fn costs(scenario: &List) -> Vec<Cost> {
@@ -28,12 +32,12 @@
         size_name: "servers",
         held: "no fleet".to_string(),
         sizes: scenario.servers.clone(),
-        prepare: Box::new(|servers| read_whole(servers as usize)),
+        prepare: Box::new(|servers| read_whole_list(servers as usize)),
     }];
-    for (name, prepare) in BY_BOTH {
+    for (name, prepare) in BY_SERVERS_AND_FLEET {
         costs.extend(scenario.held_fleets.iter().map(|fleet| by_servers(name, prepare, *fleet, scenario)));
     }
-    costs.extend(BY_BOTH.map(|(name, prepare)| by_fleet(name, prepare, scenario)));
+    costs.extend(BY_SERVERS_AND_FLEET.map(|(name, prepare)| by_fleet(name, prepare, scenario)));
     costs
 }
 
@@ -60,8 +64,8 @@
     }
 }
 
-/// The bytes of a whole list are read into entries.
-pub fn read_whole(servers: usize) -> Result<Operation, ScaleError> {
+/// Parses the encoded whole list into entries.
+pub fn read_whole_list(servers: usize) -> Result<Operation, ScaleError> {
     let bytes = without_counting(|| encode(&whole_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
@@ -69,47 +73,47 @@
         drop(read_watch(&bytes)?);
         Ok(traffic)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: WHOLE_LISTS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_WHOLE_LISTS })
 }
 
-/// A gateway that knows nothing takes a whole list that has been read.
-pub fn taken_whole(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
+/// Applies a parsed whole list to a new gateway.
+pub fn apply_whole_list(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
     let list = without_counting(|| whole_list(servers));
-    let mut held: Vec<Replica> = Vec::new();
+    let mut replicas: Vec<Replica> = Vec::new();
     let step = move || {
-        held.clear();
+        replicas.clear();
         let mut replica = Replica::new(&Service::of(fleet))?;
         replica.take(START, &list);
-        held.push(replica);
+        replicas.push(replica);
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: WHOLE_LISTS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_WHOLE_LISTS })
 }
 
-/// One server drains, or is ready again: the bytes are read and taken.
-pub fn one_change(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let one = [servers / 2];
-    back_and_forth(servers, fleet, &one, Status::Draining)
+/// Parses and applies a change of one server, alternately to draining and to ready.
+pub fn apply_one_change(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
+    let server = [servers / 2];
+    alternate_changes(servers, fleet, &server, Status::Draining)
 }
 
-/// All servers of a zone go in one change, or come back: the bytes are read and taken.
-pub fn zone_gone(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
+/// Parses and applies a change of all servers of a zone, alternately to gone and to ready.
+pub fn apply_zone_change(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
     let zone: Vec<usize> = (0..servers).step_by(ZONES).collect();
-    back_and_forth(servers, fleet, &zone, Status::Gone)
+    alternate_changes(servers, fleet, &zone, Status::Gone)
 }
 
-fn back_and_forth(
+fn alternate_changes(
     servers: usize,
     fleet: usize,
     changed: &[usize],
-    away: Status,
+    changed_status: Status,
 ) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&Service::of(fleet))?;
     let list = without_counting(|| whole_list(servers));
     replica.take(START, &list);
     without_counting(|| drop(list));
     let encoded = |status| without_counting(|| encode(&change(changed.iter().copied(), status)));
-    let changes = [encoded(away), encoded(Status::Ready)];
+    let changes = [encoded(changed_status), encoded(Status::Ready)];
     let (mut now, mut next) = (START, 0);
     let step = move || {
         let mut traffic = Traffic::default();
@@ -119,5 +123,5 @@
         next = 1 - next;
         Ok(traffic)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: CHANGES })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_CHANGES })
 }
--- a/crates/scale/src/slopes/rpcs.rs
+++ b/crates/scale/src/slopes/rpcs.rs
@@ -1,4 +1,4 @@
-//! Costs of an RPC: choosing a server of those listed, and RPCs in flight.
+//! Costs of an RPC: choosing a server from the list, and keeping RPCs in flight.
 
 use super::Cost;
 use super::scenario::Rpcs;
@@ -8,18 +8,18 @@
 use crate::player::Player;
 use martenramp::host::Nanos;
 
-/// RPCs in a step.
-const BATCH: u64 = 100;
-const STEPS: usize = 100;
-/// Tenants that the RPCs are of, by turns.
+/// RPCs per step.
+const RPCS_PER_STEP: u64 = 100;
+const MAX_STEPS: usize = 100;
+/// Number of tenants; the RPCs rotate over them.
 const TENANTS: u64 = 50;
-/// Time between two RPCs of one gateway: 570 a second.
-const EVERY: Nanos = 1_754_385;
-/// The fleet of which this gateway draws from a part, and one in which it draws from all.
+/// Time between two RPCs at one gateway: 570 RPCs a second.
+const RPC_INTERVAL: Nanos = 1_754_385;
+/// A fleet in which a gateway uses a subset of the servers, and one in which it uses all of them.
 const LARGE_FLEET: usize = 5_800;
 const SMALL_FLEET: usize = 3;
-/// How long an RPC is in flight, and how many servers share them.
-const IN_FLIGHT_FOR: Nanos = 20_000_000;
+/// How long an RPC stays in flight, and the number of servers.
+const TIME_IN_FLIGHT: Nanos = 20_000_000;
 const IN_FLIGHT_SERVERS: usize = 240;
 
 /// The costs of this family.
@@ -30,7 +30,7 @@
         size_name: "servers",
         held: format!("fleet {fleet}, 570 RPCs a second"),
         sizes: scenario.servers.clone(),
-        prepare: Box::new(move |servers| served(servers as usize, fleet)),
+        prepare: Box::new(move |servers| serve_sequentially(servers as usize, fleet)),
     };
     let in_flight = Cost {
         family: "rpcs",
@@ -38,57 +38,57 @@
         size_name: "in flight",
         held: format!("servers {IN_FLIGHT_SERVERS}, fleet {SMALL_FLEET}, each 20 ms"),
         sizes: scenario.in_flight.clone(),
-        prepare: Box::new(|count| in_flight(count as usize)),
+        prepare: Box::new(|count| keep_in_flight(count as usize)),
     };
     vec![by_servers(SMALL_FLEET), by_servers(LARGE_FLEET), in_flight]
 }
 
-/// RPCs one after the other, each served. The gateway is not told its number, so that its part is drawn without the table of
-/// all parts, which at these sizes could not be worked out: the part is as large as with one.
-pub fn served(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
+/// Serves RPCs one after the other. The gateway gets no number of its own, so its subset is drawn without the table of
+/// all subsets, which is infeasible to compute at these sizes. The subset has the same size either way.
+pub fn serve_sequentially(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
     let service = Service { number: None, ..Service::of(fleet) };
-    let mut player = Player::new(&service, servers, EVERY)?;
+    let mut player = Player::new(&service, servers, RPC_INTERVAL)?;
     let mut next = 0;
     let step = move || {
-        for _ in 0..BATCH {
+        for _ in 0..RPCS_PER_STEP {
             next += 1;
             player.serve(next % TENANTS, 0)?;
         }
         Ok(player.traffic())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
 
-/// So many RPCs are open: one comes in, the oldest ends.
-pub fn in_flight(count: usize) -> Result<Operation, ScaleError> {
-    let every = IN_FLIGHT_FOR / count as Nanos;
-    let mut player = Player::new(&Service::of(SMALL_FLEET), IN_FLIGHT_SERVERS, every)?;
+/// Keeps `count` RPCs in flight: in each operation one arrives and the oldest ends.
+pub fn keep_in_flight(count: usize) -> Result<Operation, ScaleError> {
+    let interval = TIME_IN_FLIGHT / count as Nanos;
+    let mut player = Player::new(&Service::of(SMALL_FLEET), IN_FLIGHT_SERVERS, interval)?;
     player.served_in = 0;
     let mut next = 0;
-    let mut one_more = move |fill: bool| -> Result<Traffic, ScaleError> {
+    let mut exchange_one = move |filling: bool| -> Result<Traffic, ScaleError> {
         next += 1;
         player.step();
         player.begin(next % TENANTS, 0);
         let open = player.asked.call_outs.len();
-        // While it fills, an answer comes for two of three RPCs, so that the module knows how long servers take.
-        if !(fill && open < count && next % 3 == 0) {
+        // During filling, answer two of three RPCs, so that the module learns how long servers take.
+        if !(filling && open < count && next % 3 == 0) {
             player.end_oldest();
         }
-        if !fill && player.asked.call_outs.len() < count / 2 {
+        if !filling && player.asked.call_outs.len() < count / 2 {
             let why = format!("only {open} of {count} RPCs are in flight");
             return Err(ScaleError::Measurement { what: "RPCs in flight".to_string(), why });
         }
         Ok(player.traffic())
     };
     for _ in 0..4 * count {
-        one_more(true)?;
+        exchange_one(true)?;
     }
     let step = move || {
         let mut traffic = Traffic::default();
-        for _ in 0..BATCH {
-            traffic.add(one_more(false)?);
+        for _ in 0..RPCS_PER_STEP {
+            traffic.add(exchange_one(false)?);
         }
         Ok(traffic)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
--- a/crates/scale/src/slopes/scenario.rs
+++ b/crates/scale/src/slopes/scenario.rs
@@ -1,31 +1,32 @@
-//! What `slopes` measures, read from TOML and checked before anything is measured. What a file leaves out takes the
-//! default, which reaches the deployment's size in two years wherever the program can.
+//! Scenarios of `slopes`: sizes and limits, read from TOML and validated before anything is measured.
+//!
+//! Omitted keys take their defaults, which reach the deployment's size expected in two years wherever the program can.
 
 use crate::ScaleError;
 use serde::Deserialize;
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Bytes that one item surely takes, however well it is held: a floor by which sizes are refused that can't fit.
+/// Lower bounds on the memory of one item, however it is stored; sizes that can't fit in memory are rejected by them.
 const BYTES_PER_SERVER: u64 = 500;
 const BYTES_PER_TENANT: u64 = 500;
 const BYTES_PER_PLAN: u64 = 400;
 const BYTES_PER_RPC: u64 = 300;
 const BYTES_PER_GATEWAY: u64 = 1_000;
-/// The part of the machine's memory that a run may take.
+/// A run may use the machine's memory divided by this.
 const MACHINE_SHARE: u64 = 2;
 
-/// Sizes and bounds of a run.
+/// Sizes and limits of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Memory that the run may take, MiB. A size that is predicted to need more is cut off.
+    /// Memory limit of the run, MiB. A size that is predicted to need more is skipped.
     pub memory_mb: u64,
-    /// Processor time that one size of one cost may take, seconds. A size that is predicted to need more is cut off.
+    /// CPU time limit of one size of one cost, seconds. A size that is predicted to need more is skipped.
     pub size_seconds: f64,
-    /// Processor time of the whole run, seconds: once it is spent, what is left is cut off.
+    /// CPU time limit of the whole run, seconds. Once it is spent, the remaining sizes are skipped.
     pub total_seconds: f64,
-    /// Processor time that the steps of one size are repeated for, milliseconds.
+    /// CPU time for which the steps of one size are repeated, milliseconds.
     pub effort_ms: u64,
     pub list: List,
     pub tenants: Tenants,
@@ -57,7 +58,7 @@
     pub busy: Vec<u64>,
 }
 
-/// Settings with versions.
+/// Versions of the settings.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
@@ -71,7 +72,7 @@
 pub struct Agreement {
     /// Sizes: gateways that vote.
     pub voters: Vec<u64>,
-    /// Sizes: gateways that hear seven voters.
+    /// Sizes: gateways that receive the datagrams of seven voters.
     pub gateways: Vec<u64>,
 }
 
@@ -79,7 +80,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counter {
-    /// Sizes: gateways that one tenant's RPCs come in through.
+    /// Sizes: gateways that receive one tenant's RPCs.
     pub gateways: Vec<u64>,
     /// Sizes: RPCs a second of one tenant.
     pub rates: Vec<u64>,
@@ -89,7 +90,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rpcs {
-    /// Sizes: servers listed, of which one is chosen for each RPC.
+    /// Sizes: servers listed, one of which is chosen for each RPC.
     pub servers: Vec<u64>,
     /// Sizes: RPCs in flight.
     pub in_flight: Vec<u64>,
@@ -162,8 +163,8 @@
     }
 }
 
-/// Sizes under a key: what they may be, and the bytes that one item surely takes.
-struct Sizes<'a> {
+/// The sizes given under a key, their valid range, and the lower bound on the memory of one item.
+struct CheckedSizes<'a> {
     key: &'static str,
     sizes: &'a [u64],
     range: RangeInclusive<u64>,
@@ -179,21 +180,21 @@
         Ok(scenario)
     }
 
-    /// Refuses what can't be measured, by the first key that is wrong.
+    /// Rejects a scenario that can't be measured; the error names the first invalid key.
     pub fn check(&self) -> Result<(), ScaleError> {
-        within("memory_mb", self.memory_mb as f64, 64.0..=1_048_576.0)?;
-        within("size_seconds", self.size_seconds, 0.001..=600.0)?;
-        within("total_seconds", self.total_seconds, 0.001..=3_600.0)?;
-        within("effort_ms", self.effort_ms as f64, 1.0..=10_000.0)?;
-        within("list.held_servers", self.list.held_servers as f64, 1.0..=1e6)?;
-        self.fits_machine()?;
+        check_range("memory_mb", self.memory_mb as f64, 64.0..=1_048_576.0)?;
+        check_range("size_seconds", self.size_seconds, 0.001..=600.0)?;
+        check_range("total_seconds", self.total_seconds, 0.001..=3_600.0)?;
+        check_range("effort_ms", self.effort_ms as f64, 1.0..=10_000.0)?;
+        check_range("list.held_servers", self.list.held_servers as f64, 1.0..=1e6)?;
+        self.check_machine_memory()?;
         self.sizes().iter().try_for_each(|sizes| self.check_sizes(sizes))?;
-        let held = [("list.held_servers", self.list.held_servers * BYTES_PER_SERVER)];
-        held.iter().try_for_each(|(key, bytes)| self.fits(key, *bytes))
+        let fixed = [("list.held_servers", self.list.held_servers * BYTES_PER_SERVER)];
+        fixed.iter().try_for_each(|(key, bytes)| self.check_memory(key, *bytes))
     }
 
-    fn sizes(&self) -> Vec<Sizes<'_>> {
-        let sizes = |key, sizes, range, bytes_each| Sizes { key, sizes, range, bytes_each };
+    fn sizes(&self) -> Vec<CheckedSizes<'_>> {
+        let sizes = |key, sizes, range, bytes_each| CheckedSizes { key, sizes, range, bytes_each };
         vec![
             sizes("list.servers", &self.list.servers, 1..=1_000_000, BYTES_PER_SERVER),
             sizes("list.held_fleets", &self.list.held_fleets, 1..=100_000, 0),
@@ -210,22 +211,22 @@
         ]
     }
 
-    fn check_sizes(&self, sizes: &Sizes) -> Result<(), ScaleError> {
-        let Sizes { key, range, .. } = sizes;
-        if let Some(bad) = sizes.sizes.iter().find(|size| !range.contains(size)) {
-            let why = format!("{bad} is not from {} to {}", range.start(), range.end());
+    fn check_sizes(&self, sizes: &CheckedSizes) -> Result<(), ScaleError> {
+        let CheckedSizes { key, range, .. } = sizes;
+        if let Some(invalid) = sizes.sizes.iter().find(|size| !range.contains(size)) {
+            let why = format!("{invalid} is not from {} to {}", range.start(), range.end());
             return Err(ScaleError::bad_key(*key, why));
         }
-        if !sizes.sizes.is_sorted_by(|one, two| one < two) {
-            return Err(ScaleError::bad_key(*key, "sizes don't ascend"));
+        if !sizes.sizes.is_sorted_by(|left, right| left < right) {
+            return Err(ScaleError::bad_key(*key, "sizes must be in strictly ascending order"));
         }
         let Some(largest) = sizes.sizes.last() else {
-            return Err(ScaleError::bad_key(*key, "no sizes"));
+            return Err(ScaleError::bad_key(*key, "must not be empty"));
         };
-        self.fits(key, largest * sizes.bytes_each)
+        self.check_memory(key, largest * sizes.bytes_each)
     }
 
-    fn fits(&self, key: &str, bytes: u64) -> Result<(), ScaleError> {
+    fn check_memory(&self, key: &str, bytes: u64) -> Result<(), ScaleError> {
         if bytes <= self.memory_bytes() {
             return Ok(());
         }
@@ -233,30 +234,30 @@
         Err(ScaleError::bad_key(key, why))
     }
 
-    fn fits_machine(&self) -> Result<(), ScaleError> {
+    fn check_machine_memory(&self) -> Result<(), ScaleError> {
         let Some(machine) = machine_memory_mb() else { return Ok(()) };
-        let most = machine / MACHINE_SHARE;
-        if self.memory_mb <= most {
+        let limit = machine / MACHINE_SHARE;
+        if self.memory_mb <= limit {
             return Ok(());
         }
         let why = format!("{} is more than half of the machine's {machine} MiB", self.memory_mb);
         Err(ScaleError::bad_key("memory_mb", why))
     }
 
-    /// Memory that the run may take, bytes.
+    /// Memory limit of the run, bytes.
     pub fn memory_bytes(&self) -> u64 {
         self.memory_mb << 20
     }
 }
 
-fn within(key: &str, value: f64, range: RangeInclusive<f64>) -> Result<(), ScaleError> {
+fn check_range(key: &str, value: f64, range: RangeInclusive<f64>) -> Result<(), ScaleError> {
     if range.contains(&value) {
         return Ok(());
     }
     Err(ScaleError::bad_key(key, format!("{value} is not from {} to {}", range.start(), range.end())))
 }
 
-/// The machine's memory, where the system tells it.
+/// The machine's total memory, where `/proc/meminfo` is available.
 fn machine_memory_mb() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -1,4 +1,4 @@
-//! Costs of a version of the settings: its file read, its content digested, checked against the one held, in force.
+//! Costs of a settings version: reading its file, digesting it, checking it against the current one, and applying it.
 
 use super::Cost;
 use super::scenario::{List, Settings};
@@ -13,13 +13,13 @@
 use gateway::config::Config;
 use serde_json::json;
 
-/// Servers listed and gateways in the fleet while the number of plans changes.
+/// Servers listed and gateways in the fleet while the number of plans varies.
 const SERVERS: usize = 24;
 const FLEET: usize = 3;
-/// A version is run so many times at most.
-const VERSIONS: usize = 50;
-/// RPCs in a step.
-const BATCH: u64 = 100;
+/// Maximum number of steps at one size.
+const MAX_STEPS: usize = 50;
+/// RPCs per step.
+const RPCS_PER_STEP: u64 = 100;
 const TENANTS: u64 = 50;
 
 /// The costs of this family.
@@ -38,14 +38,14 @@
         size_name: "servers",
         held: format!("plans 1, fleet {FLEET}"),
         sizes: list.servers.clone(),
-        prepare: Box::new(|servers| in_force(1, servers as usize)),
+        prepare: Box::new(|servers| apply_version(1, servers as usize)),
     };
     vec![
-        by_plans("version file read", file_read),
-        by_plans("version digested", digested),
-        by_plans("version checked", checked),
-        by_plans("version in force", |plans| in_force(plans, SERVERS)),
-        by_plans("rpc under settings", rpc_under),
+        by_plans("version file read", read_file),
+        by_plans("version digested", digest_content),
+        by_plans("version checked", check_update),
+        by_plans("version in force", |plans| apply_version(plans, SERVERS)),
+        by_plans("rpc under settings", serve_with_plans),
         by_servers,
     ]
 }
@@ -59,8 +59,8 @@
     Version { number, start: 0, fallback: Fallback::default_for(&settings), settings }
 }
 
-/// The file is read, as at a start and at SIGHUP.
-pub fn file_read(plans: usize) -> Result<Operation, ScaleError> {
+/// Parses the configuration file, as at startup and on SIGHUP.
+pub fn read_file(plans: usize) -> Result<Operation, ScaleError> {
     let text = without_counting(|| {
         let settings = service(plans).nested();
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": 1, "settings": settings})
@@ -73,37 +73,37 @@
         let failed = |why| ScaleError::Measurement { what: "reading a configuration".to_string(), why };
         read.map(|_| traffic).map_err(failed)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_STEPS })
 }
 
-/// The content by which gateways know that they hold the same.
-pub fn digested(plans: usize) -> Result<Operation, ScaleError> {
+/// Computes the content ID by which gateways detect that they hold the same version.
+pub fn digest_content(plans: usize) -> Result<Operation, ScaleError> {
     let version = version(1, plans);
     let step = move || {
         std::hint::black_box(version.content_id());
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_STEPS })
 }
 
-/// Whether a version may follow the one held.
-pub fn checked(plans: usize) -> Result<Operation, ScaleError> {
-    let (held, next) = (version(1, plans), version(2, plans));
+/// Checks whether a version may replace the current one.
+pub fn check_update(plans: usize) -> Result<Operation, ScaleError> {
+    let (current, next) = (version(1, plans), version(2, plans));
     let step = move || {
-        let why = objections(&held, &next);
-        if !why.is_empty() {
+        let objections = objections(&current, &next);
+        if !objections.is_empty() {
             return Err(ScaleError::Measurement {
                 what: "checking a version".to_string(),
-                why: why.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
+                why: objections.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
             });
         }
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_STEPS })
 }
 
-/// The module acts on a version from now on.
-pub fn in_force(plans: usize, servers: usize) -> Result<Operation, ScaleError> {
+/// Applies a version to a running gateway.
+pub fn apply_version(plans: usize, servers: usize) -> Result<Operation, ScaleError> {
     let mut replica = Replica::new(&service(plans))?;
     let list = without_counting(|| whole_list(servers));
     replica.take(START, &list);
@@ -115,19 +115,19 @@
         replica.brain.update_settings(now, next.clone());
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: VERSIONS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_STEPS })
 }
 
-/// An RPC while the settings hold so many plans.
-pub fn rpc_under(plans: usize) -> Result<Operation, ScaleError> {
+/// Serves RPCs with `plans` plans in the settings.
+pub fn serve_with_plans(plans: usize) -> Result<Operation, ScaleError> {
     let mut player = Player::new(&service(plans), SERVERS, 1_000_000)?;
     let mut next = 0;
     let step = move || {
-        for _ in 0..BATCH {
+        for _ in 0..RPCS_PER_STEP {
             next += 1;
             player.serve(next % TENANTS, (next % plans as u64) as u16)?;
         }
         Ok(player.traffic())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: VERSIONS })
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -1,4 +1,4 @@
-//! Costs of tenants: seen once, known and seen again, busy, forgotten.
+//! Costs of tenants: the first RPC of a tenant, a later one, one of a busy tenant, and forgetting idle tenants.
 
 use super::Cost;
 use super::scenario::Tenants;
@@ -11,15 +11,15 @@
 /// Servers listed and gateways in the fleet.
 const SERVERS: usize = 24;
 const FLEET: usize = 3;
-/// RPCs in a step, and steps of one size.
-const BATCH: u64 = 100;
-const STEPS: usize = 50;
-/// All tenants are seen within so long, which is before any can be forgotten.
-const SEEN_WITHIN: Nanos = 4_000_000_000;
-/// Then time goes on by so much, and so many times, after which each can be forgotten.
-const RESTED_FOR: Nanos = 600_000_000_000;
-const RINGS: u32 = 5;
-/// RPCs of a busy tenant: as many as the module keeps samples of.
+/// RPCs per step, and the maximum number of steps at one size.
+const RPCS_PER_STEP: u64 = 100;
+const MAX_STEPS: usize = 50;
+/// All tenants send their RPCs within this time, before any of them can be forgotten.
+const FIRST_SEEN_WITHIN: Nanos = 4_000_000_000;
+/// The clock then advances by this interval, this many times, after which every tenant can be forgotten.
+const IDLE_INTERVAL: Nanos = 600_000_000_000;
+const IDLE_INTERVALS: u32 = 5;
+/// RPCs of a busy tenant: as many as the module keeps samples for.
 const BUSY_RPCS: u64 = 64;
 
 /// The costs of this family.
@@ -32,20 +32,21 @@
         sizes: sizes.to_vec(),
         prepare: Box::new(prepare),
     };
-    let mut forgetting: Vec<u64> = scenario.seen.iter().map(|size| forgetting_at(*size)).collect();
-    forgetting.dedup();
+    let mut forgetting_sizes: Vec<u64> =
+        scenario.seen.iter().map(|size| forgetting_size_up_to(*size)).collect();
+    forgetting_sizes.dedup();
     vec![
-        cost("tenant seen once", &scenario.seen, seen_once),
-        cost("tenant seen again", &scenario.seen, seen_again),
-        cost("tenants forgotten", &forgetting, forgotten),
-        cost("tenant busy", &scenario.busy, busy),
+        cost("tenant seen once", &scenario.seen, serve_new_tenants),
+        cost("tenant seen again", &scenario.seen, serve_known_tenants),
+        cost("tenants forgotten", &forgetting_sizes, forget_idle_tenants),
+        cost("tenant busy", &scenario.busy, serve_busy_tenants),
     ]
 }
 
-/// A gateway that has seen so many tenants, each `times` times.
-fn known(tenants: u64, times: u64) -> Result<Player, ScaleError> {
-    let every = (SEEN_WITHIN / (tenants * times)).max(1);
-    let mut player = Player::new(&Service::of(FLEET), SERVERS, every)?;
+/// A gateway that has served `times` RPCs of each of `tenants` tenants.
+fn player_with_tenants(tenants: u64, times: u64) -> Result<Player, ScaleError> {
+    let interval = (FIRST_SEEN_WITHIN / (tenants * times)).max(1);
+    let mut player = Player::new(&Service::of(FLEET), SERVERS, interval)?;
     for _ in 0..times {
         for tenant in 0..tenants {
             player.serve(tenant, 0)?;
@@ -55,74 +56,75 @@
     Ok(player)
 }
 
-/// The next RPC is of a tenant not seen before.
-pub fn seen_once(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
+/// Serves RPCs of tenants that the gateway has not seen before.
+pub fn serve_new_tenants(tenants: u64) -> Result<Operation, ScaleError> {
+    let mut player = player_with_tenants(tenants, 1)?;
     let mut next = tenants;
     let step = move || {
-        for _ in 0..BATCH {
+        for _ in 0..RPCS_PER_STEP {
             next += 1;
             player.serve(next, 0)?;
         }
         Ok(player.traffic())
     };
-    // Few steps, so that the number known stays near the size.
-    let steps_most = (tenants / BATCH / 10).clamp(1, STEPS as u64) as usize;
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most })
+    // Few steps, so that the number of known tenants stays near the size.
+    let max_steps = (tenants / RPCS_PER_STEP / 10).clamp(1, MAX_STEPS as u64) as usize;
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps })
 }
 
-/// The next RPC is of any tenant that is known.
-pub fn seen_again(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
-    let mut chance = fastrand::Rng::with_seed(tenants);
+/// Serves RPCs of random known tenants that have sent one RPC each.
+pub fn serve_known_tenants(tenants: u64) -> Result<Operation, ScaleError> {
+    let mut player = player_with_tenants(tenants, 1)?;
+    let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
-        for _ in 0..BATCH {
-            player.serve(chance.u64(..tenants), 0)?;
+        for _ in 0..RPCS_PER_STEP {
+            player.serve(rng.u64(..tenants), 0)?;
         }
         Ok(player.traffic())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
 
-/// Every tenant has had many RPCs; the next is of one of them.
-pub fn busy(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, BUSY_RPCS)?;
-    let mut chance = fastrand::Rng::with_seed(tenants);
+/// Serves RPCs of random known tenants that have sent many RPCs each.
+pub fn serve_busy_tenants(tenants: u64) -> Result<Operation, ScaleError> {
+    let mut player = player_with_tenants(tenants, BUSY_RPCS)?;
+    let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
-        for _ in 0..BATCH {
-            player.serve(chance.u64(..tenants), 0)?;
+        for _ in 0..RPCS_PER_STEP {
+            player.serve(rng.u64(..tenants), 0)?;
         }
         Ok(player.traffic())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: BATCH, steps_most: STEPS })
+    Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
 
-/// The one RPC in which all tenants that rest are forgotten.
-pub fn forgotten(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = known(tenants, 1)?;
-    // Timers that are still set count as use when they ring: they ring out first.
-    for _ in 0..RINGS {
-        player.asked.now += RESTED_FOR;
+/// Serves the RPC during which all idle tenants are forgotten.
+pub fn forget_idle_tenants(tenants: u64) -> Result<Operation, ScaleError> {
+    let mut player = player_with_tenants(tenants, 1)?;
+    // A pending timer counts as use of the tenant when it fires, so all timers fire first.
+    for _ in 0..IDLE_INTERVALS {
+        player.asked.now += IDLE_INTERVAL;
         player.step();
     }
     let step = move || {
         player.serve(tenants, 0)?;
-        let left = player.replica.brain.customer_count();
-        if left > 1 {
-            let why = format!("{left} of {tenants} tenants are left");
+        let remaining = player.replica.brain.customer_count();
+        if remaining > 1 {
+            let why = format!("{remaining} of {tenants} tenants were not forgotten");
             return Err(ScaleError::Measurement { what: "forgetting tenants".to_string(), why });
         }
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, steps_most: 1 })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: 1 })
 }
 
-/// The largest number of tenants up to `most` with which the next RPC has those that rest looked through: the module does
-/// so with two, and then whenever one more than twice those that were left (of 32 at least) are known.
-fn forgetting_at(most: u64) -> u64 {
-    let mut known = 2 * 32 + 1;
-    while 2 * known < most {
-        known = 2 * known + 1;
+/// The largest number of tenants up to `limit` at which the next RPC triggers the search for idle tenants. The module
+/// searches at two tenants, and then when it knows one more than twice the number (at least 32) that the last search
+/// left.
+fn forgetting_size_up_to(limit: u64) -> u64 {
+    let mut count = 2 * 32 + 1;
+    while 2 * count < limit {
+        count = 2 * count + 1;
     }
-    known
+    count
 }
