--- a/crates/scale/src/alloc.rs
+++ b/crates/scale/src/alloc.rs
@@ -1,109 +1,111 @@
-//! A global allocator that counts: how often memory was asked for and how much, what is held, and the most that was held at
-//! once; for the whole process and for each thread. A binary or test that wants counts installs [`CountingAllocator`] as its global
-//! allocator; without it all counts stay nought.
+//! A global allocator that counts allocations, allocated bytes, live bytes and peak live bytes, for the whole process
+//! and for each thread.
+//!
+//! A binary or test that needs the counts installs [`CountingAllocator`] as its global allocator. Without it, all
+//! counts stay zero.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
-static HELD: AtomicU64 = AtomicU64::new(0);
-static PEAK: AtomicU64 = AtomicU64::new(0);
+static LIVE_BYTES: AtomicU64 = AtomicU64::new(0);
+static PEAK_BYTES: AtomicU64 = AtomicU64::new(0);
 
-// Constants without destructors, so that the allocator may use them at any time of a thread's life.
+// Const-initialized and without destructors, so that the allocator can use them at any time, including during thread
+// exit.
 thread_local! {
-    static THREAD: Cell<ThreadCounts> = const { Cell::new(ThreadCounts::NONE) };
-    static IS_COUNTED: Cell<bool> = const { Cell::new(true) };
+    static THREAD_COUNTS: Cell<ThreadCounts> = const { Cell::new(ThreadCounts::NONE) };
+    static COUNTING_ENABLED: Cell<bool> = const { Cell::new(true) };
 }
 
-/// The system's allocator with counts.
+/// Forwards to the system allocator and counts what is allocated and released.
 pub struct CountingAllocator;
 
-fn took(bytes: usize) {
+fn record_allocation(bytes: usize) {
     ALLOCATIONS.fetch_add(1, Relaxed);
-    let held = HELD.fetch_add(bytes as u64, Relaxed) + bytes as u64;
-    if held > PEAK.load(Relaxed) {
-        PEAK.fetch_max(held, Relaxed);
+    let live_bytes = LIVE_BYTES.fetch_add(bytes as u64, Relaxed) + bytes as u64;
+    if live_bytes > PEAK_BYTES.load(Relaxed) {
+        PEAK_BYTES.fetch_max(live_bytes, Relaxed);
     }
-    if IS_COUNTED.get() {
-        let mut counts = THREAD.get();
+    if COUNTING_ENABLED.get() {
+        let mut counts = THREAD_COUNTS.get();
         counts.allocations += 1;
         counts.allocated_bytes += bytes as u64;
         counts.live_bytes += bytes as i64;
         counts.peak_bytes = counts.peak_bytes.max(counts.live_bytes);
-        THREAD.set(counts);
+        THREAD_COUNTS.set(counts);
     }
 }
 
-fn gave(bytes: usize) {
-    HELD.fetch_sub(bytes as u64, Relaxed);
-    if IS_COUNTED.get() {
-        let mut counts = THREAD.get();
+fn record_release(bytes: usize) {
+    LIVE_BYTES.fetch_sub(bytes as u64, Relaxed);
+    if COUNTING_ENABLED.get() {
+        let mut counts = THREAD_COUNTS.get();
         counts.live_bytes -= bytes as i64;
-        THREAD.set(counts);
+        THREAD_COUNTS.set(counts);
     }
 }
 
-// SAFETY: every call is handed on to the system's allocator as it came; only counters are kept beside it.
+// SAFETY: every call is forwarded unchanged to the system allocator; the only addition is the update of counters.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        // SAFETY: the caller's guarantees are those of the system's allocator.
-        let at = unsafe { System.alloc(layout) };
-        if !at.is_null() {
-            took(layout.size());
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`, which is also that of `System`.
+        let pointer = unsafe { System.alloc(layout) };
+        if !pointer.is_null() {
+            record_allocation(layout.size());
         }
-        at
+        pointer
     }
 
     unsafe fn alloc_zeroed(&self, layout: Layout) -> *mut u8 {
         // SAFETY: as above.
-        let at = unsafe { System.alloc_zeroed(layout) };
-        if !at.is_null() {
-            took(layout.size());
+        let pointer = unsafe { System.alloc_zeroed(layout) };
+        if !pointer.is_null() {
+            record_allocation(layout.size());
         }
-        at
+        pointer
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         // SAFETY: as above.
-        unsafe { System.dealloc(at, layout) };
-        gave(layout.size());
+        unsafe { System.dealloc(pointer, layout) };
+        record_release(layout.size());
     }
 
-    unsafe fn realloc(&self, at: *mut u8, layout: Layout, size: usize) -> *mut u8 {
+    unsafe fn realloc(&self, pointer: *mut u8, layout: Layout, size: usize) -> *mut u8 {
         // SAFETY: as above.
-        let to = unsafe { System.realloc(at, layout, size) };
-        if !to.is_null() {
-            // While it moves both may be held.
-            took(size);
-            gave(layout.size());
+        let new_pointer = unsafe { System.realloc(pointer, layout, size) };
+        if !new_pointer.is_null() {
+            // Both blocks may be live during the copy, so the new size is added before the old one is subtracted.
+            record_allocation(size);
+            record_release(layout.size());
         }
-        to
+        new_pointer
     }
 }
 
-/// What the allocator has counted for the whole process up to a moment. Bytes are those asked for, without the allocator's
-/// own overhead.
+/// Counts of the whole process. Bytes are those requested, without the system allocator's own overhead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessCounts {
-    /// Times that memory was asked for, a change of size among them.
+    /// Allocations, including reallocations.
     pub allocations: u64,
-    /// Bytes held now.
+    /// Bytes live now.
     pub live_bytes: u64,
-    /// The most bytes held at once since the last [`reset_peak`].
+    /// Maximum of `live_bytes` since the last [`reset_peak`].
     pub peak_bytes: u64,
 }
 
-/// What the allocator has counted for one thread up to a moment. What another thread gives back is not taken off.
+/// Counts of one thread. Memory that another thread releases is not subtracted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ThreadCounts {
-    /// Times that memory was asked for, a change of size among them.
+    /// Allocations, including reallocations.
     pub allocations: u64,
-    /// Bytes asked for in all of them.
+    /// Bytes requested by all allocations.
     pub allocated_bytes: u64,
-    /// Bytes held now; below nought where the thread gave back what it did not ask for.
+    /// Bytes live now; negative if the thread released memory that another thread allocated.
     pub live_bytes: i64,
-    /// The most bytes held at once since the last [`reset_thread_peak`].
+    /// Maximum of `live_bytes` since the last [`reset_thread_peak`].
     pub peak_bytes: i64,
 }
 
@@ -112,37 +114,37 @@
         ThreadCounts { allocations: 0, allocated_bytes: 0, live_bytes: 0, peak_bytes: 0 };
 }
 
-/// The process's counts by now.
+/// The process's counts so far.
 pub fn process_counts() -> ProcessCounts {
     ProcessCounts {
         allocations: ALLOCATIONS.load(Relaxed),
-        live_bytes: HELD.load(Relaxed),
-        peak_bytes: PEAK.load(Relaxed),
+        live_bytes: LIVE_BYTES.load(Relaxed),
+        peak_bytes: PEAK_BYTES.load(Relaxed),
     }
 }
 
-/// From now on the process's peak is counted anew, from what is held.
+/// Resets the process's peak to the bytes that are live now.
 pub fn reset_peak() {
-    PEAK.store(HELD.load(Relaxed), Relaxed);
+    PEAK_BYTES.store(LIVE_BYTES.load(Relaxed), Relaxed);
 }
 
-/// This thread's counts by now.
+/// This thread's counts so far.
 pub fn thread_counts() -> ThreadCounts {
-    THREAD.get()
+    THREAD_COUNTS.get()
 }
 
-/// From now on this thread's peak is counted anew, from what is held.
+/// Resets this thread's peak to the bytes that are live now.
 pub fn reset_thread_peak() {
-    let mut counts = THREAD.get();
+    let mut counts = THREAD_COUNTS.get();
     counts.peak_bytes = counts.live_bytes;
-    THREAD.set(counts);
+    THREAD_COUNTS.set(counts);
 }
 
-/// Runs something whose memory is not the program's own (input of a measurement, an emulated peer): this thread's counts
-/// leave it out, both what it asks for and what it gives back.
+/// Runs a closure whose memory is not part of the program under measurement (its input, an emulated peer). This
+/// thread's counts leave out both what the closure allocates and what it releases.
 pub fn without_counting<T>(run: impl FnOnce() -> T) -> T {
-    let was = IS_COUNTED.replace(false);
-    let made = run();
-    IS_COUNTED.set(was);
-    made
+    let previous = COUNTING_ENABLED.replace(false);
+    let result = run();
+    COUNTING_ENABLED.set(previous);
+    result
 }
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,42 +1,42 @@
-//! What can go wrong in a run, each said in one line.
+//! The error type of the scale tests; each error is displayed as one line.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Why a run was refused or could not be finished.
+/// Why a run was rejected or could not be completed.
 #[derive(Debug)]
 pub enum ScaleError {
-    /// A key of a scenario, or an argument, that can't be taken.
+    /// An invalid value of a scenario key or of an argument.
     BadKey { key: String, why: String },
-    /// A scenario that can't be read as one; the parser's message names the key.
+    /// A scenario file that can't be parsed; the parser's message names the key.
     BadScenario { file: PathBuf, why: String },
     /// A file that can't be read or written.
     File { file: PathBuf, why: String },
-    /// The program itself refused what was given to it, for this reason code.
+    /// The program under test rejected its input with this reason code.
     Refused { why: &'static str },
-    /// A measurement that could not be made.
+    /// A measurement that failed.
     Measurement { what: String, why: String },
 }
 
 impl ScaleError {
-    /// A key with a value that can't be taken.
+    /// An error for a key with an invalid value.
     pub fn bad_key(key: impl Into<String>, why: impl Into<String>) -> ScaleError {
         ScaleError::BadKey { key: key.into(), why: why.into() }
     }
 
-    /// A file that can't be read or written.
+    /// An error for a file that can't be read or written.
     pub fn file(file: &Path, why: impl fmt::Display) -> ScaleError {
-        ScaleError::File { file: file.to_path_buf(), why: one_line(&why.to_string()) }
+        ScaleError::File { file: file.to_path_buf(), why: join_lines(&why.to_string()) }
     }
 
-    /// A scenario that is not one.
+    /// An error for a scenario file that can't be parsed.
     pub fn scenario(file: &Path, why: impl fmt::Display) -> ScaleError {
-        ScaleError::BadScenario { file: file.to_path_buf(), why: one_line(&why.to_string()) }
+        ScaleError::BadScenario { file: file.to_path_buf(), why: join_lines(&why.to_string()) }
     }
 }
 
-/// Several lines of a message (a parser's with its place marked) as one.
-fn one_line(text: &str) -> String {
+/// Joins the lines of a message into one; parsers return several lines, with the position of the error marked.
+fn join_lines(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,18 +1,17 @@
-//! Fits a power law: least squares on the logarithms of sizes and figures.
+//! Fits a power law by least squares on the logarithms of sizes and figures.
 
-/// How a figure grows with its size: figure ~ size ^ exponent.
+/// The growth of a figure with a size: figure ~ size ^ exponent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     pub exponent: f64,
-    /// Root mean square of what the line misses, as the logarithm to base 10: 0.1 is a miss by a quarter.
+    /// Root mean square of the residuals in log10 units: 0.1 is a deviation by a factor of 1.26.
     pub residual: f64,
-    /// The exponent between the two largest sizes alone. A cost with a constant part has a larger one there than over
-    /// all sizes.
+    /// The exponent between the two largest sizes alone. It exceeds `exponent` if the cost has a constant part.
     pub last_exponent: f64,
 }
 
-/// Fits points of size and figure; `None` for fewer than two different sizes. Figures of nought can't stand on a
-/// logarithmic scale and are left out.
+/// Fits points of (size, figure); `None` for fewer than two different sizes. Zero figures have no logarithm and are
+/// skipped.
 ///
 /// ```
 /// let squares: Vec<(f64, f64)> = [10.0, 30.0, 100.0].iter().map(|size| (*size, 3.0 * size * size)).collect();
@@ -26,14 +25,14 @@
     let count = logs.len() as f64;
     let mean_x = logs.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = logs.iter().map(|point| point.1).sum::<f64>() / count;
-    let spread = logs.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
-    if logs.len() < 2 || spread <= 0.0 {
+    let variance_x = logs.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
+    if logs.len() < 2 || variance_x <= 0.0 {
         return None;
     }
-    let exponent = logs.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum::<f64>() / spread;
-    let miss = |point: &(f64, f64)| point.1 - mean_y - exponent * (point.0 - mean_x);
-    let residual = (logs.iter().map(|point| miss(point).powi(2)).sum::<f64>() / count).sqrt();
-    let [.., before, last] = &logs[..] else { return None };
-    let last_exponent = (last.1 - before.1) / (last.0 - before.0);
+    let exponent = logs.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum::<f64>() / variance_x;
+    let residual_of = |point: &(f64, f64)| point.1 - mean_y - exponent * (point.0 - mean_x);
+    let residual = (logs.iter().map(|point| residual_of(point).powi(2)).sum::<f64>() / count).sqrt();
+    let [.., second_last, last] = &logs[..] else { return None };
+    let last_exponent = (last.1 - second_last.1) / (last.0 - second_last.0);
     Some(Fit { exponent, residual, last_exponent })
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,9 +1,12 @@
 //! Scale tests: how the program's costs grow with the size of the deployment.
 //!
-//! [`slopes`] measures each cost against its own size with the others held and fits an exponent, [`hollow`] plays whole
-//! fleets of the program's state machines without sockets, [`added`] measures the time that a gateway adds to a request,
-//! and [`report`] keeps what they found as tables and charts. [`alloc`] counts what is allocated. `docs/scale.md` says how
-//! to run them and what each figure means.
+//! - [`slopes`] measures each cost against one size, with the other sizes fixed, and fits an exponent.
+//! - [`hollow`] simulates whole fleets of the program's state machines without sockets.
+//! - [`added`] measures the latency that a gateway adds to a request.
+//! - [`report`] writes the results as tables and charts.
+//! - [`alloc`] counts allocations.
+//!
+//! `docs/scale.md` describes how to run the tests and what each figure means.
 
 pub mod added;
 pub mod alloc;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -17,13 +17,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure each cost against its own size and fit how it grows.
+    /// Measure how each cost grows with its size and fit an exponent.
     Slopes(slopes::Args),
-    /// Play a fleet of gateways without sockets.
+    /// Simulate a fleet of gateways without sockets.
     Hollow(hollow::Args),
-    /// Measure the time that one gateway adds to requests over loopback.
+    /// Measure the latency that one gateway adds to requests over loopback.
     Added(added::Args),
-    /// Draw the charts of kept tables again.
+    /// Redraw the charts from existing tables.
     Report(report::Args),
 }
 
@@ -39,8 +39,8 @@
 fn main() -> ExitCode {
     match run(CommandLine::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("martenramp-scale: {why}");
+        Err(error) => {
+            eprintln!("martenramp-scale: {error}");
             ExitCode::FAILURE
         }
     }
