--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -25,11 +25,12 @@
     let count = logs.len() as f64;
     let mean_x = logs.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = logs.iter().map(|point| point.1).sum::<f64>() / count;
-    let variance_x = logs.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
-    if logs.len() < 2 || variance_x <= 0.0 {
+    let sum_squares_x = logs.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
+    if logs.len() < 2 || sum_squares_x <= 0.0 {
         return None;
     }
-    let exponent = logs.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum::<f64>() / variance_x;
+    let exponent =
+        logs.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum::<f64>() / sum_squares_x;
     let residual_of = |point: &(f64, f64)| point.1 - mean_y - exponent * (point.0 - mean_x);
     let residual = (logs.iter().map(|point| residual_of(point).powi(2)).sum::<f64>() / count).sqrt();
     let [.., second_last, last] = &logs[..] else { return None };
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -77,7 +77,7 @@
             family: cost.family.to_string(),
             cost: cost.name.to_string(),
             size_name: cost.size_name.to_string(),
-            held: cost.held.clone(),
+            held: cost.fixed_sizes.clone(),
             size,
             status: status.to_text(),
             steps: figures.steps,
--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -31,7 +31,7 @@
         family: "agreement",
         name,
         size_name: "servers",
-        held: "one gateway".to_string(),
+        fixed_sizes: "one gateway".to_string(),
         sizes: list.servers.clone(),
         prepare: Box::new(prepare),
     };
@@ -39,7 +39,7 @@
         family: "agreement",
         name: "agreement second of a gateway",
         size_name: "voters",
-        held: "one gateway, lease 2 s".to_string(),
+        fixed_sizes: "one gateway, lease 2 s".to_string(),
         sizes: scenario.voters.clone(),
         prepare: Box::new(|voters| receive_one_second(voters as u32, 1)),
     };
@@ -47,7 +47,7 @@
         family: "agreement",
         name: "agreement second of the fleet",
         size_name: "gateways",
-        held: format!("voters {VOTERS}, lease 2 s"),
+        fixed_sizes: format!("voters {VOTERS}, lease 2 s"),
         sizes: scenario.gateways.clone(),
         prepare: Box::new(|gateways| receive_one_second(VOTERS, gateways as usize)),
     };
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -39,7 +39,7 @@
         family: "counter",
         name: "counter calls of an RPC",
         size_name: "gateways of a tenant",
-        held: format!("{FIXED_RATE} RPCs a second"),
+        fixed_sizes: format!("{FIXED_RATE} RPCs a second"),
         sizes: scenario.gateways.clone(),
         prepare: Box::new(|gateways| serve_tenant(gateways as usize, FIXED_RATE)),
     };
@@ -47,7 +47,7 @@
         family: "counter",
         name: "counter calls of an RPC",
         size_name: "RPCs a second",
-        held: format!("gateways of a tenant {FIXED_GATEWAYS}"),
+        fixed_sizes: format!("gateways of a tenant {FIXED_GATEWAYS}"),
         sizes: scenario.rates.clone(),
         prepare: Box::new(|rate| serve_tenant(FIXED_GATEWAYS as usize, rate)),
     };
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -30,7 +30,7 @@
         family: "list",
         name: "list read",
         size_name: "servers",
-        held: "no fleet".to_string(),
+        fixed_sizes: "no fleet".to_string(),
         sizes: scenario.servers.clone(),
         prepare: Box::new(|servers| read_whole_list(servers as usize)),
     }];
@@ -46,7 +46,7 @@
         family: "list",
         name,
         size_name: "servers",
-        held: format!("fleet {fleet}"),
+        fixed_sizes: format!("fleet {fleet}"),
         sizes: scenario.servers.clone(),
         prepare: Box::new(move |servers| prepare(servers as usize, fleet as usize)),
     }
@@ -58,7 +58,7 @@
         family: "list",
         name,
         size_name: "fleet",
-        held: format!("servers {servers}"),
+        fixed_sizes: format!("servers {servers}"),
         sizes: scenario.fleets.clone(),
         prepare: Box::new(move |fleet| prepare(servers as usize, fleet as usize)),
     }
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -47,7 +47,7 @@
     pub name: &'static str,
     /// What the size counts, and which other sizes are fixed.
     pub size_name: &'static str,
-    pub held: String,
+    pub fixed_sizes: String,
     pub sizes: Vec<u64>,
     /// Prepares the operation at a size.
     pub prepare: Box<dyn Fn(u64) -> Result<Operation, ScaleError>>,
--- a/crates/scale/src/slopes/rpcs.rs
+++ b/crates/scale/src/slopes/rpcs.rs
@@ -18,7 +18,7 @@
 /// A fleet in which a gateway uses a subset of the servers, and one in which it uses all of them.
 const LARGE_FLEET: usize = 5_800;
 const SMALL_FLEET: usize = 3;
-/// How long an RPC stays in flight, and the number of servers.
+/// How long an RPC stays in flight, and the number of servers that share the RPCs.
 const TIME_IN_FLIGHT: Nanos = 20_000_000;
 const IN_FLIGHT_SERVERS: usize = 240;
 
@@ -28,7 +28,7 @@
         family: "rpcs",
         name: "rpc server chosen",
         size_name: "servers",
-        held: format!("fleet {fleet}, 570 RPCs a second"),
+        fixed_sizes: format!("fleet {fleet}, 570 RPCs a second"),
         sizes: scenario.servers.clone(),
         prepare: Box::new(move |servers| serve_sequentially(servers as usize, fleet)),
     };
@@ -36,7 +36,7 @@
         family: "rpcs",
         name: "rpc in flight",
         size_name: "in flight",
-        held: format!("servers {IN_FLIGHT_SERVERS}, fleet {SMALL_FLEET}, each 20 ms"),
+        fixed_sizes: format!("servers {IN_FLIGHT_SERVERS}, fleet {SMALL_FLEET}, each 20 ms"),
         sizes: scenario.in_flight.clone(),
         prepare: Box::new(|count| keep_in_flight(count as usize)),
     };
--- a/crates/scale/src/slopes/settings.rs
+++ b/crates/scale/src/slopes/settings.rs
@@ -28,7 +28,7 @@
         family: "settings",
         name,
         size_name: "plans",
-        held: format!("servers {SERVERS}, fleet {FLEET}"),
+        fixed_sizes: format!("servers {SERVERS}, fleet {FLEET}"),
         sizes: scenario.plans.clone(),
         prepare: Box::new(move |plans| prepare(plans as usize)),
     };
@@ -36,7 +36,7 @@
         family: "settings",
         name: "version in force",
         size_name: "servers",
-        held: format!("plans 1, fleet {FLEET}"),
+        fixed_sizes: format!("plans 1, fleet {FLEET}"),
         sizes: list.servers.clone(),
         prepare: Box::new(|servers| apply_version(1, servers as usize)),
     };
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -28,7 +28,7 @@
         family: "tenants",
         name,
         size_name: "tenants",
-        held: format!("servers {SERVERS}, fleet {FLEET}"),
+        fixed_sizes: format!("servers {SERVERS}, fleet {FLEET}"),
         sizes: sizes.to_vec(),
         prepare: Box::new(prepare),
     };
