--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -4,7 +4,7 @@
 use super::scenario::{Agreement as AgreementSizes, List};
 use crate::ScaleError;
 use crate::alloc::without_counting;
-use crate::deployment::{START, WHOLE_INDEX};
+use crate::deployment::{SNAPSHOT_INDEX, START_TIME};
 use crate::measure::{Operation, Traffic};
 use agreement::config::AgreementConfig;
 use agreement::lease::ContentId;
@@ -72,7 +72,7 @@
         max_clock_error: MAX_CLOCK_ERROR,
     };
     let content = ContentId { version: 1, digest: 1 };
-    let mut member = Agreement::new(config, Some(number), number, START, content, 0);
+    let mut member = Agreement::new(config, Some(number), number, START_TIME, content, 0);
     member.skip_recovery();
     member
 }
@@ -83,7 +83,7 @@
     let mut recorded: Vec<Vec<Datagram>> = (0..seconds).map(|_| Vec::new()).collect();
     let interval = LEASE_DURATION / 4;
     for tick in 0..seconds * SECOND / interval {
-        let at = START + tick * interval;
+        let at = START_TIME + tick * interval;
         let messages: Vec<LeaseMessage> =
             members.iter_mut().flat_map(|member| member.poll_messages(at)).collect();
         for member in &mut members {
@@ -139,11 +139,11 @@
 pub fn evaluate_whole_list(servers: u64) -> Result<Operation, ScaleError> {
     let list = without_counting(|| listed_servers(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
-    let mut index = WHOLE_INDEX;
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
-        std::hint::black_box(lists.apply(START, index, true, &list));
+        std::hint::black_box(lists.apply(START_TIME, index, true, &list));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_EVALUATIONS })
@@ -153,14 +153,14 @@
 pub fn evaluate_changed_server(servers: u64) -> Result<Operation, ScaleError> {
     let list = without_counting(|| listed_servers(servers));
     let mut lists = ListTracker::default();
-    lists.apply(START, WHOLE_INDEX, true, &list);
+    lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
     let changed = list[list.len() / 2];
     without_counting(|| drop(list));
-    let mut index = WHOLE_INDEX;
+    let mut index = SNAPSHOT_INDEX;
     let step = move || {
         index += 1;
         let ready = index % 2 == 1;
-        std::hint::black_box(lists.apply(START, index, false, &[ListedServer { ready, ..changed }]));
+        std::hint::black_box(lists.apply(START_TIME, index, false, &[ListedServer { ready, ..changed }]));
         Ok(Traffic::default())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_EVALUATIONS })
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -7,9 +7,9 @@
 use super::Cost;
 use super::scenario::Counter;
 use crate::ScaleError;
-use crate::deployment::{START, Service, whole_list};
+use crate::deployment::{START_TIME, ServiceConfig, full_list};
+use crate::gateway_driver::{RecordingHost, counter_reply};
 use crate::measure::{Operation, Traffic};
-use crate::player::{Asked, counter_answer};
 use crate::replica::Replica;
 use gateway::counter::{Call, CounterConnection};
 use gateway::timers::Timers;
@@ -74,7 +74,7 @@
 
 struct Gateway {
     replica: Replica,
-    asked: Asked,
+    asked: RecordingHost,
 }
 
 /// Gateways that share one tenant, and their emulated counter.
@@ -109,17 +109,17 @@
 impl TenantSimulation {
     fn new(gateways: usize, rate: u64) -> Result<TenantSimulation, ScaleError> {
         let plan_rate = PLAN_RATE * rate as f64;
-        let list = whole_list(SERVERS);
+        let list = full_list(SERVERS);
         let gateway = |number: usize| {
-            let service = Service {
-                number: Some(number),
+            let service = ServiceConfig {
+                gateway_index: Some(number),
                 rate: plan_rate,
                 burst: PLAN_BURST_SECONDS * plan_rate,
-                ..Service::of(gateways)
+                ..ServiceConfig::for_fleet(gateways)
             };
             let mut replica = Replica::new(&service)?;
-            replica.take(START, &list);
-            Ok(Gateway { replica, asked: Asked::default() })
+            replica.apply(START_TIME, &list);
+            Ok(Gateway { replica, asked: RecordingHost::default() })
         };
         Ok(TenantSimulation {
             gateways: (0..gateways).map(gateway).collect::<Result<_, ScaleError>>()?,
@@ -136,8 +136,8 @@
 
     /// Runs until all RPCs are answered or their clients have timed out.
     fn run(&mut self, rpcs: u64) {
-        self.events.set(START, (0, Event::RpcArrival));
-        let last = START + rpcs * SECOND / self.rate;
+        self.events.set(START_TIME, (0, Event::RpcArrival));
+        let last = START_TIME + rpcs * SECOND / self.rate;
         while let Some(at) = self.events.next_due().filter(|at| *at < last + CLIENT_TIMEOUT) {
             let Some((gateway, event)) = self.events.pop_due(at) else { return };
             self.handle_event(at, gateway, event, rpcs);
@@ -152,9 +152,9 @@
         asked.now = now;
         match event {
             Event::RpcArrival => {}
-            Event::TimerDue(token) => replica.brain.on_timer(asked, now, token),
+            Event::TimerDue(token) => replica.controller.on_timer(asked, now, token),
             Event::CounterReply { name, total } => {
-                replica.brain.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
+                replica.controller.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::AttemptEnded { rpc, server, attempt, sent } => {
                 let (outcome, duration) = (CallOutcome::Ok, now - sent);
@@ -169,7 +169,7 @@
                     load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.brain.on_attempt_end(asked, now, &ended);
+                replica.controller.on_attempt_end(asked, now, &ended);
             }
         }
         self.schedule_actions(now, gateway);
@@ -193,14 +193,14 @@
         };
         let Gateway { replica, asked } = &mut self.gateways[gateway];
         asked.now = now;
-        replica.brain.on_arrival(asked, now, &arrival);
+        replica.controller.on_arrival(asked, now, &arrival);
         self.schedule_actions(now, gateway);
     }
 
     /// Schedules the events that follow from the module's actions.
     fn schedule_actions(&mut self, now: Nanos, gateway: usize) {
         let asked = &mut self.gateways[gateway].asked;
-        for attempt in asked.call_outs.drain(..) {
+        for attempt in asked.attempts.drain(..) {
             let event = Event::AttemptEnded {
                 rpc: attempt.rpc,
                 server: attempt.server,
@@ -214,12 +214,12 @@
                 self.events.set(at, (gateway, Event::TimerDue(token)));
             }
         }
-        for (name, add, ttl) in asked.counts.drain(..) {
+        for (name, add, ttl) in asked.counter_calls.drain(..) {
             self.calls += 1;
             self.traffic.sent.add(encoded_call_len(Call { serial: self.calls, name, add, ttl }));
             let total = self.totals.entry(name).or_insert(0.0);
             *total += add;
-            self.traffic.received.add(counter_answer(*total).len());
+            self.traffic.received.add(counter_reply(*total).len());
             self.events
                 .set(now + COUNTER_LATENCY, (gateway, Event::CounterReply { name, total: total.to_bits() }));
         }
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -5,9 +5,11 @@
 use super::scenario::List;
 use crate::ScaleError;
 use crate::alloc::without_counting;
-use crate::deployment::{START, Service, Status, ZONES, change, encode, whole_list};
+use crate::deployment::{
+    START_TIME, ServiceConfig, Status, ZONE_COUNT, encode_chunk, full_list, status_update,
+};
 use crate::measure::{Operation, Traffic};
-use crate::replica::{Replica, read_watch};
+use crate::replica::{Replica, parse_watch};
 
 /// Maximum number of steps that each apply one change.
 const MAX_CHANGES: usize = 200;
@@ -66,11 +68,11 @@
 
 /// Parses the encoded whole list into entries.
 pub fn read_whole_list(servers: usize) -> Result<Operation, ScaleError> {
-    let bytes = without_counting(|| encode(&whole_list(servers)));
+    let bytes = without_counting(|| encode_chunk(&full_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(bytes.len());
-        drop(read_watch(&bytes)?);
+        drop(parse_watch(&bytes)?);
         Ok(traffic)
     };
     Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_WHOLE_LISTS })
@@ -78,12 +80,12 @@
 
 /// Applies a parsed whole list to a new gateway.
 pub fn apply_whole_list(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let list = without_counting(|| whole_list(servers));
+    let list = without_counting(|| full_list(servers));
     let mut replicas: Vec<Replica> = Vec::new();
     let step = move || {
         replicas.clear();
-        let mut replica = Replica::new(&Service::of(fleet))?;
-        replica.take(START, &list);
+        let mut replica = Replica::new(&ServiceConfig::for_fleet(fleet))?;
+        replica.apply(START_TIME, &list);
         replicas.push(replica);
         Ok(Traffic::default())
     };
@@ -98,7 +100,7 @@
 
 /// Parses and applies a change of all servers of a zone, alternately to gone and to ready.
 pub fn apply_zone_change(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let zone: Vec<usize> = (0..servers).step_by(ZONES).collect();
+    let zone: Vec<usize> = (0..servers).step_by(ZONE_COUNT).collect();
     alternate_changes(servers, fleet, &zone, Status::Gone)
 }
 
@@ -108,13 +110,13 @@
     changed: &[usize],
     changed_status: Status,
 ) -> Result<Operation, ScaleError> {
-    let mut replica = Replica::new(&Service::of(fleet))?;
-    let list = without_counting(|| whole_list(servers));
-    replica.take(START, &list);
+    let mut replica = Replica::new(&ServiceConfig::for_fleet(fleet))?;
+    let list = without_counting(|| full_list(servers));
+    replica.apply(START_TIME, &list);
     without_counting(|| drop(list));
-    let encoded = |status| without_counting(|| encode(&change(changed.iter().copied(), status)));
+    let encoded = |status| without_counting(|| encode_chunk(&status_update(changed.iter().copied(), status)));
     let changes = [encoded(changed_status), encoded(Status::Ready)];
-    let (mut now, mut next) = (START, 0);
+    let (mut now, mut next) = (START_TIME, 0);
     let step = move || {
         let mut traffic = Traffic::default();
         traffic.received.add(changes[next].len());
--- a/crates/scale/src/slopes/rpcs.rs
+++ b/crates/scale/src/slopes/rpcs.rs
@@ -3,9 +3,9 @@
 use super::Cost;
 use super::scenario::Rpcs;
 use crate::ScaleError;
-use crate::deployment::Service;
+use crate::deployment::ServiceConfig;
+use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
-use crate::player::Player;
 use martenramp::host::Nanos;
 
 /// RPCs per step.
@@ -46,15 +46,15 @@
 /// Serves RPCs one after the other. The gateway gets no number of its own, so its subset is drawn without the table of
 /// all subsets, which is infeasible to compute at these sizes. The subset has the same size either way.
 pub fn serve_sequentially(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
-    let service = Service { number: None, ..Service::of(fleet) };
-    let mut player = Player::new(&service, servers, RPC_INTERVAL)?;
+    let service = ServiceConfig { gateway_index: None, ..ServiceConfig::for_fleet(fleet) };
+    let mut driver = GatewayDriver::new(&service, servers, RPC_INTERVAL)?;
     let mut next = 0;
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
             next += 1;
-            player.serve(next % TENANTS, 0)?;
+            driver.serve_rpc(next % TENANTS, 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
@@ -62,23 +62,23 @@
 /// Keeps `count` RPCs in flight: in each operation one arrives and the oldest ends.
 pub fn keep_in_flight(count: usize) -> Result<Operation, ScaleError> {
     let interval = TIME_IN_FLIGHT / count as Nanos;
-    let mut player = Player::new(&Service::of(SMALL_FLEET), IN_FLIGHT_SERVERS, interval)?;
-    player.served_in = 0;
+    let mut driver = GatewayDriver::new(&ServiceConfig::for_fleet(SMALL_FLEET), IN_FLIGHT_SERVERS, interval)?;
+    driver.service_time = 0;
     let mut next = 0;
     let mut exchange_one = move |filling: bool| -> Result<Traffic, ScaleError> {
         next += 1;
-        player.step();
-        player.begin(next % TENANTS, 0);
-        let open = player.asked.call_outs.len();
+        driver.advance();
+        driver.start_rpc(next % TENANTS, 0);
+        let open = driver.host.attempts.len();
         // During filling, answer two of three RPCs, so that the module learns how long servers take.
         if !(filling && open < count && next % 3 == 0) {
-            player.end_oldest();
+            driver.complete_oldest_attempt();
         }
-        if !filling && player.asked.call_outs.len() < count / 2 {
+        if !filling && driver.host.attempts.len() < count / 2 {
             let why = format!("only {open} of {count} RPCs are in flight");
             return Err(ScaleError::Measurement { what: "RPCs in flight".to_string(), why });
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     for _ in 0..4 * count {
         exchange_one(true)?;
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -3,9 +3,9 @@
 use super::Cost;
 use super::scenario::Tenants;
 use crate::ScaleError;
-use crate::deployment::Service;
+use crate::deployment::ServiceConfig;
+use crate::gateway_driver::GatewayDriver;
 use crate::measure::{Operation, Traffic};
-use crate::player::Player;
 use martenramp::host::Nanos;
 
 /// Servers listed and gateways in the fleet.
@@ -44,28 +44,28 @@
 }
 
 /// A gateway that has served `times` RPCs of each of `tenants` tenants.
-fn player_with_tenants(tenants: u64, times: u64) -> Result<Player, ScaleError> {
+fn player_with_tenants(tenants: u64, times: u64) -> Result<GatewayDriver, ScaleError> {
     let interval = (FIRST_SEEN_WITHIN / (tenants * times)).max(1);
-    let mut player = Player::new(&Service::of(FLEET), SERVERS, interval)?;
+    let mut driver = GatewayDriver::new(&ServiceConfig::for_fleet(FLEET), SERVERS, interval)?;
     for _ in 0..times {
         for tenant in 0..tenants {
-            player.serve(tenant, 0)?;
+            driver.serve_rpc(tenant, 0)?;
         }
     }
-    player.traffic();
-    Ok(player)
+    driver.take_traffic();
+    Ok(driver)
 }
 
 /// Serves RPCs of tenants that the gateway has not seen before.
 pub fn serve_new_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = player_with_tenants(tenants, 1)?;
+    let mut driver = player_with_tenants(tenants, 1)?;
     let mut next = tenants;
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
             next += 1;
-            player.serve(next, 0)?;
+            driver.serve_rpc(next, 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     // Few steps, so that the number of known tenants stays near the size.
     let max_steps = (tenants / RPCS_PER_STEP / 10).clamp(1, MAX_STEPS as u64) as usize;
@@ -74,41 +74,41 @@
 
 /// Serves RPCs of random known tenants that have sent one RPC each.
 pub fn serve_known_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = player_with_tenants(tenants, 1)?;
+    let mut driver = player_with_tenants(tenants, 1)?;
     let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
-            player.serve(rng.u64(..tenants), 0)?;
+            driver.serve_rpc(rng.u64(..tenants), 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
 
 /// Serves RPCs of random known tenants that have sent many RPCs each.
 pub fn serve_busy_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = player_with_tenants(tenants, BUSY_RPCS)?;
+    let mut driver = player_with_tenants(tenants, BUSY_RPCS)?;
     let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
-            player.serve(rng.u64(..tenants), 0)?;
+            driver.serve_rpc(rng.u64(..tenants), 0)?;
         }
-        Ok(player.traffic())
+        Ok(driver.take_traffic())
     };
     Ok(Operation { step: Box::new(step), operations_per_step: RPCS_PER_STEP, max_steps: MAX_STEPS })
 }
 
 /// Serves the RPC during which all idle tenants are forgotten.
 pub fn forget_idle_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut player = player_with_tenants(tenants, 1)?;
+    let mut driver = player_with_tenants(tenants, 1)?;
     // A pending timer counts as use of the tenant when it fires, so all timers fire first.
     for _ in 0..IDLE_INTERVALS {
-        player.asked.now += IDLE_INTERVAL;
-        player.step();
+        driver.host.now += IDLE_INTERVAL;
+        driver.advance();
     }
     let step = move || {
-        player.serve(tenants, 0)?;
-        let remaining = player.replica.brain.customer_count();
+        driver.serve_rpc(tenants, 0)?;
+        let remaining = driver.replica.controller.customer_count();
         if remaining > 1 {
             let why = format!("{remaining} of {tenants} tenants were not forgotten");
             return Err(ScaleError::Measurement { what: "forgetting tenants".to_string(), why });
--- a/crates/scale/tests/guard.rs
+++ b/crates/scale/tests/guard.rs
@@ -3,9 +3,9 @@
 
 use scale::ScaleError;
 use scale::alloc::CountingAllocator;
-use scale::deployment::{encode, whole_list};
+use scale::deployment::{encode_chunk, full_list};
 use scale::measure::{Figures, Operation, measure};
-use scale::replica::read_watch_within;
+use scale::replica::parse_watch_within;
 use scale::slopes::{agreement, counter, list, rpcs, settings, tenants};
 use std::time::Duration;
 
@@ -265,8 +265,8 @@
 
 #[test]
 fn list_whose_entries_exceed_their_memory_limit_is_rejected_whole() {
-    let bytes = encode(&whole_list(20_000));
-    assert_eq!(read_watch_within(16 << 20, &bytes).unwrap()[0].entries.len(), 20_000);
-    let rejected = read_watch_within(1 << 20, &bytes);
+    let bytes = encode_chunk(&full_list(20_000));
+    assert_eq!(parse_watch_within(16 << 20, &bytes).unwrap()[0].entries.len(), 20_000);
+    let rejected = parse_watch_within(1 << 20, &bytes);
     assert!(matches!(rejected, Err(ScaleError::Refused { why: "list-too-long" })), "{rejected:?}");
 }
