--- a/crates/scale/src/slopes/agreement.rs
+++ b/crates/scale/src/slopes/agreement.rs
@@ -54,7 +54,7 @@
     vec![
         gateway_cost,
         fleet_cost,
-        lists("list judged whole", evaluate_whole_list),
+        lists("list judged whole", evaluate_full_list),
         lists("list judged change", evaluate_changed_server),
     ]
 }
@@ -135,8 +135,8 @@
         .collect()
 }
 
-/// Evaluates a whole list that is equal to the current one.
-pub fn evaluate_whole_list(servers: u64) -> Result<Operation, ScaleError> {
+/// Evaluates a full list that is equal to the current one.
+pub fn evaluate_full_list(servers: u64) -> Result<Operation, ScaleError> {
     let list = without_counting(|| listed_servers(servers));
     let mut lists = ListTracker::default();
     lists.apply(START_TIME, SNAPSHOT_INDEX, true, &list);
--- a/crates/scale/src/slopes/counter.rs
+++ b/crates/scale/src/slopes/counter.rs
@@ -74,7 +74,7 @@
 
 struct Gateway {
     replica: Replica,
-    asked: RecordingHost,
+    host: RecordingHost,
 }
 
 /// Gateways that share one tenant, and their emulated counter.
@@ -119,7 +119,7 @@
             };
             let mut replica = Replica::new(&service)?;
             replica.apply(START_TIME, &list);
-            Ok(Gateway { replica, asked: RecordingHost::default() })
+            Ok(Gateway { replica, host: RecordingHost::default() })
         };
         Ok(TenantSimulation {
             gateways: (0..gateways).map(gateway).collect::<Result<_, ScaleError>>()?,
@@ -148,13 +148,13 @@
         if event == Event::RpcArrival {
             return self.handle_arrival(now, rpcs);
         }
-        let Gateway { replica, asked } = &mut self.gateways[gateway];
-        asked.now = now;
+        let Gateway { replica, host } = &mut self.gateways[gateway];
+        host.now = now;
         match event {
             Event::RpcArrival => {}
-            Event::TimerDue(token) => replica.controller.on_timer(asked, now, token),
+            Event::TimerDue(token) => replica.controller.on_timer(host, now, token),
             Event::CounterReply { name, total } => {
-                replica.controller.on_counter_reply(asked, now, name, CallOutcome::Ok, f64::from_bits(total));
+                replica.controller.on_counter_reply(host, now, name, CallOutcome::Ok, f64::from_bits(total));
             }
             Event::AttemptEnded { rpc, server, attempt, sent } => {
                 let (outcome, duration) = (CallOutcome::Ok, now - sent);
@@ -169,7 +169,7 @@
                     load_report: Vec::new(),
                 };
                 self.served += 1;
-                replica.controller.on_attempt_end(asked, now, &ended);
+                replica.controller.on_attempt_end(host, now, &ended);
             }
         }
         self.schedule_actions(now, gateway);
@@ -191,16 +191,16 @@
             gateway_count: self.gateways.len() as u32,
             ..Arrival::default()
         };
-        let Gateway { replica, asked } = &mut self.gateways[gateway];
-        asked.now = now;
-        replica.controller.on_arrival(asked, now, &arrival);
+        let Gateway { replica, host } = &mut self.gateways[gateway];
+        host.now = now;
+        replica.controller.on_arrival(host, now, &arrival);
         self.schedule_actions(now, gateway);
     }
 
     /// Schedules the events that follow from the module's actions.
     fn schedule_actions(&mut self, now: Nanos, gateway: usize) {
-        let asked = &mut self.gateways[gateway].asked;
-        for attempt in asked.attempts.drain(..) {
+        let host = &mut self.gateways[gateway].host;
+        for attempt in host.attempts.drain(..) {
             let event = Event::AttemptEnded {
                 rpc: attempt.rpc,
                 server: attempt.server,
@@ -209,12 +209,12 @@
             };
             self.events.set(now + SERVICE_TIME, (gateway, event));
         }
-        while let Some(at) = asked.timers.next_due() {
-            if let Some(token) = asked.timers.pop_due(at) {
+        while let Some(at) = host.timers.next_due() {
+            if let Some(token) = host.timers.pop_due(at) {
                 self.events.set(at, (gateway, Event::TimerDue(token)));
             }
         }
-        for (name, add, ttl) in asked.counter_calls.drain(..) {
+        for (name, add, ttl) in host.counter_calls.drain(..) {
             self.calls += 1;
             self.traffic.sent.add(encoded_call_len(Call { serial: self.calls, name, add, ttl }));
             let total = self.totals.entry(name).or_insert(0.0);
--- a/crates/scale/src/slopes/list.rs
+++ b/crates/scale/src/slopes/list.rs
@@ -1,4 +1,4 @@
-//! Costs of discovery's list: parsing it, applying it as a whole, and applying a change of one server or of a whole
+//! Costs of discovery's list: parsing it, applying it in full, and applying a change of one server or of a whole
 //! zone.
 
 use super::Cost;
@@ -13,15 +13,15 @@
 
 /// Maximum number of steps that each apply one change.
 const MAX_CHANGES: usize = 200;
-/// Maximum number of steps that each read or apply a whole list.
-const MAX_WHOLE_LISTS: usize = 20;
+/// Maximum number of steps that each parse or apply a full list.
+const MAX_FULL_LISTS: usize = 20;
 
 /// Prepares an operation for a number of servers and a fleet size.
 type Prepare = fn(servers: usize, fleet: usize) -> Result<Operation, ScaleError>;
 
 /// Costs measured against both the number of servers and the fleet size.
 const BY_SERVERS_AND_FLEET: [(&str, Prepare); 3] = [
-    ("list taken whole", apply_whole_list),
+    ("list taken whole", apply_full_list),
     ("list one change", apply_one_change),
     ("list zone gone", apply_zone_change),
 ];
@@ -34,7 +34,7 @@
         size_name: "servers",
         fixed_sizes: "no fleet".to_string(),
         sizes: scenario.servers.clone(),
-        prepare: Box::new(|servers| read_whole_list(servers as usize)),
+        prepare: Box::new(|servers| parse_full_list(servers as usize)),
     }];
     for (name, prepare) in BY_SERVERS_AND_FLEET {
         costs.extend(scenario.held_fleets.iter().map(|fleet| by_servers(name, prepare, *fleet, scenario)));
@@ -66,8 +66,8 @@
     }
 }
 
-/// Parses the encoded whole list into entries.
-pub fn read_whole_list(servers: usize) -> Result<Operation, ScaleError> {
+/// Parses an encoded full list into entries.
+pub fn parse_full_list(servers: usize) -> Result<Operation, ScaleError> {
     let bytes = without_counting(|| encode_chunk(&full_list(servers)));
     let step = move || {
         let mut traffic = Traffic::default();
@@ -75,11 +75,11 @@
         drop(parse_watch(&bytes)?);
         Ok(traffic)
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_WHOLE_LISTS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_FULL_LISTS })
 }
 
-/// Applies a parsed whole list to a new gateway.
-pub fn apply_whole_list(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
+/// Applies a parsed full list to a new gateway.
+pub fn apply_full_list(servers: usize, fleet: usize) -> Result<Operation, ScaleError> {
     let list = without_counting(|| full_list(servers));
     let mut replicas: Vec<Replica> = Vec::new();
     let step = move || {
@@ -89,7 +89,7 @@
         replicas.push(replica);
         Ok(Traffic::default())
     };
-    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_WHOLE_LISTS })
+    Ok(Operation { step: Box::new(step), operations_per_step: 1, max_steps: MAX_FULL_LISTS })
 }
 
 /// Parses and applies a change of one server, alternately to draining and to ready.
--- a/crates/scale/src/slopes/process.rs
+++ b/crates/scale/src/slopes/process.rs
@@ -66,7 +66,8 @@
 fn measure(program: &Path, servers: usize, fleet: usize) -> Result<ProcessRow, ScaleError> {
     let list = encode_chunk(&full_list(servers));
     let server = [servers / 2];
-    let changes = [Status::Draining, Status::Ready].map(|status| encode_chunk(&status_update(server, status)));
+    let changes =
+        [Status::Draining, Status::Ready].map(|status| encode_chunk(&status_update(server, status)));
     let changes = changes.map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     let (list_bytes, change_bytes) = (list.len(), changes[0].len());
     let mut reply = String::from_utf8_lossy(WATCH_HEAD).into_owned();
--- a/crates/scale/src/slopes/tenants.rs
+++ b/crates/scale/src/slopes/tenants.rs
@@ -44,7 +44,7 @@
 }
 
 /// A gateway that has served `times` RPCs of each of `tenants` tenants.
-fn player_with_tenants(tenants: u64, times: u64) -> Result<GatewayDriver, ScaleError> {
+fn driver_with_tenants(tenants: u64, times: u64) -> Result<GatewayDriver, ScaleError> {
     let interval = (FIRST_SEEN_WITHIN / (tenants * times)).max(1);
     let mut driver = GatewayDriver::new(&ServiceConfig::for_fleet(FLEET), SERVERS, interval)?;
     for _ in 0..times {
@@ -58,7 +58,7 @@
 
 /// Serves RPCs of tenants that the gateway has not seen before.
 pub fn serve_new_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut driver = player_with_tenants(tenants, 1)?;
+    let mut driver = driver_with_tenants(tenants, 1)?;
     let mut next = tenants;
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
@@ -74,7 +74,7 @@
 
 /// Serves RPCs of random known tenants that have sent one RPC each.
 pub fn serve_known_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut driver = player_with_tenants(tenants, 1)?;
+    let mut driver = driver_with_tenants(tenants, 1)?;
     let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
@@ -87,7 +87,7 @@
 
 /// Serves RPCs of random known tenants that have sent many RPCs each.
 pub fn serve_busy_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut driver = player_with_tenants(tenants, BUSY_RPCS)?;
+    let mut driver = driver_with_tenants(tenants, BUSY_RPCS)?;
     let mut rng = fastrand::Rng::with_seed(tenants);
     let step = move || {
         for _ in 0..RPCS_PER_STEP {
@@ -100,7 +100,7 @@
 
 /// Serves the RPC during which all idle tenants are forgotten.
 pub fn forget_idle_tenants(tenants: u64) -> Result<Operation, ScaleError> {
-    let mut driver = player_with_tenants(tenants, 1)?;
+    let mut driver = driver_with_tenants(tenants, 1)?;
     // A pending timer counts as use of the tenant when it fires, so all timers fire first.
     for _ in 0..IDLE_INTERVALS {
         driver.host.now += IDLE_INTERVAL;
--- a/crates/scale/tests/guard.rs
+++ b/crates/scale/tests/guard.rs
@@ -103,22 +103,22 @@
 
 const GUARDS: [Guard; 24] = [
     guard("list read, bytes allocated by servers", [800, 6400], ALLOCATED, PROPORTIONAL, |servers| {
-        list::read_whole_list(servers as usize)
+        list::parse_full_list(servers as usize)
     }),
     guard("list read, peak by servers", [800, 6400], PEAK, PROPORTIONAL, |servers| {
-        list::read_whole_list(servers as usize)
+        list::parse_full_list(servers as usize)
     }),
     guard("list read, bytes received by servers", [800, 6400], RECEIVED, PROPORTIONAL, |servers| {
-        list::read_whole_list(servers as usize)
+        list::parse_full_list(servers as usize)
     }),
     guard("list taken whole, bytes allocated by servers", [60, 480], ALLOCATED, PROPORTIONAL, |servers| {
-        list::apply_whole_list(servers as usize, FIXED_FLEET)
+        list::apply_full_list(servers as usize, FIXED_FLEET)
     }),
     guard("list taken whole, bytes at rest by servers", [60, 480], LIVE_AT_REST, PROPORTIONAL, |servers| {
-        list::apply_whole_list(servers as usize, FIXED_FLEET)
+        list::apply_full_list(servers as usize, FIXED_FLEET)
     }),
     guard("list taken whole, bytes at rest by fleet", [60, 480], LIVE_AT_REST, CONSTANT, |fleet| {
-        list::apply_whole_list(FIXED_SERVERS, fleet as usize)
+        list::apply_full_list(FIXED_SERVERS, fleet as usize)
     }),
     guard("zone gone, bytes allocated by servers", [63, 504], ALLOCATED, PROPORTIONAL, |servers| {
         list::apply_zone_change(servers as usize, FIXED_FLEET)
@@ -257,7 +257,7 @@
 
 #[test]
 fn list_larger_than_eight_mebibytes_is_read_whole() {
-    let read = measure(&|| list::read_whole_list(100_000), Duration::ZERO).unwrap();
+    let read = measure(&|| list::parse_full_list(100_000), Duration::ZERO).unwrap();
     assert!(read.received_bytes > f64::from(8 << 20), "{read:?}");
     // The encoded object is never buffered as a whole; the peak consists of its entries.
     assert!(read.peak_bytes < 2.0 * read.received_bytes, "{read:?}");
