--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -95,9 +95,9 @@
         Some("report") => {
             let dir = options.target.clone().unwrap_or(options.out());
             let made = if dir.join("sweep.csv").exists() {
-                crate::sweep::chart(&dir)?
+                crate::sweep::draw_charts(&dir)?
             } else {
-                report::chart_runs(&dir)?
+                report::draw_run_charts(&dir)?
             };
             made.iter().for_each(|path| println!("wrote {}", path.display()));
             Ok(())
@@ -130,7 +130,7 @@
             point.arrived,
             point.service,
             point.lost,
-            point.overshoot_over_5,
+            point.overshoot_over_5_percent,
             point.wall_ms,
             point.events_per_s
         );
@@ -155,7 +155,7 @@
         let record = crate::world::play(scenario, kind, Some(&bar));
         bar.finish_and_clear();
         let wall = started.elapsed();
-        report::write_csv(&report::run_path(out, &scenario.name, kind), &report::rows(&record))?;
+        report::write_csv(&report::run_table_path(out, &scenario.name, kind), &report::time_rows(&record))?;
         let summary = Summary::of(scenario, kind, &record);
         println!(
             "{:<7} arrived {:>9}  ok {:>9}  pushed back {:>8}  aborted {:>6}  lost {:>5}  service {:.3}  \
@@ -163,12 +163,12 @@
             kind.name(),
             summary.arrived,
             summary.ok,
-            summary.pushed_back,
+            summary.rejected,
             summary.aborted,
             summary.lost,
             summary.service,
             summary.p99_ms,
-            summary.overshoot_over_5,
+            summary.overshoot_over_5_percent,
             summary.overshoot_windows,
             summary.events,
             wall.as_millis()
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -48,7 +48,7 @@
                 let first = chance.random_range(0..scenario.gateways);
                 for load in &group.load {
                     let method = methods.iter().position(|method| method.name == load.method).unwrap_or(0);
-                    let (units, rate, width) = (load.units, load.rate, group.width);
+                    let (units, rate, width) = (load.units, load.rate, group.gateways_per_customer);
                     streams.push(Stream { customer, method: method as u16, plan, units, rate, first, width });
                 }
             }
@@ -79,8 +79,8 @@
 
     /// After a push-back or a cut: whether the client sends the RPC again, and after how long.
     pub fn retry_delay(&mut self, tries: u32, retry_after: Nanos) -> Option<Nanos> {
-        let again = tries < self.model.retries_most && self.chance.random::<f64>() < self.model.retry_share;
-        let after = if self.model.retry_at_once { nanos(0.001) } else { retry_after.max(nanos(0.05)) };
+        let again = tries < self.model.max_retries && self.chance.random::<f64>() < self.model.retry_share;
+        let after = if self.model.retry_immediately { nanos(0.001) } else { retry_after.max(nanos(0.05)) };
         again.then_some(after)
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -11,7 +11,7 @@
 //! let scenario = lab::scenario::Scenario::from_toml(text).unwrap();
 //! let record = lab::world::play(&scenario, lab::gates::Kind::Design, None);
 //! assert!(record.total.arrived > 0);
-//! assert_eq!(record.total.arrived, record.total.finals() + record.total.left + record.total.cut);
+//! assert_eq!(record.total.arrived, record.total.resolved() + record.total.abandoned + record.total.disconnected);
 //! ```
 #![deny(missing_docs)]
 
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -15,38 +15,47 @@
     /// Answered ok.
     pub ok: u64,
     /// Rejected.
-    pub pushed_back: u64,
+    #[serde(rename = "pushed_back")]
+    pub rejected: u64,
     /// Aborted.
     pub aborted: u64,
     /// Without an answer.
     pub lost: u64,
     /// Given up by their clients.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub abandoned: u64,
     /// At a gateway that was killed, or with no gateway to reach.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub disconnected: u64,
     /// Final answers given to an RPC that had one already: must be nought.
-    pub twice: u64,
+    #[serde(rename = "twice")]
+    pub duplicate_answers: u64,
     /// Attempts at servers.
-    pub call_outs: u64,
+    #[serde(rename = "call_outs")]
+    pub attempts: u64,
     /// Calls to the shared counter, and those of them that got no answer in time.
-    pub count_calls: u64,
+    #[serde(rename = "count_calls")]
+    pub counter_calls: u64,
     /// Calls to the counter without an answer in time.
-    pub count_missed: u64,
+    #[serde(rename = "count_missed")]
+    pub counter_timeouts: u64,
     /// Utility asked for (every RPC's credit) and served (earned by ok answers in time).
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub utility_asked: f64,
     /// Utility earned by ok answers in time.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub utility_served: f64,
 }
 
 impl Counts {
     /// RPCs that ended other than by their client or a killed gateway.
-    pub fn finals(&self) -> u64 {
-        self.ok + self.pushed_back + self.aborted + self.lost
+    pub fn resolved(&self) -> u64 {
+        self.ok + self.rejected + self.aborted + self.lost
     }
 
     /// Utility served over utility asked; 1 where nothing was asked.
     pub fn service(&self) -> f64 {
-        if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
+        if self.utility_asked > 0.0 { self.utility_served / self.utility_asked } else { 1.0 }
     }
 }
 
@@ -71,11 +80,13 @@
     /// Windows in which a customer sent on anything.
     pub windows: u64,
     /// Windows over 5% of the allowance.
-    pub over_5: u64,
+    #[serde(rename = "over_5")]
+    pub over_5_percent: u64,
     /// The largest overshoot.
     pub largest: f64,
     /// All units sent on beyond allowances, over all units sent on.
-    pub beyond: f64,
+    #[serde(rename = "beyond")]
+    pub excess_share: f64,
 }
 
 #[derive(Default)]
@@ -97,7 +108,7 @@
     /// Emulated events handled, and the most RPCs live at once.
     pub events: u64,
     /// The most RPCs kept at once.
-    pub live_most: u64,
+    pub max_live: u64,
     bucket: Nanos,
     window: Nanos,
     spent: HashMap<u64, Spent>,
@@ -118,7 +129,7 @@
             latency: histogram(),
             overshoot: Overshoot::default(),
             events: 0,
-            live_most: 0,
+            max_live: 0,
             bucket: bucket.max(1),
             window: window.max(1),
             spent: HashMap::new(),
@@ -128,7 +139,7 @@
     }
 
     /// The row for a time, made where it is not yet.
-    pub fn row(&mut self, now: Nanos) -> &mut Counts {
+    pub fn counts_at(&mut self, now: Nanos) -> &mut Counts {
         let at = (now / self.bucket) as usize;
         while self.rows.len() <= at {
             let start = self.rows.len() as Nanos * self.bucket;
@@ -144,30 +155,30 @@
     }
 
     /// Adds to the row of `now` and to the totals alike.
-    pub fn add(&mut self, now: Nanos, change: impl Fn(&mut Counts)) {
-        change(self.row(now));
+    pub fn update(&mut self, now: Nanos, change: impl Fn(&mut Counts)) {
+        change(self.counts_at(now));
         change(&mut self.total);
     }
 
     /// An ok answer came after this long.
-    pub fn ok_took(&mut self, now: Nanos, took: Nanos) {
+    pub fn record_latency(&mut self, now: Nanos, took: Nanos) {
         let micros = (took / 1_000).max(1);
-        self.row(now);
+        self.counts_at(now);
         let at = (now / self.bucket) as usize;
         let _ = self.rows[at].latency.record(micros);
         let _ = self.latency.record(micros);
     }
 
     /// Gateways that are up and RPCs that are kept now.
-    pub fn gauge(&mut self, now: Nanos, gateways_up: u32, live: u64) {
-        self.row(now);
+    pub fn record_gauges(&mut self, now: Nanos, gateways_up: u32, live: u64) {
+        self.counts_at(now);
         let at = (now / self.bucket) as usize;
         (self.rows[at].gateways_up, self.rows[at].live) = (gateways_up, live);
-        self.live_most = self.live_most.max(live);
+        self.max_live = self.max_live.max(live);
     }
 
     /// Units of an RPC sent on to a server for the first time; `allowance` is the plan's rate and burst.
-    pub fn sent(&mut self, now: Nanos, customer: u64, units: f64, rate: f64, burst: f64) {
+    pub fn record_sent_units(&mut self, now: Nanos, customer: u64, units: f64, rate: f64, burst: f64) {
         let window = now / self.window;
         let spent = self.spent.entry(customer).or_default();
         if spent.window != window {
@@ -185,7 +196,7 @@
         let allowance = (rate * window as f64 / 1e9 + burst).max(1e-9);
         let over = ((units - allowance) / allowance).max(0.0);
         overshoot.windows += 1;
-        overshoot.over_5 += u64::from(over > 0.05);
+        overshoot.over_5_percent += u64::from(over > 0.05);
         overshoot.largest = overshoot.largest.max(over);
         *beyond += (units - allowance).max(0.0);
     }
@@ -198,7 +209,7 @@
             let (rate, burst) = plan(customer);
             Self::close(&mut self.overshoot, &mut self.beyond, spent.units, self.window, rate, burst);
         }
-        self.overshoot.beyond = if self.sent > 0.0 { self.beyond / self.sent } else { 0.0 };
+        self.overshoot.excess_share = if self.sent > 0.0 { self.beyond / self.sent } else { 0.0 };
     }
 
     /// The latency of ok answers at a quantile, milliseconds.
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -11,31 +11,40 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct TimeRow {
     /// When the row begins, seconds.
-    pub t_s: f64,
+    #[serde(rename = "t_s")]
+    pub start_s: f64,
     /// RPCs that arrived.
     pub arrived: u64,
     /// Answered ok.
     pub ok: u64,
     /// Rejected.
-    pub pushed_back: u64,
+    #[serde(rename = "pushed_back")]
+    pub rejected: u64,
     /// Aborted.
     pub aborted: u64,
     /// Without an answer.
     pub lost: u64,
     /// Given up by their clients.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub abandoned: u64,
     /// At a gateway that was killed, or with no gateway to reach.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub disconnected: u64,
     /// Attempts at servers.
-    pub call_outs: u64,
+    #[serde(rename = "call_outs")]
+    pub attempts: u64,
     /// Calls to the counter.
-    pub count_calls: u64,
+    #[serde(rename = "count_calls")]
+    pub counter_calls: u64,
     /// Calls to the counter without an answer in time.
-    pub count_missed: u64,
+    #[serde(rename = "count_missed")]
+    pub counter_timeouts: u64,
     /// Utility asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub utility_asked: f64,
     /// Utility served.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub utility_served: f64,
     /// Utility served over utility asked.
     pub service: f64,
     /// Median latency of ok answers, milliseconds.
@@ -74,19 +83,24 @@
     /// Answered ok.
     pub ok: u64,
     /// Rejected.
-    pub pushed_back: u64,
+    #[serde(rename = "pushed_back")]
+    pub rejected: u64,
     /// Aborted.
     pub aborted: u64,
     /// Without an answer.
     pub lost: u64,
     /// Given up by their clients.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub abandoned: u64,
     /// At a gateway that was killed, or with no gateway to reach.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub disconnected: u64,
     /// Final answers beyond the first.
-    pub twice: u64,
+    #[serde(rename = "twice")]
+    pub duplicate_answers: u64,
     /// Attempts at servers.
-    pub call_outs: u64,
+    #[serde(rename = "call_outs")]
+    pub attempts: u64,
     /// Utility served over utility asked.
     pub service: f64,
     /// Median latency of ok answers, milliseconds.
@@ -98,15 +112,18 @@
     /// Windows in which a customer sent on anything.
     pub overshoot_windows: u64,
     /// Windows over 5% of the allowance.
-    pub overshoot_over_5: u64,
+    #[serde(rename = "overshoot_over_5")]
+    pub overshoot_over_5_percent: u64,
     /// The largest overshoot.
     pub overshoot_largest: f64,
     /// Units beyond allowances, over all units.
-    pub beyond_share: f64,
+    #[serde(rename = "beyond_share")]
+    pub excess_share: f64,
     /// Emulated events.
     pub events: u64,
     /// The most RPCs kept at once.
-    pub live_most: u64,
+    #[serde(rename = "live_most")]
+    pub max_live: u64,
     /// What the run took, milliseconds.
     pub wall_ms: u64,
     /// Emulated events per second of wall time.
@@ -120,8 +137,18 @@
 impl Summary {
     /// The summary of a run.
     pub fn of(scenario: &crate::scenario::Scenario, kind: Kind, record: &Record) -> Summary {
-        let Counts { arrived, ok, pushed_back, aborted, lost, left, cut, twice, call_outs, .. } =
-            record.total;
+        let Counts {
+            arrived,
+            ok,
+            rejected,
+            aborted,
+            lost,
+            abandoned,
+            disconnected,
+            duplicate_answers,
+            attempts,
+            ..
+        } = record.total;
         let quantile = |q| round(Record::quantile_ms(&record.latency, q));
         Summary {
             parameter: String::new(),
@@ -133,23 +160,23 @@
             servers: scenario.servers.count,
             arrived,
             ok,
-            pushed_back,
+            rejected,
             aborted,
             lost,
-            left,
-            cut,
-            twice,
-            call_outs,
+            abandoned,
+            disconnected,
+            duplicate_answers,
+            attempts,
             service: round(record.total.service()),
             p50_ms: quantile(0.5),
             p95_ms: quantile(0.95),
             p99_ms: quantile(0.99),
             overshoot_windows: record.overshoot.windows,
-            overshoot_over_5: record.overshoot.over_5,
+            overshoot_over_5_percent: record.overshoot.over_5_percent,
             overshoot_largest: round(record.overshoot.largest),
-            beyond_share: round(record.overshoot.beyond),
+            excess_share: round(record.overshoot.excess_share),
             events: record.events,
-            live_most: record.live_most,
+            max_live: record.max_live,
             wall_ms: 0,
             events_per_s: 0,
         }
@@ -157,23 +184,23 @@
 }
 
 /// The rows of a run as a table.
-pub fn rows(record: &Record) -> Vec<TimeRow> {
+pub fn time_rows(record: &Record) -> Vec<TimeRow> {
     let quantile = |row: &crate::record::Row, q| round(Record::quantile_ms(&row.latency, q));
     (record.rows.iter())
         .map(|row| TimeRow {
-            t_s: row.start as f64 / 1e9,
+            start_s: row.start as f64 / 1e9,
             arrived: row.counts.arrived,
             ok: row.counts.ok,
-            pushed_back: row.counts.pushed_back,
+            rejected: row.counts.rejected,
             aborted: row.counts.aborted,
             lost: row.counts.lost,
-            left: row.counts.left,
-            cut: row.counts.cut,
-            call_outs: row.counts.call_outs,
-            count_calls: row.counts.count_calls,
-            count_missed: row.counts.count_missed,
-            asked: round(row.counts.asked),
-            served: round(row.counts.served),
+            abandoned: row.counts.abandoned,
+            disconnected: row.counts.disconnected,
+            attempts: row.counts.attempts,
+            counter_calls: row.counts.counter_calls,
+            counter_timeouts: row.counts.counter_timeouts,
+            utility_asked: round(row.counts.utility_asked),
+            utility_served: round(row.counts.utility_served),
             service: round(row.counts.service()),
             p50_ms: quantile(row, 0.5),
             p95_ms: quantile(row, 0.95),
@@ -202,14 +229,14 @@
 }
 
 /// The table of one run's rows: `DIR/SCENARIO-POLICY.csv`.
-pub fn run_path(dir: &Path, scenario: &str, kind: Kind) -> PathBuf {
+pub fn run_table_path(dir: &Path, scenario: &str, kind: Kind) -> PathBuf {
     dir.join(format!("{scenario}-{}.csv", kind.name()))
 }
 
 type Series = (String, Vec<(f64, f64)>);
 
 /// Draws lines on one chart into an SVG file.
-pub fn chart(
+pub fn draw_line_chart(
     path: &Path,
     title: &str,
     x_label: &str,
@@ -254,29 +281,29 @@
 }
 
 /// Charts of all runs' tables in a directory: utility served, pushbacks and aborts, latency, over time.
-pub fn chart_runs(dir: &Path) -> Result<Vec<PathBuf>, String> {
+pub fn draw_run_charts(dir: &Path) -> Result<Vec<PathBuf>, String> {
     let summaries: Vec<Summary> = read_csv(&dir.join("summary.csv"))?;
     let mut tables = Vec::new();
     for summary in &summaries {
         let kind = Kind::parse(&summary.policy)?;
-        let rows: Vec<TimeRow> = read_csv(&run_path(dir, &summary.scenario, kind))?;
+        let rows: Vec<TimeRow> = read_csv(&run_table_path(dir, &summary.scenario, kind))?;
         tables.push((format!("{} {}", summary.scenario, summary.policy), rows));
     }
     let series = |pick: &dyn Fn(&TimeRow) -> f64| -> Vec<Series> {
         let each = tables
             .iter()
-            .map(|(name, rows)| (name.clone(), rows.iter().map(|row| (row.t_s, pick(row))).collect()));
+            .map(|(name, rows)| (name.clone(), rows.iter().map(|row| (row.start_s, pick(row))).collect()));
         each.collect()
     };
     let mut made = Vec::new();
     let mut draw = |file: &str, title: &str, y: &str, lines: Vec<Series>| -> Result<(), String> {
         let path = dir.join(file);
-        chart(&path, title, "emulated seconds", y, &lines)?;
+        draw_line_chart(&path, title, "emulated seconds", y, &lines)?;
         made.push(path);
         Ok(())
     };
     draw("service.svg", "utility served over utility asked", "share", series(&|row| row.service))?;
-    let mut ends = series(&|row| row.pushed_back as f64);
+    let mut ends = series(&|row| row.rejected as f64);
     ends.iter_mut().for_each(|line| line.0 += " pushed back");
     let mut aborted = series(&|row| (row.aborted + row.lost) as f64);
     aborted.iter_mut().for_each(|line| line.0 += " aborted or lost");
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -60,7 +60,7 @@
     /// The service's settings in the gateway's nested form (classes, tariffs, ceilings, extra, rules).
     pub settings: toml::Table,
     /// Groups of customers.
-    pub customers: Vec<Customers>,
+    pub customers: Vec<CustomerGroup>,
     /// The servers.
     pub servers: Servers,
     /// The network.
@@ -79,21 +79,21 @@
     #[serde(default)]
     pub baselines: Baselines,
     /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 /// A group of alike customers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Customers {
+pub struct CustomerGroup {
     /// How many customers.
     pub count: u32,
     /// A tariff's name from the settings.
     pub plan: String,
     /// Through how many gateways each customer's RPCs come in.
-    #[serde(default = "one_u")]
-    pub width: u32,
+    #[serde(default = "one_u", rename = "width")]
+    pub gateways_per_customer: u32,
     /// What each sends.
     pub load: Vec<Load>,
 }
@@ -125,8 +125,8 @@
     /// Median service time, milliseconds (log-normal).
     pub service_ms: f64,
     /// The log-normal's sigma.
-    #[serde(default = "spread")]
-    pub spread: f64,
+    #[serde(default = "spread", rename = "spread")]
+    pub service_sigma: f64,
     /// After a start, a server bears `cold_share` of its slots, rising to all of them over `cold_seconds`.
     #[serde(default)]
     pub cold_seconds: f64,
@@ -189,9 +189,11 @@
     /// Share of pushed-back or cut RPCs that the client sends again.
     pub retry_share: f64,
     /// Whether clients that send again wait for the advice to come back (false) or come at once (true).
-    pub retry_at_once: bool,
+    #[serde(rename = "retry_at_once")]
+    pub retry_immediately: bool,
     /// A client sends one RPC again at most so often.
-    pub retries_most: u32,
+    #[serde(rename = "retries_most")]
+    pub max_retries: u32,
 }
 
 /// Parameters of the baseline policies.
@@ -211,7 +213,7 @@
 /// A trouble at a time, for a span where it has one; shares are of the servers or gateways, drawn by the seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
+pub enum Fault {
     /// The counter answers nothing.
     CounterStall {
         /// When it begins, seconds.
@@ -238,7 +240,8 @@
         /// The share of them that it hits.
         share: f64,
         /// They start again so many seconds later, if told.
-        back_after: Option<f64>,
+        #[serde(rename = "back_after")]
+        restart_after: Option<f64>,
     },
     /// A share of the gateways gets SIGTERM: no new clients, half a second to answer what it holds, then gone.
     Drain {
@@ -247,7 +250,8 @@
         /// The share of them that it hits.
         share: f64,
         /// They start again so many seconds later, if told.
-        back_after: Option<f64>,
+        #[serde(rename = "back_after")]
+        restart_after: Option<f64>,
     },
     /// The servers of a zone are gone, and come back cold.
     ZoneDown {
@@ -317,7 +321,8 @@
         seconds: f64,
     },
     /// Changes of the fleet reach the gateways `delay_ms` late.
-    ListLate {
+    #[serde(rename = "list_late")]
+    DiscoveryDelay {
         /// When it begins, seconds.
         at: f64,
         /// How long it holds, seconds.
@@ -327,10 +332,10 @@
     },
 }
 
-impl Trouble {
+impl Fault {
     /// When it starts and, for those with a span, when it ends.
     pub fn span(&self) -> (Nanos, Option<Nanos>) {
-        use Trouble::*;
+        use Fault::*;
         let (at, seconds) = match *self {
             CounterReplace { at } | Kill { at, .. } | Drain { at, .. } => (at, None),
             CounterStall { at, seconds } | CounterSplit { at, seconds } => (at, Some(seconds)),
@@ -338,7 +343,7 @@
             Slow { at, seconds, .. } | Fail { at, seconds, .. } | Pause { at, seconds, .. } => {
                 (at, Some(seconds))
             }
-            Replace { at, seconds, .. } | Burst { at, seconds, .. } | ListLate { at, seconds, .. } => {
+            Replace { at, seconds, .. } | Burst { at, seconds, .. } | DiscoveryDelay { at, seconds, .. } => {
                 (at, Some(seconds))
             }
         };
@@ -367,7 +372,7 @@
     /// What an ok answer in good time earns.
     pub credit: f64,
     /// Until then after its arrival an answer earns all.
-    pub soft: Nanos,
+    pub soft_deadline: Nanos,
     /// From then after its arrival an answer earns nothing.
     pub deadline: Nanos,
     /// Whether it may run twice.
@@ -429,7 +434,7 @@
     }
 
     /// Reads a scenario after setting one dotted path (`servers.count`, `gateways`) to a value, for sweeps.
-    pub fn from_toml_with(text: &str, path: &str, value: &str) -> Result<Scenario, String> {
+    pub fn from_toml_with_override(text: &str, path: &str, value: &str) -> Result<Scenario, String> {
         let mut table: toml::Table = toml::from_str(text).map_err(|e| e.to_string())?;
         let mut at = &mut table;
         let mut names = path.split('.').peekable();
@@ -475,7 +480,7 @@
             if !plans.iter().any(|plan| plan.name == group.plan) {
                 return Err(format!("customers[{at}]: no tariff named '{}' in the settings", group.plan));
             }
-            if group.width == 0 || group.width > self.gateways {
+            if group.gateways_per_customer == 0 || group.gateways_per_customer > self.gateways {
                 return Err(format!("customers[{at}].width must be from 1 to 'gateways'"));
             }
             for load in &group.load {
@@ -493,20 +498,20 @@
     }
 
     fn check_troubles(&self) -> Result<(), String> {
-        for (at, trouble) in self.troubles.iter().enumerate() {
+        for (at, trouble) in self.faults.iter().enumerate() {
             let zone = match trouble {
-                Trouble::ZoneDown { zone, .. } | Trouble::Partition { zone, .. } => Some(*zone),
+                Fault::ZoneDown { zone, .. } | Fault::Partition { zone, .. } => Some(*zone),
                 _ => None,
             };
             if zone.is_some_and(|zone| zone >= self.servers.zones) {
                 return Err(format!("troubles[{at}]: zone is beyond 'servers.zones'"));
             }
             let largest_share = match *trouble {
-                Trouble::Kill { share, .. } | Trouble::Drain { share, .. } => share,
-                Trouble::Slow { share, .. }
-                | Trouble::Pause { share, .. }
-                | Trouble::Replace { share, .. } => share,
-                Trouble::Fail { share, error_share, .. } => share.max(error_share),
+                Fault::Kill { share, .. } | Fault::Drain { share, .. } => share,
+                Fault::Slow { share, .. } | Fault::Pause { share, .. } | Fault::Replace { share, .. } => {
+                    share
+                }
+                Fault::Fail { share, error_share, .. } => share.max(error_share),
                 _ => 0.0,
             };
             check_share(largest_share, &format!("troubles[{at}].share"))?;
@@ -532,7 +537,7 @@
             Method {
                 name,
                 credit: number("credit", 1.0),
-                soft: nanos(number("onTime", 1.0)),
+                soft_deadline: nanos(number("onTime", 1.0)),
                 deadline: nanos(number("deadline", 5.0)),
                 idempotent: free,
             }
--- a/crates/lab/src/scenario/tests.rs
+++ b/crates/lab/src/scenario/tests.rs
@@ -10,6 +10,6 @@
     assert!(Scenario::from_toml(&bad).unwrap_err().contains("no tariff named 'none'"));
     let bad = EXAMPLE.replace("gateways = 2", "gateways = 2\nwhat = 1");
     assert!(Scenario::from_toml(&bad).unwrap_err().contains("what"));
-    let swept = Scenario::from_toml_with(EXAMPLE, "servers.count", "9").unwrap();
+    let swept = Scenario::from_toml_with_override(EXAMPLE, "servers.count", "9").unwrap();
     assert_eq!(swept.servers.count, 9);
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -85,8 +85,8 @@
             })
             .collect();
         let median = model.service_ms * 1e6;
-        let service =
-            LogNormal::new(median.ln(), model.spread.max(0.0)).unwrap_or(LogNormal::new(0.0, 0.0).unwrap());
+        let service = LogNormal::new(median.ln(), model.service_sigma.max(0.0))
+            .unwrap_or(LogNormal::new(0.0, 0.0).unwrap());
         Servers { all, model: model.clone(), service, chance }
     }
 
--- a/crates/lab/src/servers/tests.rs
+++ b/crates/lab/src/servers/tests.rs
@@ -8,7 +8,7 @@
         zones: 1,
         slots: 4,
         service_ms: 10.0,
-        spread: 0.0,
+        service_sigma: 0.0,
         cold_seconds: 10.0,
         cold_share: 0.25,
         error_share: 0.0,
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -19,8 +19,8 @@
 ) -> Result<Vec<Point>, String> {
     let mut points = Vec::new();
     for value in values {
-        let scenario =
-            Scenario::from_toml_with(text, path, value).map_err(|e| format!("{path}={value}: {e}"))?;
+        let scenario = Scenario::from_toml_with_override(text, path, value)
+            .map_err(|e| format!("{path}={value}: {e}"))?;
         for &kind in kinds {
             let started = Instant::now();
             let record = crate::world::play(&scenario, kind, None);
@@ -37,7 +37,7 @@
 }
 
 /// Charts of a sweep's table: utility served, events and events per wall second, against the parameter.
-pub fn chart(dir: &Path) -> Result<Vec<PathBuf>, String> {
+pub fn draw_charts(dir: &Path) -> Result<Vec<PathBuf>, String> {
     let points: Vec<Point> = report::read_csv(&dir.join("sweep.csv"))?;
     let parameter = points.first().map(|point| point.parameter.clone()).unwrap_or_default();
     let mut made = Vec::new();
@@ -63,7 +63,7 @@
     ];
     for (file, title, y, pick) in charts {
         let path = dir.join(file);
-        report::chart(&path, title, &parameter, y, &lines(pick))?;
+        report::draw_line_chart(&path, title, &parameter, y, &lines(pick))?;
         made.push(path);
     }
     Ok(made)
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -223,7 +223,7 @@
                 self.queue.at(gap, Event::Arrive { stream: stream as u32 });
             }
         }
-        for (index, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (index, trouble) in self.scenario.faults.iter().enumerate() {
             let (starts, ends) = trouble.span();
             self.queue.at(starts, Event::Trouble { index, starts: true });
             if let Some(ends) = ends {
@@ -284,7 +284,7 @@
 
     fn tick(&mut self, now: Nanos) {
         let up = self.gateways.iter().filter(|gateway| gateway.lifecycle.takes_clients()).count() as u32;
-        self.record.gauge(now, up, self.rpcs.len() as u64);
+        self.record.record_gauges(now, up, self.rpcs.len() as u64);
         if now < self.end {
             self.queue.after(nanos(self.scenario.bucket_seconds), Event::Tick);
         }
@@ -293,7 +293,7 @@
 
 /// What an ok answer earns: the method's credit by its soft deadline, falling evenly to nought at the deadline.
 pub fn utility(method: &Method, arrived: Nanos, deadline: Nanos, now: Nanos) -> f64 {
-    let soft = arrived + method.soft;
+    let soft = arrived + method.soft_deadline;
     if now <= soft {
         method.credit
     } else if now >= deadline || deadline <= soft {
--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -15,11 +15,11 @@
         }
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
         let attempt = AttemptRef { gateway, incarnation, rpc, nth };
-        self.record.add(now, |counts| counts.call_outs += 1);
+        self.record.update(now, |counts| counts.attempts += 1);
         if nth == 0 {
             let at = &self.clients.streams[stream as usize];
             let plan = &self.plans[at.plan as usize];
-            self.record.sent(now, at.customer, at.units, plan.rate, plan.burst);
+            self.record.record_sent_units(now, at.customer, at.units, plan.rate, plan.burst);
         }
         let ends = if limit > 0 { (now + limit).min(deadline) } else { deadline };
         self.queue.at(ends.max(now + 1), Event::AttemptTimeout { attempt });
@@ -86,11 +86,11 @@
             if how == CallOutcome::Ok {
                 let method = &self.methods[self.clients.streams[stream as usize].method as usize];
                 let earned = utility(method, arrived, deadline, now);
-                self.record.add(now, |counts| {
+                self.record.update(now, |counts| {
                     counts.ok += 1;
-                    counts.served += earned;
+                    counts.utility_served += earned;
                 });
-                self.record.ok_took(now, now - arrived);
+                self.record.record_latency(now, now - arrived);
                 self.set_state(attempt.rpc, RpcState::Answered);
             } else {
                 self.set_state(attempt.rpc, RpcState::Waiting);
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -40,9 +40,9 @@
             return;
         }
         let missed = u64::from(how != CallOutcome::Ok);
-        self.record.add(now, |counts| {
-            counts.count_calls += 1;
-            counts.count_missed += missed;
+        self.record.update(now, |counts| {
+            counts.counter_calls += 1;
+            counts.counter_timeouts += missed;
         });
         self.with_gate(call.gateway, |gate, wishes| gate.counted(wishes, now, call.name, how, total));
         self.carry(now, call.gateway);
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -66,7 +66,7 @@
             .collect();
         for (rpc, stream, tries) in held {
             self.set_state(rpc, RpcState::Abandoned);
-            self.record.add(now, |counts| counts.cut += 1);
+            self.record.update(now, |counts| counts.disconnected += 1);
             self.schedule_retry(stream, tries, 0);
         }
     }
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -27,9 +27,9 @@
         let (credit, deadline) = (method.credit, now + method.deadline);
         let (customer, method_number, plan, units, width, first) =
             (at.customer, at.method, at.plan, at.units, at.width, at.first);
-        self.record.add(now, |counts| {
+        self.record.update(now, |counts| {
             counts.arrived += 1;
-            counts.asked += credit;
+            counts.utility_asked += credit;
         });
         let (gateways, lives) = (self.scenario.gateways, &self.gateways);
         let Some(gateway) = self.clients.gateway(
@@ -37,7 +37,7 @@
             |at| lives[at as usize].lifecycle.takes_clients(),
             gateways,
         ) else {
-            self.record.add(now, |counts| counts.cut += 1);
+            self.record.update(now, |counts| counts.disconnected += 1);
             return self.schedule_retry(stream, tries, 0);
         };
         let rpc = self.next_rpc;
@@ -78,7 +78,7 @@
         let Some(live) = self.rpcs.get(&rpc) else { return };
         if live.state.is_open() {
             let (gateway, incarnation, now) = (live.gateway, live.incarnation, self.queue.now());
-            self.record.add(now, |counts| counts.left += 1);
+            self.record.update(now, |counts| counts.abandoned += 1);
             self.set_state(rpc, RpcState::Abandoned);
             if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
                 self.with_gate(gateway, |gate, _| gate.client_left(rpc));
@@ -91,7 +91,7 @@
         let Some(live) = self.rpcs.remove(&rpc) else { return };
         if live.state.is_open() {
             let now = self.queue.now();
-            self.record.add(now, |counts| counts.lost += 1);
+            self.record.update(now, |counts| counts.lost += 1);
             if self.gateways[live.gateway as usize].lifecycle.incarnation == live.incarnation {
                 self.with_gate(live.gateway, |gate, _| gate.client_left(rpc));
             }
@@ -103,17 +103,17 @@
         let Some(live) = self.rpcs.get(&rpc) else { return };
         match live.state {
             RpcState::Waiting | RpcState::Attempting => {}
-            RpcState::Answered => return self.record.add(now, |counts| counts.twice += 1),
+            RpcState::Answered => return self.record.update(now, |counts| counts.duplicate_answers += 1),
             RpcState::Abandoned => return,
         }
         let (stream, tries) = (live.stream, live.tries);
         self.set_state(rpc, RpcState::Answered);
         match refusal {
             Refusal::Rejected { retry_after } => {
-                self.record.add(now, |counts| counts.pushed_back += 1);
+                self.record.update(now, |counts| counts.rejected += 1);
                 self.schedule_retry(stream, tries, retry_after);
             }
-            Refusal::Aborted => self.record.add(now, |counts| counts.aborted += 1),
+            Refusal::Aborted => self.record.update(now, |counts| counts.aborted += 1),
         }
     }
 
--- a/crates/lab/src/world/troubles.rs
+++ b/crates/lab/src/world/troubles.rs
@@ -1,7 +1,7 @@
 //! Troubles: each begins, and most end, at a time of the scenario.
 
 use super::{Event, World};
-use crate::scenario::Trouble;
+use crate::scenario::Fault;
 use crate::servers::Disposition;
 use crate::{Nanos, lifecycle, nanos};
 use martenramp::host::CallOutcome;
@@ -9,26 +9,28 @@
 impl World {
     /// A trouble of the scenario begins or ends.
     pub(super) fn trouble(&mut self, now: Nanos, index: usize, starts: bool) {
-        match self.scenario.troubles[index].clone() {
-            Trouble::CounterStall { .. } => self.counter.stalled = starts,
-            Trouble::CounterSplit { .. } if starts => self.counter.split_now(),
-            Trouble::CounterSplit { .. } => self.counter.heal(),
-            Trouble::CounterReplace { .. } => self.counter.replace(),
-            Trouble::Kill { share, back_after, .. } => self.kill_gateways(now, index, share, back_after),
-            Trouble::Drain { share, back_after, .. } => self.drain_gateways(now, index, share, back_after),
-            Trouble::ZoneDown { zone, .. } => self.zone_down(now, zone, starts),
-            Trouble::Partition { zone, .. } => self.network.cut_off(zone, starts),
-            Trouble::Slow { share, factor, .. } => {
+        match self.scenario.faults[index].clone() {
+            Fault::CounterStall { .. } => self.counter.stalled = starts,
+            Fault::CounterSplit { .. } if starts => self.counter.split_now(),
+            Fault::CounterSplit { .. } => self.counter.heal(),
+            Fault::CounterReplace { .. } => self.counter.replace(),
+            Fault::Kill { share, restart_after, .. } => self.kill_gateways(now, index, share, restart_after),
+            Fault::Drain { share, restart_after, .. } => {
+                self.drain_gateways(now, index, share, restart_after)
+            }
+            Fault::ZoneDown { zone, .. } => self.zone_down(now, zone, starts),
+            Fault::Partition { zone, .. } => self.network.cut_off(zone, starts),
+            Fault::Slow { share, factor, .. } => {
                 let factor = if starts { factor } else { 1.0 };
                 let hit = self.servers_hit(index, share, starts);
                 hit.into_iter().for_each(|server| self.servers.set_slow(server, factor));
             }
-            Trouble::Fail { share, error_share, .. } => {
+            Fault::Fail { share, error_share, .. } => {
                 let error_share = if starts { error_share } else { self.servers.usual_errors() };
                 let hit = self.servers_hit(index, share, starts);
                 hit.into_iter().for_each(|server| self.servers.set_errors(server, error_share));
             }
-            Trouble::Pause { share, .. } => {
+            Fault::Pause { share, .. } => {
                 let hit = self.servers_hit(index, share, starts);
                 if starts {
                     hit.into_iter().for_each(|server| self.servers.pause(server));
@@ -36,31 +38,31 @@
                     hit.into_iter().for_each(|server| self.resume_server(server));
                 }
             }
-            Trouble::Replace { share, seconds, .. } if starts => self.replace_servers(index, share, seconds),
-            Trouble::Replace { .. } => {}
-            Trouble::Burst { factor, .. } => self.clients.burst = if starts { factor.max(0.0) } else { 1.0 },
-            Trouble::ListLate { delay_ms, .. } => {
+            Fault::Replace { share, seconds, .. } if starts => self.replace_servers(index, share, seconds),
+            Fault::Replace { .. } => {}
+            Fault::Burst { factor, .. } => self.clients.burst = if starts { factor.max(0.0) } else { 1.0 },
+            Fault::DiscoveryDelay { delay_ms, .. } => {
                 self.list_late = if starts { nanos(delay_ms / 1e3) } else { 0 }
             }
         }
     }
 
-    fn kill_gateways(&mut self, now: Nanos, index: usize, share: f64, back_after: Option<f64>) {
+    fn kill_gateways(&mut self, now: Nanos, index: usize, share: f64, restart_after: Option<f64>) {
         let killed = self.pick_running(index, share);
         self.cut(now, &killed);
-        let Some(back_after) = back_after else { return };
+        let Some(restart_after) = restart_after else { return };
         for gateway in killed {
-            self.queue.after(nanos(back_after), Event::Start { gateway });
+            self.queue.after(nanos(restart_after), Event::Start { gateway });
         }
     }
 
-    fn drain_gateways(&mut self, now: Nanos, index: usize, share: f64, back_after: Option<f64>) {
+    fn drain_gateways(&mut self, now: Nanos, index: usize, share: f64, restart_after: Option<f64>) {
         for gateway in self.pick_running(index, share) {
             let lifecycle = &mut self.gateways[gateway as usize].lifecycle;
             lifecycle.drain(now);
             let incarnation = lifecycle.incarnation;
             self.queue.after(lifecycle::DRAIN, Event::Stop { gateway, incarnation });
-            if let Some(back) = back_after {
+            if let Some(back) = restart_after {
                 self.queue.after(lifecycle::DRAIN + nanos(back), Event::Start { gateway });
             }
         }
--- a/crates/lab/tests/emulation.rs
+++ b/crates/lab/tests/emulation.rs
@@ -14,15 +14,15 @@
 
 fn csv_of(record: &Record) -> Vec<u8> {
     let mut writer = csv::Writer::from_writer(Vec::new());
-    report::rows(record).iter().for_each(|row| writer.serialize(row).unwrap());
+    report::time_rows(record).iter().for_each(|row| writer.serialize(row).unwrap());
     writer.into_inner().unwrap()
 }
 
 /// Every RPC ends in exactly one way, and none gets two final answers.
 fn conserved(record: &Record) {
     let total = record.total;
-    assert_eq!(total.arrived, total.finals() + total.left + total.cut, "{total:?}");
-    assert_eq!(total.twice, 0, "an RPC got two final answers");
+    assert_eq!(total.arrived, total.resolved() + total.abandoned + total.disconnected, "{total:?}");
+    assert_eq!(total.duplicate_answers, 0, "an RPC got two final answers");
 }
 
 fn rows_between(record: &Record, from: f64, to: f64) -> lab::record::Counts {
@@ -31,11 +31,11 @@
         let c = row.counts;
         sum.arrived += c.arrived;
         sum.ok += c.ok;
-        sum.pushed_back += c.pushed_back;
-        sum.cut += c.cut;
-        sum.call_outs += c.call_outs;
-        sum.count_calls += c.count_calls;
-        sum.count_missed += c.count_missed;
+        sum.rejected += c.rejected;
+        sum.disconnected += c.disconnected;
+        sum.attempts += c.attempts;
+        sum.counter_calls += c.counter_calls;
+        sum.counter_timeouts += c.counter_timeouts;
     }
     sum
 }
@@ -98,7 +98,7 @@
     for kind in Kind::ALL {
         let record = lab::world::play(&scenario, kind, None);
         conserved(&record);
-        assert!(record.total.left > 0 && record.total.cut > 0, "{kind:?}: {:?}", record.total);
+        assert!(record.total.abandoned > 0 && record.total.disconnected > 0, "{kind:?}: {:?}", record.total);
         if kind == Kind::Design {
             assert_eq!(record.total.lost, 0, "the module gives up on time: {:?}", record.total);
         }
@@ -113,8 +113,8 @@
         None,
     );
     let (before, during) = (rows_between(&record, 2.0, 10.0), rows_between(&record, 10.5, 15.0));
-    assert!(before.count_calls > 0 && before.count_missed == 0, "{before:?}");
-    assert!(during.count_missed > 0 && during.count_missed == during.count_calls, "{during:?}");
+    assert!(before.counter_calls > 0 && before.counter_timeouts == 0, "{before:?}");
+    assert!(during.counter_timeouts > 0 && during.counter_timeouts == during.counter_calls, "{during:?}");
     conserved(&record);
 }
 
@@ -124,7 +124,7 @@
     let record = lab::world::play(&scenario(troubles), Kind::Design, None);
     let up = |second: usize| record.rows[second].gateways_up;
     assert_eq!((up(9), up(11), up(16)), (6, 2, 6), "seven in ten of six gateways are four");
-    assert!(record.total.cut > 0);
+    assert!(record.total.disconnected > 0);
     conserved(&record);
 }
 
@@ -137,13 +137,13 @@
     let record = lab::world::play(&scenario, Kind::Design, None);
     let calm = lab::world::play(&scenario_without_troubles(&scenario), Kind::Design, None);
     let hit = rows_between(&record, 10.0, 20.0);
-    assert!(hit.call_outs > hit.arrived, "call-outs to the lost zone end and are tried again: {hit:?}");
-    assert!(calm.total.call_outs <= calm.total.arrived, "without the loss none takes more than one");
+    assert!(hit.attempts > hit.arrived, "call-outs to the lost zone end and are tried again: {hit:?}");
+    assert!(calm.total.attempts <= calm.total.arrived, "without the loss none takes more than one");
     conserved(&record);
 }
 
 fn scenario_without_troubles(scenario: &Scenario) -> Scenario {
-    Scenario { troubles: Vec::new(), ..scenario.clone() }
+    Scenario { faults: Vec::new(), ..scenario.clone() }
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let mut lossy = scenario("[network]\nloss = 0.2\n");
     let plain = lab::world::play(&lossy, Kind::Plain, None);
     assert!(
-        plain.total.pushed_back > plain.total.arrived / 10,
+        plain.total.rejected > plain.total.arrived / 10,
         "a lost message leaves its call-out without end"
     );
     let design = lab::world::play(&lossy, Kind::Design, None);
@@ -160,13 +160,16 @@
     conserved(&design);
     lossy.network.loss = 0.0;
     lossy.servers.zones = 2;
-    lossy.troubles = Scenario::from_toml(&format!(
+    lossy.faults = Scenario::from_toml(&format!(
         "{EXAMPLE}\n[[troubles]]\nkind = \"partition\"\nat = 5.0\nzone = 0\nseconds = 20.0\n"
     ))
-    .map(|example| example.troubles)
+    .map(|example| example.faults)
     .unwrap_or_default();
     let cut = lab::world::play(&lossy, Kind::Design, None);
-    assert!(rows_between(&cut, 6.0, 25.0).count_missed > 0, "the cut-off zone's gateways reach no counter");
+    assert!(
+        rows_between(&cut, 6.0, 25.0).counter_timeouts > 0,
+        "the cut-off zone's gateways reach no counter"
+    );
     conserved(&cut);
 }
 
@@ -192,7 +195,7 @@
     let mut storm = scenario("[clients]\nretry_share = 1.0\nretry_at_once = true\nretries_most = 5\n");
     storm.customers[0].load[0].rate = 40.0;
     let record = lab::world::play(&storm, Kind::Design, None);
-    assert!(record.total.pushed_back > 0);
+    assert!(record.total.rejected > 0);
     conserved(&record);
 }
 
@@ -212,13 +215,13 @@
     let text = EXAMPLE.replace("seconds = 20.0", "seconds = 5.0");
     let scenario = Scenario::from_toml(&text).unwrap();
     lab::cli::run(&scenario, &Kind::ALL, &dir).unwrap();
-    let drawn = report::chart_runs(&dir).unwrap();
+    let drawn = report::draw_run_charts(&dir).unwrap();
     assert_eq!(drawn.len(), 3);
     assert!(std::fs::read_to_string(&drawn[0]).unwrap().starts_with("<svg"));
     let values = ["2".to_string(), "4".to_string()];
     let points = lab::sweep::sweep(&text, "servers.count", &values, &[Kind::Design], |_| {}).unwrap();
     report::write_csv(&dir.join("sweep.csv"), &points).unwrap();
-    assert_eq!(lab::sweep::chart(&dir).unwrap().len(), 3);
+    assert_eq!(lab::sweep::draw_charts(&dir).unwrap().len(), 3);
     let kept: Vec<report::Summary> = report::read_csv(&dir.join("sweep.csv")).unwrap();
     assert_eq!((kept.len(), kept[1].servers, kept[1].value.as_str()), (2, 4, "4"));
     std::fs::remove_dir_all(&dir).unwrap();
@@ -235,7 +238,7 @@
     let prompt = lab::world::play(&two_zones(scenario(lost)), Kind::Plain, None);
     let slow = lab::world::play(&two_zones(scenario(&format!("{lost}{late}"))), Kind::Plain, None);
     let (prompt, slow) = (rows_between(&prompt, 10.0, 13.0), rows_between(&slow, 10.0, 13.0));
-    let extra = |counts: &lab::record::Counts| counts.call_outs - counts.arrived.min(counts.call_outs);
+    let extra = |counts: &lab::record::Counts| counts.attempts - counts.arrived.min(counts.attempts);
     assert!(
         extra(&slow) > 2 * extra(&prompt) + 10,
         "the gone servers stay listed for 3 s: {slow:?} against {prompt:?}"
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -10,7 +10,7 @@
 };
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SEC};
-use lab::report::{chart, write_csv};
+use lab::report::{draw_line_chart, write_csv};
 use serde::Serialize;
 use standins::servers::RpcOutcome;
 use std::collections::BTreeMap;
@@ -345,7 +345,13 @@
             ];
             let title =
                 format!("{}: {quantity} of a server over the mean, windows of 1 s", self.run.scenario);
-            chart(&dir.join(format!("{quantity}.svg")), &title, "seconds", "over the mean", &lines)?;
+            draw_line_chart(
+                &dir.join(format!("{quantity}.svg")),
+                &title,
+                "seconds",
+                "over the mean",
+                &lines,
+            )?;
         }
         let mut shares: Vec<f64> = self.servers.iter().map(|row| row.rpcs as f64 / row.weight).collect();
         shares.sort_by(f64::total_cmp);
@@ -353,7 +359,7 @@
         let line: Vec<(f64, f64)> =
             shares.iter().enumerate().map(|(at, share)| (at as f64, share / mean.max(1e-9))).collect();
         let title = format!("{}: servers by RPCs over the mean, the whole run", self.run.scenario);
-        chart(
+        draw_line_chart(
             &dir.join("servers.svg"),
             &title,
             "servers in order",
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -489,7 +489,7 @@
         zones: scenario.zones as u32,
         slots: scenario.server.slots,
         service_ms: scenario.server.service_ms,
-        spread: scenario.server.spread,
+        service_sigma: scenario.server.spread,
         cold_seconds: scenario.server.cold_seconds,
         cold_share: scenario.server.cold_share,
         error_share: 0.0,
