--- a/crates/lab/src/world/attempts.rs
+++ b/crates/lab/src/world/attempts.rs
@@ -16,11 +16,11 @@
         }
         let incarnation = self.gateways[gateway as usize].lifecycle.incarnation;
         let attempt = AttemptRef { gateway, incarnation, rpc, number };
-        self.record.add(now, |counts| counts.call_outs += 1);
+        self.record.update(now, |counts| counts.attempts += 1);
         if number == 0 {
             let arrivals = &self.clients.streams[stream as usize];
             let plan = &self.plans[arrivals.plan as usize];
-            self.record.sent(now, arrivals.customer, arrivals.units, plan.rate, plan.burst);
+            self.record.record_sent_units(now, arrivals.customer, arrivals.units, plan.rate, plan.burst);
         }
         let ends_at = if timeout > 0 { (now + timeout).min(deadline) } else { deadline };
         self.queue.schedule_at(ends_at.max(now + 1), Event::AttemptTimeout { attempt });
@@ -93,11 +93,11 @@
             if outcome == CallOutcome::Ok {
                 let method = &self.methods[self.clients.streams[stream as usize].method as usize];
                 let earned = utility(method, arrived, deadline, now);
-                self.record.add(now, |counts| {
+                self.record.update(now, |counts| {
                     counts.ok += 1;
-                    counts.served += earned;
+                    counts.utility_served += earned;
                 });
-                self.record.ok_took(now, now - arrived);
+                self.record.record_latency(now, now - arrived);
                 self.set_state(attempt.rpc, RpcState::Answered);
             } else {
                 self.set_state(attempt.rpc, RpcState::Waiting);
--- a/crates/lab/src/world/counter_calls.rs
+++ b/crates/lab/src/world/counter_calls.rs
@@ -46,9 +46,9 @@
             return;
         }
         let missed = u64::from(outcome != CallOutcome::Ok);
-        self.record.add(now, |counts| {
-            counts.count_calls += 1;
-            counts.count_missed += missed;
+        self.record.update(now, |counts| {
+            counts.counter_calls += 1;
+            counts.counter_timeouts += missed;
         });
         self.with_policy(call.gateway, |policy, actions| {
             policy.on_counter_reply(actions, now, call.name, outcome, total)
--- a/crates/lab/src/world/gateways.rs
+++ b/crates/lab/src/world/gateways.rs
@@ -72,7 +72,7 @@
             .collect();
         for (rpc, stream, retries) in open_rpcs {
             self.set_state(rpc, RpcState::Abandoned);
-            self.record.add(now, |counts| counts.cut += 1);
+            self.record.update(now, |counts| counts.disconnected += 1);
             self.schedule_retry(stream, retries, 0);
         }
     }
