--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -49,7 +49,7 @@
                 let first = rng.random_range(0..scenario.gateways);
                 for load in &group.load {
                     let method = methods.iter().position(|method| method.name == load.method).unwrap_or(0);
-                    let (units, rate, width) = (load.units, load.rate, group.width);
+                    let (units, rate, width) = (load.units, load.rate, group.gateways_per_customer);
                     streams.push(ArrivalStream {
                         customer,
                         method: method as u16,
@@ -97,8 +97,8 @@
     /// doesn't retry.
     pub fn retry_delay(&mut self, retries: u32, retry_after: Nanos) -> Option<Nanos> {
         let will_retry =
-            retries < self.model.retries_most && self.rng.random::<f64>() < self.model.retry_share;
-        let delay = if self.model.retry_at_once { nanos(0.001) } else { retry_after.max(nanos(0.05)) };
+            retries < self.model.max_retries && self.rng.random::<f64>() < self.model.retry_share;
+        let delay = if self.model.retry_immediately { nanos(0.001) } else { retry_after.max(nanos(0.05)) };
         will_retry.then_some(delay)
     }
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -85,7 +85,7 @@
             })
             .collect();
         let median_nanos = model.service_ms * 1e6;
-        let service = LogNormal::new(median_nanos.ln(), model.spread.max(0.0))
+        let service = LogNormal::new(median_nanos.ln(), model.service_sigma.max(0.0))
             .unwrap_or(LogNormal::new(0.0, 0.0).unwrap());
         Servers { all, model: model.clone(), service, rng }
     }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -241,7 +241,7 @@
                 self.queue.schedule_at(delay, Event::Arrival { stream: stream as u32 });
             }
         }
-        for (index, trouble) in self.scenario.troubles.iter().enumerate() {
+        for (index, trouble) in self.scenario.faults.iter().enumerate() {
             let (starts, ends) = trouble.span();
             self.queue.schedule_at(starts, Event::Fault { index, starts: true });
             if let Some(ends) = ends {
@@ -306,7 +306,7 @@
     fn sample_gauges(&mut self, now: Nanos) {
         let gateways_up =
             self.gateways.iter().filter(|gateway| gateway.lifecycle.accepts_clients()).count() as u32;
-        self.record.gauge(now, gateways_up, self.rpcs.len() as u64);
+        self.record.record_gauges(now, gateways_up, self.rpcs.len() as u64);
         if now < self.end {
             self.queue.schedule_after(nanos(self.scenario.bucket_seconds), Event::Sample);
         }
@@ -315,7 +315,7 @@
 
 /// The utility of an ok answer: the method's credit until its soft deadline, then falling linearly to 0 at the deadline.
 pub fn utility(method: &Method, arrived: Nanos, deadline: Nanos, now: Nanos) -> f64 {
-    let soft = arrived + method.soft;
+    let soft = arrived + method.soft_deadline;
     if now <= soft {
         method.credit
     } else if now >= deadline || deadline <= soft {
--- a/crates/lab/src/world/rpcs.rs
+++ b/crates/lab/src/world/rpcs.rs
@@ -36,9 +36,9 @@
             arrivals.width,
             arrivals.first,
         );
-        self.record.add(now, |counts| {
+        self.record.update(now, |counts| {
             counts.arrived += 1;
-            counts.asked += credit;
+            counts.utility_asked += credit;
         });
         let (gateways, fleet) = (self.scenario.gateways, &self.gateways);
         let Some(gateway) = self.clients.pick_gateway(
@@ -46,7 +46,7 @@
             |number| fleet[number as usize].lifecycle.accepts_clients(),
             gateways,
         ) else {
-            self.record.add(now, |counts| counts.cut += 1);
+            self.record.update(now, |counts| counts.disconnected += 1);
             return self.schedule_retry(stream, retries, 0);
         };
         let rpc = self.next_rpc;
@@ -88,7 +88,7 @@
         let Some(live) = self.rpcs.get(&rpc) else { return };
         if live.state.is_open() {
             let (gateway, incarnation, now) = (live.gateway, live.incarnation, self.queue.now());
-            self.record.add(now, |counts| counts.left += 1);
+            self.record.update(now, |counts| counts.abandoned += 1);
             self.set_state(rpc, RpcState::Abandoned);
             if self.gateways[gateway as usize].lifecycle.incarnation == incarnation {
                 self.with_policy(gateway, |policy, _| policy.on_client_left(rpc));
@@ -101,7 +101,7 @@
         let Some(live) = self.rpcs.remove(&rpc) else { return };
         if live.state.is_open() {
             let now = self.queue.now();
-            self.record.add(now, |counts| counts.lost += 1);
+            self.record.update(now, |counts| counts.lost += 1);
             if self.gateways[live.gateway as usize].lifecycle.incarnation == live.incarnation {
                 self.with_policy(live.gateway, |policy, _| policy.on_client_left(rpc));
             }
@@ -113,17 +113,17 @@
         let Some(live) = self.rpcs.get(&rpc) else { return };
         match live.state {
             RpcState::Waiting | RpcState::Attempting => {}
-            RpcState::Answered => return self.record.add(now, |counts| counts.twice += 1),
+            RpcState::Answered => return self.record.update(now, |counts| counts.duplicate_answers += 1),
             RpcState::Abandoned => return,
         }
         let (stream, retries) = (live.stream, live.retries);
         self.set_state(rpc, RpcState::Answered);
         match answer {
             ErrorAnswer::Rejected { retry_after } => {
-                self.record.add(now, |counts| counts.pushed_back += 1);
+                self.record.update(now, |counts| counts.rejected += 1);
                 self.schedule_retry(stream, retries, retry_after);
             }
-            ErrorAnswer::Aborted => self.record.add(now, |counts| counts.aborted += 1),
+            ErrorAnswer::Aborted => self.record.update(now, |counts| counts.aborted += 1),
         }
     }
 
