--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,218 +1,245 @@
-//! What a run measured: rows over time, totals, latency percentiles, and quota overshoot per customer. Everything
-//! here comes from the emulated clock alone, so two runs of one scenario and seed give the same record.
+//! Measurements of a run: a time series, totals, latency histograms and quota overshoot per customer.
+//!
+//! All values derive from the emulated clock, so two runs of the same scenario and seed give the same record.
 
 use crate::Nanos;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// Counts of how RPCs ended. `ok`, `pushed_back` and `aborted` are final answers; `lost` had none by its deadline
-/// and half a second; `left` were given up by their clients first; `cut` were at a gateway that was killed.
+/// RPC outcomes, attempts, counter calls and utility. `ok`, `rejected` and `aborted` count final answers; the other
+/// outcomes are of RPCs without one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
     /// RPCs that arrived.
     pub arrived: u64,
-    /// Answered ok.
+    /// RPCs answered ok.
     pub ok: u64,
-    /// Rejected.
+    /// RPCs that the gateway rejected.
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    /// Aborted.
+    /// RPCs that the gateway aborted.
     pub aborted: u64,
-    /// Without an answer.
+    /// RPCs without an answer half a second after their deadline.
     pub lost: u64,
-    /// Given up by their clients.
+    /// RPCs that their clients gave up before an answer.
     #[serde(rename = "left")]
     pub abandoned: u64,
-    /// At a gateway that was killed, or with no gateway to reach.
+    /// RPCs held by a gateway that was killed, or that found no gateway to accept them.
     #[serde(rename = "cut")]
     pub disconnected: u64,
-    /// Final answers given to an RPC that had one already: must be nought.
+    /// Final answers to an RPC that already had one; always 0 unless a policy is faulty.
     #[serde(rename = "twice")]
     pub duplicate_answers: u64,
-    /// Attempts at servers.
+    /// Attempts sent to servers.
     #[serde(rename = "call_outs")]
     pub attempts: u64,
-    /// Calls to the shared counter, and those of them that got no answer in time.
+    /// Calls to the shared counter.
     #[serde(rename = "count_calls")]
     pub counter_calls: u64,
-    /// Calls to the counter without an answer in time.
+    /// Calls to the shared counter that got no answer in time.
     #[serde(rename = "count_missed")]
     pub counter_timeouts: u64,
-    /// Utility asked for (every RPC's credit) and served (earned by ok answers in time).
+    /// Sum of the credits of all RPCs that arrived.
     #[serde(rename = "asked")]
     pub utility_asked: f64,
-    /// Utility earned by ok answers in time.
+    /// Utility earned by ok answers before their deadlines.
     #[serde(rename = "served")]
     pub utility_served: f64,
 }
 
 impl Counts {
-    /// RPCs that ended other than by their client or a killed gateway.
+    /// RPCs that were answered or lost: neither abandoned by the client nor disconnected.
     pub fn resolved(&self) -> u64 {
         self.ok + self.rejected + self.aborted + self.lost
     }
 
-    /// Utility served over utility asked; 1 where nothing was asked.
+    /// Ratio of utility served to utility asked; 1 if none was asked.
     pub fn service(&self) -> f64 {
         if self.utility_asked > 0.0 { self.utility_served / self.utility_asked } else { 1.0 }
     }
 }
 
-/// One row of the table over time.
+/// One time bucket of a run.
 pub struct Row {
-    /// When the row begins.
+    /// Start of the bucket.
     pub start: Nanos,
-    /// How RPCs ended.
+    /// Counts of events within the bucket.
     pub counts: Counts,
-    /// Latencies of ok answers, microseconds.
+    /// Latencies of ok answers, in microseconds.
     pub latency: Histogram<u64>,
-    /// Gateways that take clients, at the end of the row.
+    /// Gateways that accept clients at the end of the bucket.
     pub gateways_up: u32,
-    /// RPCs that are kept, at the end of the row.
+    /// RPCs that the emulator tracks at the end of the bucket.
     pub live: u64,
 }
 
-/// Quota overshoot: for each customer and window, units sent on beyond what the plan allows in it (its rate over
-/// the window plus its burst), as a share of that allowance.
+/// Quota overshoot: for each customer and window, the units forwarded to servers beyond the plan's allowance (its
+/// rate times the window, plus its burst), as a share of that allowance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Overshoot {
-    /// Windows in which a customer sent on anything.
+    /// Customer windows in which any units were forwarded.
     pub windows: u64,
-    /// Windows over 5% of the allowance.
+    /// Windows that exceed the allowance by more than 5%.
     #[serde(rename = "over_5")]
     pub over_5_percent: u64,
-    /// The largest overshoot.
+    /// Largest overshoot of any window.
     pub largest: f64,
-    /// All units sent on beyond allowances, over all units sent on.
+    /// Units forwarded beyond the allowances, as a share of all units forwarded.
     #[serde(rename = "beyond")]
     pub excess_share: f64,
 }
 
+/// Units that one customer's RPCs used in its most recent window.
 #[derive(Default)]
-struct Spent {
+struct WindowUsage {
     window: u64,
     units: f64,
 }
 
-/// What a run measured.
+/// Measurements of one run.
 pub struct Record {
-    /// The table over time.
+    /// Time buckets, in order and without gaps.
     pub rows: Vec<Row>,
-    /// Counts over the whole run.
+    /// Counts of the whole run.
     pub total: Counts,
-    /// Latencies of ok answers, microseconds.
+    /// Latencies of ok answers, in microseconds.
     pub latency: Histogram<u64>,
-    /// Quota overshoot.
+    /// Quota overshoot; complete after [`Record::finish`].
     pub overshoot: Overshoot,
-    /// Emulated events handled, and the most RPCs live at once.
+    /// Emulated events processed.
     pub events: u64,
-    /// The most RPCs kept at once.
+    /// Largest number of tracked RPCs at the end of any bucket.
     pub max_live: u64,
-    bucket: Nanos,
-    window: Nanos,
-    spent: HashMap<u64, Spent>,
-    sent: f64,
-    beyond: f64,
+    bucket_width: Nanos,
+    window_width: Nanos,
+    usage_by_customer: HashMap<u64, WindowUsage>,
+    units_sent: f64,
+    excess_units: f64,
 }
 
-fn histogram() -> Histogram<u64> {
+/// A latency histogram up to two minutes, in microseconds, with two significant digits.
+fn new_latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 2).unwrap_or_else(|_| Histogram::new(2).unwrap())
 }
 
 impl Record {
-    /// An empty record with rows of `bucket` and overshoot by `window`.
-    pub fn new(bucket: Nanos, window: Nanos) -> Record {
+    /// Creates an empty record with the given widths of time buckets and of overshoot windows.
+    pub fn new(bucket_width: Nanos, window_width: Nanos) -> Record {
         Record {
             rows: Vec::new(),
             total: Counts::default(),
-            latency: histogram(),
+            latency: new_latency_histogram(),
             overshoot: Overshoot::default(),
             events: 0,
             max_live: 0,
-            bucket: bucket.max(1),
-            window: window.max(1),
-            spent: HashMap::new(),
-            sent: 0.0,
-            beyond: 0.0,
+            bucket_width: bucket_width.max(1),
+            window_width: window_width.max(1),
+            usage_by_customer: HashMap::new(),
+            units_sent: 0.0,
+            excess_units: 0.0,
         }
     }
 
-    /// The row for a time, made where it is not yet.
+    /// Counts of the bucket that contains `now`; adds empty buckets up to it.
     pub fn counts_at(&mut self, now: Nanos) -> &mut Counts {
-        let at = (now / self.bucket) as usize;
-        while self.rows.len() <= at {
-            let start = self.rows.len() as Nanos * self.bucket;
+        let index = (now / self.bucket_width) as usize;
+        while self.rows.len() <= index {
+            let start = self.rows.len() as Nanos * self.bucket_width;
             self.rows.push(Row {
                 start,
                 counts: Counts::default(),
-                latency: histogram(),
+                latency: new_latency_histogram(),
                 gateways_up: 0,
                 live: 0,
             });
         }
-        &mut self.rows[at].counts
+        &mut self.rows[index].counts
     }
 
-    /// Adds to the row of `now` and to the totals alike.
+    /// Applies `change` to the bucket that contains `now` and to the totals.
     pub fn update(&mut self, now: Nanos, change: impl Fn(&mut Counts)) {
         change(self.counts_at(now));
         change(&mut self.total);
     }
 
-    /// An ok answer came after this long.
-    pub fn record_latency(&mut self, now: Nanos, took: Nanos) {
-        let micros = (took / 1_000).max(1);
+    /// Records the latency of an ok answer.
+    pub fn record_latency(&mut self, now: Nanos, latency: Nanos) {
+        let micros = (latency / 1_000).max(1);
         self.counts_at(now);
-        let at = (now / self.bucket) as usize;
-        let _ = self.rows[at].latency.record(micros);
+        let index = (now / self.bucket_width) as usize;
+        let _ = self.rows[index].latency.record(micros);
         let _ = self.latency.record(micros);
     }
 
-    /// Gateways that are up and RPCs that are kept now.
+    /// Records the current numbers of gateways that accept clients and of tracked RPCs.
     pub fn record_gauges(&mut self, now: Nanos, gateways_up: u32, live: u64) {
         self.counts_at(now);
-        let at = (now / self.bucket) as usize;
-        (self.rows[at].gateways_up, self.rows[at].live) = (gateways_up, live);
+        let index = (now / self.bucket_width) as usize;
+        (self.rows[index].gateways_up, self.rows[index].live) = (gateways_up, live);
         self.max_live = self.max_live.max(live);
     }
 
-    /// Units of an RPC sent on to a server for the first time; `allowance` is the plan's rate and burst.
+    /// Counts the units of an RPC that is forwarded to a server for the first time. `rate` and `burst` are the
+    /// customer's plan.
     pub fn record_sent_units(&mut self, now: Nanos, customer: u64, units: f64, rate: f64, burst: f64) {
-        let window = now / self.window;
-        let spent = self.spent.entry(customer).or_default();
-        if spent.window != window {
-            let done = std::mem::replace(spent, Spent { window, units: 0.0 });
-            Self::close(&mut self.overshoot, &mut self.beyond, done.units, self.window, rate, burst);
+        let window = now / self.window_width;
+        let usage = self.usage_by_customer.entry(customer).or_default();
+        if usage.window != window {
+            let closed = std::mem::replace(usage, WindowUsage { window, units: 0.0 });
+            Self::close_window(
+                &mut self.overshoot,
+                &mut self.excess_units,
+                closed.units,
+                self.window_width,
+                rate,
+                burst,
+            );
         }
-        spent.units += units;
-        self.sent += units;
+        usage.units += units;
+        self.units_sent += units;
     }
 
-    fn close(overshoot: &mut Overshoot, beyond: &mut f64, units: f64, window: Nanos, rate: f64, burst: f64) {
+    /// Adds the overshoot of one customer's window to the statistics.
+    fn close_window(
+        overshoot: &mut Overshoot,
+        excess_units: &mut f64,
+        units: f64,
+        window_width: Nanos,
+        rate: f64,
+        burst: f64,
+    ) {
         if units <= 0.0 {
             return;
         }
-        let allowance = (rate * window as f64 / 1e9 + burst).max(1e-9);
-        let over = ((units - allowance) / allowance).max(0.0);
+        let allowance = (rate * window_width as f64 / 1e9 + burst).max(1e-9);
+        let excess = ((units - allowance) / allowance).max(0.0);
         overshoot.windows += 1;
-        overshoot.over_5_percent += u64::from(over > 0.05);
-        overshoot.largest = overshoot.largest.max(over);
-        *beyond += (units - allowance).max(0.0);
+        overshoot.over_5_percent += u64::from(excess > 0.05);
+        overshoot.largest = overshoot.largest.max(excess);
+        *excess_units += (units - allowance).max(0.0);
     }
 
-    /// Closes the windows still open; `plan` gives each customer's rate and burst.
+    /// Closes every open window and computes the excess share; `plan` returns a customer's rate and burst.
     pub fn finish(&mut self, plan: impl Fn(u64) -> (f64, f64)) {
-        let mut open: Vec<_> = self.spent.drain().collect();
+        let mut open: Vec<_> = self.usage_by_customer.drain().collect();
         open.sort_by_key(|(customer, _)| *customer);
-        for (customer, spent) in open {
+        for (customer, usage) in open {
             let (rate, burst) = plan(customer);
-            Self::close(&mut self.overshoot, &mut self.beyond, spent.units, self.window, rate, burst);
+            Self::close_window(
+                &mut self.overshoot,
+                &mut self.excess_units,
+                usage.units,
+                self.window_width,
+                rate,
+                burst,
+            );
         }
-        self.overshoot.excess_share = if self.sent > 0.0 { self.beyond / self.sent } else { 0.0 };
+        self.overshoot.excess_share =
+            if self.units_sent > 0.0 { self.excess_units / self.units_sent } else { 0.0 };
     }
 
-    /// The latency of ok answers at a quantile, milliseconds.
+    /// Latency at a quantile from 0 to 1, in milliseconds; 0 for an empty histogram.
     pub fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
         if histogram.is_empty() { 0.0 } else { histogram.value_at_quantile(quantile) as f64 / 1e3 }
     }
