--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -1,4 +1,4 @@
-//! `martenramp lab`: run a scenario, sweep one of its parameters, or draw a report from kept tables.
+//! Command line of `martenramp lab`: runs a scenario, sweeps a parameter, or draws charts from stored tables.
 
 use crate::policies::PolicyKind;
 use crate::report::{self, Summary};
@@ -6,22 +6,23 @@
 use lexopt::prelude::*;
 use std::path::PathBuf;
 
-/// The text of `martenramp lab --help`.
+/// Text of `martenramp lab --help`.
 pub const HELP: &str = "\
-martenramp lab: the project's own emulator; its figures are emulated
+martenramp lab: emulates a gateway fleet; all results are emulated, not measured
 
 usage: martenramp lab run SCENARIO.toml [--policy P] [--seed N] [--out DIR]
-           plays the scenario with each policy (design, plain, late; or the one named) and writes
-           DIR/summary.csv and DIR/NAME-POLICY.csv (rows over time); prints the summary
+           runs the scenario with each policy (design, plain, late; or only P), writes
+           DIR/summary.csv and DIR/NAME-POLICY.csv (a row per time bucket), and prints the summary
        martenramp lab sweep SCENARIO.toml --set PATH=V1,V2,... [--policy P] [--out DIR]
-           plays it with PATH (a dotted field, e.g. gateways or servers.count) at each value; DIR/sweep.csv
+           runs the scenario with the field PATH (dotted, e.g. gateways or servers.count) set to each
+           value, and writes DIR/sweep.csv
        martenramp lab report DIR
            draws SVG charts from the tables in DIR (summary.csv and its runs, or sweep.csv)
 
-DIR is lab-out unless given. The format of scenarios is in docs/lab.md.
+DIR defaults to lab-out. The scenario format is documented in docs/lab.md.
 ";
 
-/// The command line of `lab`, as parsed.
+/// Parsed command-line options.
 #[derive(Default)]
 struct Options {
     command: Option<String>,
@@ -34,28 +35,36 @@
 
 impl Options {
     fn parse(args: Vec<std::ffi::OsString>) -> Result<Options, String> {
-        let text = |e: lexopt::Error| e.to_string();
+        let message = |e: lexopt::Error| e.to_string();
         let mut parser = lexopt::Parser::from_args(args);
         let mut options = Options::default();
-        while let Some(arg) = parser.next().map_err(text)? {
+        while let Some(arg) = parser.next().map_err(message)? {
             match arg {
                 Short('h') | Long("help") => options.command = Some("help".to_string()),
                 Long("policy") => {
-                    let policy = parser.value().map_err(text)?.string().map_err(|_| "bad --policy")?;
+                    let policy = parser
+                        .value()
+                        .map_err(message)?
+                        .string()
+                        .map_err(|_| "the value of --policy is not valid UTF-8")?;
                     options.policy = Some(policy);
                 }
                 Long("seed") => {
-                    options.seed = Some(parser.value().map_err(text)?.parse().map_err(text)?);
+                    options.seed = Some(parser.value().map_err(message)?.parse().map_err(message)?);
                 }
-                Long("out") => options.out = Some(PathBuf::from(parser.value().map_err(text)?)),
+                Long("out") => options.out = Some(PathBuf::from(parser.value().map_err(message)?)),
                 Long("set") => {
-                    let set = parser.value().map_err(text)?.string().map_err(|_| "bad --set")?;
+                    let set = parser
+                        .value()
+                        .map_err(message)?
+                        .string()
+                        .map_err(|_| "the value of --set is not valid UTF-8")?;
                     options.set = Some(set);
                 }
-                Value(word) if options.command.is_none() => {
-                    options.command = Some(word.to_string_lossy().into_owned());
+                Value(value) if options.command.is_none() => {
+                    options.command = Some(value.to_string_lossy().into_owned());
                 }
-                Value(word) if options.target.is_none() => options.target = Some(PathBuf::from(word)),
+                Value(value) if options.target.is_none() => options.target = Some(PathBuf::from(value)),
                 arg => return Err(arg.unexpected().to_string()),
             }
         }
@@ -69,9 +78,9 @@
         }
     }
 
-    /// The scenario's text, with what it extends.
+    /// Reads the scenario with the files that it extends merged in, as TOML text.
     fn scenario_text(&self) -> Result<String, String> {
-        crate::scenario::read_text(self.target.as_ref().ok_or("no scenario named; try --help")?)
+        crate::scenario::read_text(self.target.as_ref().ok_or("missing scenario file; see --help")?)
     }
 
     fn out(&self) -> PathBuf {
@@ -79,42 +88,42 @@
     }
 }
 
-/// Runs `lab` with the words after it.
+/// Runs `martenramp lab` with the arguments that follow `lab`.
 pub fn main(args: Vec<std::ffi::OsString>) -> Result<(), String> {
     let options = Options::parse(args)?;
     let kinds = options.policies()?;
     match options.command.as_deref() {
         Some("run") => {
             let text = options.scenario_text()?;
-            let named = |e| format!("{}: {e}", shown(&options.target));
-            let mut scenario = Scenario::from_toml(&text).map_err(named)?;
+            let with_path = |e| format!("{}: {e}", target_path(&options.target));
+            let mut scenario = Scenario::from_toml(&text).map_err(with_path)?;
             scenario.seed = options.seed.unwrap_or(scenario.seed);
             run(&scenario, &kinds, &options.out())
         }
         Some("sweep") => sweep(&options, &kinds),
         Some("report") => {
             let dir = options.target.clone().unwrap_or(options.out());
-            let made = if dir.join("sweep.csv").exists() {
+            let paths = if dir.join("sweep.csv").exists() {
                 crate::sweep::draw_charts(&dir)?
             } else {
                 report::draw_run_charts(&dir)?
             };
-            made.iter().for_each(|path| println!("wrote {}", path.display()));
+            paths.iter().for_each(|path| println!("wrote {}", path.display()));
             Ok(())
         }
         Some("help") | None => {
             print!("{HELP}");
             Ok(())
         }
-        Some(other) => Err(format!("no lab command '{other}'; try --help")),
+        Some(other) => Err(format!("unknown lab command '{other}'; see --help")),
     }
 }
 
-/// Plays a scenario at each value of a parameter, and writes and prints the table.
+/// Runs a scenario at each value of a parameter, and prints and writes the table.
 fn sweep(options: &Options, kinds: &[PolicyKind]) -> Result<(), String> {
     let text = options.scenario_text()?;
-    let set = options.set.as_ref().ok_or("sweep needs --set PATH=V1,V2,...")?;
-    let (path, values) = set.split_once('=').ok_or("--set wants PATH=V1,V2,...")?;
+    let set = options.set.as_ref().ok_or("sweep requires --set PATH=V1,V2,...")?;
+    let (path, values) = set.split_once('=').ok_or("--set expects PATH=V1,V2,...")?;
     let values: Vec<String> = values.split(',').map(str::to_string).collect();
     let out = options.out();
     std::fs::create_dir_all(&out).map_err(|e| format!("{}: {e}", out.display()))?;
@@ -140,25 +149,26 @@
     Ok(())
 }
 
-fn shown(target: &Option<PathBuf>) -> String {
+fn target_path(target: &Option<PathBuf>) -> String {
     target.as_ref().map(|path| path.display().to_string()).unwrap_or_default()
 }
 
-/// Plays one scenario with each policy, writes its tables and prints each run's line with ratios to the baselines.
+/// Runs a scenario with each policy, writes the tables, and prints a summary per run and the ratio of the design's
+/// service to that of each baseline.
 pub fn run(scenario: &Scenario, kinds: &[PolicyKind], out: &std::path::Path) -> Result<(), String> {
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let mut summaries = Vec::new();
     for &kind in kinds {
-        let bar = indicatif::ProgressBar::new(scenario.seconds.ceil() as u64);
-        bar.set_message(kind.name());
+        let progress_bar = indicatif::ProgressBar::new(scenario.seconds.ceil() as u64);
+        progress_bar.set_message(kind.name());
         let started = std::time::Instant::now();
-        let record = crate::world::run_scenario(scenario, kind, Some(&bar));
-        bar.finish_and_clear();
-        let wall = started.elapsed();
+        let record = crate::world::run_scenario(scenario, kind, Some(&progress_bar));
+        progress_bar.finish_and_clear();
+        let wall_time = started.elapsed();
         report::write_csv(&report::run_table_path(out, &scenario.name, kind), &report::time_rows(&record))?;
         let summary = Summary::of(scenario, kind, &record);
         println!(
-            "{:<7} arrived {:>9}  ok {:>9}  pushed back {:>8}  aborted {:>6}  lost {:>5}  service {:.3}  \
+            "{:<7} arrived {:>9}  ok {:>9}  rejected {:>8}  aborted {:>6}  lost {:>5}  service {:.3}  \
              p99 {:>8.1} ms  over 5% {:>5}/{:<5}  {} events in {} ms",
             kind.name(),
             summary.arrived,
@@ -171,7 +181,7 @@
             summary.overshoot_over_5_percent,
             summary.overshoot_windows,
             summary.events,
-            wall.as_millis()
+            wall_time.as_millis()
         );
         summaries.push(summary);
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,10 +1,10 @@
-//! martenramp's lab: a deterministic discrete-event emulator of what the gateway serves, driving the real decision
-//! module through its `Host` interface, with a load and experiment tool on top. Figures from it are *emulated*.
+//! Deterministic discrete-event emulator of a gateway fleet, with a command line for experiments.
 //!
-//! A [`scenario::Scenario`] describes the fleet, the load and the troubles; [`world::World`] plays it on one clock
-//! in whole nanoseconds with chance from seeded streams, so that the same scenario and seed give the same
-//! [`record::Record`] bit for bit. [`report`] turns records into CSV tables and SVG charts, [`sweep`] plays a
-//! scenario over a range of one parameter, and [`cli`] is `martenramp lab`.
+//! The emulator drives the real decision module through its `Host` interface; its results are *emulated*, not
+//! measured. A [`scenario::Scenario`] describes the fleet, the load and the faults. [`world::World`] runs it on a
+//! single clock in integer nanoseconds with seeded random streams, so the same scenario and seed produce an
+//! identical [`record::Record`]. [`report`] turns records into CSV tables and SVG charts, [`sweep`] runs a scenario
+//! over several values of a parameter, and [`cli`] implements `martenramp lab`.
 //!
 //! ```
 //! let text = lab::scenario::EXAMPLE;
@@ -30,15 +30,15 @@
 pub mod sweep;
 pub mod world;
 
-/// A time or a span in whole nanoseconds, as everywhere in martenramp.
+/// A point in time or a duration, in nanoseconds.
 pub use martenramp::host::Nanos;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// One second.
 pub const SEC: Nanos = 1_000 * MS;
 
-/// Seconds as given in scenarios, to nanoseconds; negative and non-finite values are nought.
+/// Converts seconds to nanoseconds; negative and non-finite values become 0.
 pub fn nanos(seconds: f64) -> Nanos {
     if seconds.is_finite() && seconds > 0.0 { (seconds * SEC as f64).round() as Nanos } else { 0 }
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,6 @@
-//! Scenarios: what the lab plays, read from TOML and checked before anything runs. `docs/lab.md` documents the
-//! format; [`EXAMPLE`] is a small complete one.
+//! Parses and validates the TOML scenarios that the lab runs.
+//!
+//! `docs/lab.md` documents the format; [`EXAMPLE`] is a small complete scenario.
 
 use crate::{Nanos, nanos};
 use martenramp::host::Settings;
@@ -38,125 +39,126 @@
 service_ms = 30.0
 "#;
 
-/// One scenario, as read.
+/// A scenario as read from TOML.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// A scenario file this one starts from, relative to this one; its fields are overridden table by table.
+    /// Path of a base scenario, relative to this file. Fields of this file override those of the base, table by
+    /// table.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub extends: Option<String>,
-    /// Names the tables.
+    /// Name of the scenario, used in the names of its output files.
     pub name: String,
-    /// The seed of all chance.
-    #[serde(default = "one")]
+    /// Seed of all random streams.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Emulated time, seconds.
+    /// Emulated duration, in seconds.
     pub seconds: f64,
-    /// How many gateways the fleet has.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
-    /// Width of a row of the tables over time, seconds.
-    #[serde(default = "one_f")]
+    /// Width of a time bucket in the output, in seconds.
+    #[serde(default = "default_f64_one")]
     pub bucket_seconds: f64,
     /// The service's settings in the gateway's nested form (classes, tariffs, ceilings, extra, rules).
     pub settings: toml::Table,
-    /// Groups of customers.
+    /// Groups of identical customers.
     pub customers: Vec<CustomerGroup>,
-    /// The servers.
+    /// Server model.
     pub servers: Servers,
-    /// The network.
+    /// Network model.
     #[serde(default)]
     pub network: Network,
-    /// The shared counter.
+    /// Model of the shared counter.
     #[serde(default)]
     pub counter: Counter,
-    /// Discovery.
+    /// Discovery model.
     #[serde(default)]
     pub discovery: Discovery,
-    /// What clients do.
+    /// Client behaviour.
     #[serde(default)]
     pub clients: Clients,
-    /// The baseline policies.
+    /// Parameters of the baseline policies.
     #[serde(default)]
     pub baselines: Baselines,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// A group of alike customers.
+/// A group of identical customers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerGroup {
-    /// How many customers.
+    /// Number of customers.
     pub count: u32,
-    /// A tariff's name from the settings.
+    /// Name of a tariff in the settings.
     pub plan: String,
-    /// Through how many gateways each customer's RPCs come in.
-    #[serde(default = "one_u", rename = "width")]
+    /// Number of gateways that each customer sends its RPCs to.
+    #[serde(default = "default_u32_one", rename = "width")]
     pub gateways_per_customer: u32,
-    /// What each sends.
+    /// Methods that each customer calls, with their rates.
     pub load: Vec<Load>,
 }
 
-/// Open-loop arrivals of one method for each customer of the group.
+/// Open-loop arrivals of one method, for each customer of the group.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// A class's name from the settings.
+    /// Name of a class in the settings.
     pub method: String,
-    /// RPCs a second, for each customer (Poisson).
+    /// Mean rate of Poisson arrivals per customer, in RPCs per second.
     pub rate: f64,
-    /// Units of the plan's quota for each RPC.
-    #[serde(default = "one_f")]
+    /// Quota units that each RPC uses.
+    #[serde(default = "default_f64_one")]
     pub units: f64,
 }
 
-/// The servers, all alike.
+/// Model of the servers, which are identical.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
-    /// How many servers.
+    /// Number of servers.
     pub count: u32,
-    /// Servers and gateways are in so many zones, by turns.
-    #[serde(default = "one_u")]
+    /// Number of zones; servers and gateways are assigned to them round-robin.
+    #[serde(default = "default_u32_one")]
     pub zones: u32,
-    /// Call-outs served at once; beyond them a server answers full.
+    /// Attempts that a server handles concurrently; it answers any further one with `full`.
     pub slots: u32,
-    /// Median service time, milliseconds (log-normal).
+    /// Median of the log-normal service time, in milliseconds.
     pub service_ms: f64,
-    /// The log-normal's sigma.
-    #[serde(default = "spread", rename = "spread")]
+    /// Sigma of the log-normal service time.
+    #[serde(default = "default_service_sigma", rename = "spread")]
     pub service_sigma: f64,
-    /// After a start, a server bears `cold_share` of its slots, rising to all of them over `cold_seconds`.
+    /// Warm-up time after a restart, in seconds: usable slots grow from `cold_share` to all of them.
     #[serde(default)]
     pub cold_seconds: f64,
-    /// The share of its slots that a server bears at its start.
-    #[serde(default = "one_f")]
+    /// Share of its slots that a server can use right after a restart.
+    #[serde(default = "default_f64_one")]
     pub cold_share: f64,
-    /// Share of call-outs that end in an error when nothing else is wrong.
+    /// Share of attempts that fail when no fault is active.
     #[serde(default)]
     pub error_share: f64,
 }
 
-/// The network between gateways, servers and the counter.
+/// Model of the network between gateways, servers and the counter.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way, milliseconds, between a gateway and a server or the counter.
+    /// One-way delay between a gateway and a server or the counter, in milliseconds.
     pub delay_ms: f64,
-    /// Share of messages lost.
+    /// Share of messages that are lost.
     pub loss: f64,
-    /// What a connection to a server that is not there takes to fail, milliseconds.
+    /// Time until a connection to an absent server fails, in milliseconds.
     pub refuse_ms: f64,
 }
 
-/// The shared counter.
+/// Model of the shared counter.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counter {
-    /// Whether there is a shared counter at all.
+    /// Whether the fleet has a shared counter.
     pub enabled: bool,
-    /// Time to serve one call, milliseconds.
+    /// Service time of one call, in milliseconds.
     pub latency_ms: f64,
 }
 
@@ -166,11 +168,11 @@
     }
 }
 
-/// Discovery.
+/// Model of service discovery.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// From a change of the fleet to the list at the gateways, milliseconds.
+    /// Delay between a change of the fleet and the update of the gateways' lists, in milliseconds.
     pub delay_ms: f64,
 }
 
@@ -180,18 +182,18 @@
     }
 }
 
-/// What clients do of their own.
+/// Client behaviour beyond sending RPCs: early departures and retries.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Share of RPCs whose client leaves at a random time before the deadline it stated.
+    /// Share of RPCs whose client gives up at a random time before the deadline that it announced.
     pub give_up_share: f64,
-    /// Share of pushed-back or cut RPCs that the client sends again.
+    /// Share of rejected or disconnected RPCs that the client retries.
     pub retry_share: f64,
-    /// Whether clients that send again wait for the advice to come back (false) or come at once (true).
+    /// Whether clients retry immediately (true) or after the announced retry delay (false).
     #[serde(rename = "retry_at_once")]
     pub retry_immediately: bool,
-    /// A client sends one RPC again at most so often.
+    /// Maximum number of retries of one RPC.
     #[serde(rename = "retries_most")]
     pub max_retries: u32,
 }
@@ -200,7 +202,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Baselines {
-    /// How late the late-seeing baseline sees the true stores, milliseconds.
+    /// Delay with which the `late` baseline observes the shared quota stores, in milliseconds.
     pub late_ms: f64,
 }
 
@@ -210,130 +212,133 @@
     }
 }
 
-/// A trouble at a time, for a span where it has one; shares are of the servers or gateways, drawn by the seed.
+/// A fault that starts at a given time and may last for a while. Shares select servers or gateways at random, from
+/// the scenario's seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// The counter answers nothing.
+    /// The counter stops answering.
     CounterStall {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// Each half of the gateways sees a counter of its own, copied at the split; afterwards the larger total wins.
+    /// Each half of the gateways uses its own copy of the counter, made at the split. When the copies merge, the
+    /// larger total of each name is kept.
     CounterSplit {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// The counter is replaced by one that starts at nought.
+    /// The counter is replaced by an empty one.
     CounterReplace {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
     },
-    /// A share of the gateways is killed at once, and started again after `back_after` seconds if given.
+    /// A share of the gateways is killed, and restarted after `back_after` seconds if that is set.
     Kill {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the gateways that are affected.
         share: f64,
-        /// They start again so many seconds later, if told.
+        /// Time from the kill to the restart, in seconds; without it they stay down.
         #[serde(rename = "back_after")]
         restart_after: Option<f64>,
     },
-    /// A share of the gateways gets SIGTERM: no new clients, half a second to answer what it holds, then gone.
+    /// A share of the gateways gets SIGTERM: they accept no new clients, have half a second to answer the RPCs they
+    /// hold, and exit.
     Drain {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the gateways that are affected.
         share: f64,
-        /// They start again so many seconds later, if told.
+        /// Time from the exit to the restart, in seconds; without it they stay down.
         #[serde(rename = "back_after")]
         restart_after: Option<f64>,
     },
-    /// The servers of a zone are gone, and come back cold.
+    /// All servers of a zone go down, and restart cold afterwards.
     ZoneDown {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The zone.
+        /// Number of the zone.
         zone: u32,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// The gateways of a zone reach neither other zones' servers nor the counter.
+    /// The gateways of a zone can reach neither the servers of other zones nor the counter.
     Partition {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The zone.
+        /// Number of the zone.
         zone: u32,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// A share of the servers serves `factor` times slower.
+    /// The service times of a share of the servers are multiplied by `factor`.
     Slow {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the servers that are affected.
         share: f64,
-        /// How many times.
+        /// Multiplier of the service times.
         factor: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// A share of the servers ends `error_share` of its call-outs in errors.
+    /// A share of the servers fails `error_share` of its attempts.
     Fail {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the servers that are affected.
         share: f64,
-        /// The share of attempts that ends in errors.
+        /// Share of attempts that fail.
         error_share: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// A share of the servers holds every call-out until the pause is over.
+    /// A share of the servers holds every attempt until the pause ends.
     Pause {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the servers that are affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// A share of the servers is replaced by new, cold ones, evenly over `seconds`.
+    /// A share of the servers is replaced by cold ones, at even intervals over `seconds`.
     Replace {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// The share of them that it hits.
+        /// Share of the servers that are affected.
         share: f64,
-        /// How long it holds, seconds.
+        /// Time over which the replacements are spread, in seconds.
         seconds: f64,
     },
-    /// All arrivals come `factor` times as often.
+    /// All arrival rates are multiplied by `factor`.
     Burst {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// How many times.
+        /// Multiplier of the arrival rates.
         factor: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// Changes of the fleet reach the gateways `delay_ms` late.
+    /// Changes of the fleet reach the gateways with an additional delay.
     #[serde(rename = "list_late")]
     DiscoveryDelay {
-        /// When it begins, seconds.
+        /// Start, in seconds.
         at: f64,
-        /// How long it holds, seconds.
+        /// Duration, in seconds.
         seconds: f64,
-        /// How late, milliseconds.
+        /// Additional delay, in milliseconds.
         delay_ms: f64,
     },
 }
 
 impl Fault {
-    /// When it starts and, for those with a span, when it ends.
+    /// Start and, for faults with a duration, end.
     pub fn span(&self) -> (Nanos, Option<Nanos>) {
         use Fault::*;
         let (at, seconds) = match *self {
@@ -351,46 +356,47 @@
     }
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn one_u() -> u32 {
+fn default_u32_one() -> u32 {
     1
 }
-fn one_f() -> f64 {
+fn default_f64_one() -> f64 {
     1.0
 }
-fn spread() -> f64 {
+fn default_service_sigma() -> f64 {
     0.3
 }
 
-/// A method as the lab needs it, from the settings.
+/// The properties of a method that the lab uses, taken from the settings.
 #[derive(Clone, Debug)]
 pub struct Method {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What an ok answer in good time earns.
+    /// Utility of an ok answer before the soft deadline.
     pub credit: f64,
-    /// Until then after its arrival an answer earns all.
+    /// Time after arrival until which an answer earns the full credit.
     pub soft_deadline: Nanos,
-    /// From then after its arrival an answer earns nothing.
+    /// Time after arrival from which an answer earns nothing.
     pub deadline: Nanos,
-    /// Whether it may run twice.
+    /// Whether the method may be executed more than once.
     pub idempotent: bool,
 }
 
-/// A plan as the lab needs it, from the settings.
+/// The properties of a plan that the lab uses, taken from the settings.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the tariff.
     pub name: String,
-    /// Units a second.
+    /// Sustained quota, in units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Burst allowance, in units.
     pub burst: f64,
 }
 
-/// Reads a scenario file as TOML text with what it `extends` merged in, so that sweeps can set fields of either.
+/// Reads a scenario file and returns TOML text with the files that it `extends` merged in, so that a sweep can set
+/// fields of any of them.
 pub fn read_text(path: &std::path::Path) -> Result<String, String> {
     let table = read_table(path, 0)?;
     toml::to_string(&table).map_err(|e| format!("{}: {e}", path.display()))
@@ -399,7 +405,7 @@
 fn read_table(path: &std::path::Path, depth: u32) -> Result<toml::Table, String> {
     let shown = path.display();
     if depth > 8 {
-        return Err(format!("{shown}: 'extends' goes round more than eight files deep"));
+        return Err(format!("{shown}: 'extends' is circular or nested more than eight files deep"));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: {e}"))?;
     let mut table: toml::Table = toml::from_str(&text).map_err(|e| format!("{shown}: {e}"))?;
@@ -410,33 +416,33 @@
     Ok(merged)
 }
 
-/// Lays `over` on `base`: tables are merged key by key, anything else (lists among them) replaced whole.
-pub fn merge(base: &mut toml::Table, over: toml::Table) {
-    for (key, value) in over {
+/// Merges `overrides` into `base`: tables key by key; any other value, lists included, is replaced as a whole.
+pub fn merge(base: &mut toml::Table, overrides: toml::Table) {
+    for (key, value) in overrides {
         match (base.get_mut(&key), value) {
-            (Some(toml::Value::Table(into)), toml::Value::Table(from)) => merge(into, from),
+            (Some(toml::Value::Table(base)), toml::Value::Table(overrides)) => merge(base, overrides),
             (_, value) => drop(base.insert(key, value)),
         }
     }
 }
 
 impl Scenario {
-    /// Reads and checks a scenario file, with what it extends.
+    /// Reads and validates a scenario file and the files that it extends.
     pub fn load(path: &std::path::Path) -> Result<Scenario, String> {
         Scenario::from_toml(&read_text(path)?).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// Reads and checks a scenario; the error names the field at fault.
+    /// Parses and validates a scenario; the error names the invalid field.
     pub fn from_toml(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Reads a scenario after setting one dotted path (`servers.count`, `gateways`) to a value, for sweeps.
+    /// Parses and validates a scenario with one field set to `value`; `path` is dotted, such as `servers.count`.
     pub fn from_toml_with_override(text: &str, path: &str, value: &str) -> Result<Scenario, String> {
         let mut table: toml::Table = toml::from_str(text).map_err(|e| e.to_string())?;
-        let mut at = &mut table;
+        let mut parent = &mut table;
         let mut names = path.split('.').peekable();
         while let Some(name) = names.next() {
             if names.peek().is_none() {
@@ -444,11 +450,11 @@
                 let parsed =
                     parsed.or_else(|| format!("v = {value}").parse::<toml::Table>().ok()?.remove("v"));
                 let value = parsed.unwrap_or_else(|| toml::Value::String(value.to_string()));
-                at.insert(name.to_string(), value);
+                parent.insert(name.to_string(), value);
                 break;
             }
-            let next = at.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-            at = next.as_table_mut().ok_or_else(|| format!("{path}: '{name}' is not a table"))?;
+            let next = parent.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+            parent = next.as_table_mut().ok_or_else(|| format!("{path}: '{name}' is not a table"))?;
         }
         let scenario: Scenario = table.try_into().map_err(|e: toml::de::Error| e.to_string())?;
         scenario.check()?;
@@ -471,42 +477,47 @@
         check_share(self.clients.give_up_share, "clients.give_up_share")?;
         check_share(self.clients.retry_share, "clients.retry_share")?;
         self.check_customers()?;
-        self.check_troubles()
+        self.check_faults()
     }
 
     fn check_customers(&self) -> Result<(), String> {
         let (methods, plans) = (self.methods()?, self.plans()?);
-        for (at, group) in self.customers.iter().enumerate() {
+        for (index, group) in self.customers.iter().enumerate() {
             if !plans.iter().any(|plan| plan.name == group.plan) {
-                return Err(format!("customers[{at}]: no tariff named '{}' in the settings", group.plan));
+                return Err(format!("customers[{index}]: no tariff named '{}' in the settings", group.plan));
             }
             if group.gateways_per_customer == 0 || group.gateways_per_customer > self.gateways {
-                return Err(format!("customers[{at}].width must be from 1 to 'gateways'"));
+                return Err(format!("customers[{index}].width must be from 1 to 'gateways'"));
             }
             for load in &group.load {
                 if !methods.iter().any(|method| method.name == load.method) {
-                    return Err(format!("customers[{at}]: no class named '{}' in the settings", load.method));
+                    return Err(format!(
+                        "customers[{index}]: no class named '{}' in the settings",
+                        load.method
+                    ));
                 }
                 let units = load.units.is_finite() && load.units > 0.0;
                 if !(load.rate.is_finite() && load.rate >= 0.0 && units) {
                     let method = &load.method;
-                    return Err(format!("customers[{at}]: rate and units of '{method}' must be finite"));
+                    return Err(format!(
+                        "customers[{index}]: 'rate' of '{method}' must be finite and 0 or more, 'units' finite and above 0"
+                    ));
                 }
             }
         }
         Ok(())
     }
 
-    fn check_troubles(&self) -> Result<(), String> {
-        for (at, trouble) in self.faults.iter().enumerate() {
-            let zone = match trouble {
+    fn check_faults(&self) -> Result<(), String> {
+        for (index, fault) in self.faults.iter().enumerate() {
+            let zone = match fault {
                 Fault::ZoneDown { zone, .. } | Fault::Partition { zone, .. } => Some(*zone),
                 _ => None,
             };
             if zone.is_some_and(|zone| zone >= self.servers.zones) {
-                return Err(format!("troubles[{at}]: zone is beyond 'servers.zones'"));
+                return Err(format!("troubles[{index}]: 'zone' must be below 'servers.zones'"));
             }
-            let largest_share = match *trouble {
+            let largest_share = match *fault {
                 Fault::Kill { share, .. } | Fault::Drain { share, .. } => share,
                 Fault::Slow { share, .. } | Fault::Pause { share, .. } | Fault::Replace { share, .. } => {
                     share
@@ -514,13 +525,13 @@
                 Fault::Fail { share, error_share, .. } => share.max(error_share),
                 _ => 0.0,
             };
-            check_share(largest_share, &format!("troubles[{at}].share"))?;
+            check_share(largest_share, &format!("troubles[{index}].share"))?;
         }
         Ok(())
     }
 
-    /// The settings as the module gets them, with `balancers` and `extra.hasCounter` told from the scenario where
-    /// the scenario's settings leave them out.
+    /// The settings in the flat form that the decision module reads. Defaults for `balancers` and `extra.hasCounter`
+    /// come from the scenario.
     pub fn flat_settings(&self) -> Settings {
         let nested = serde_json::to_value(&self.settings).unwrap_or_default();
         let mut flat = nested.as_object().map(martenramp::settings::flatten).unwrap_or_default();
@@ -529,40 +540,45 @@
         flat
     }
 
-    /// The methods of the settings.
+    /// Methods defined by the settings' classes, in order.
     pub fn methods(&self) -> Result<Vec<Method>, String> {
-        self.listed("classes", |entry, name| {
+        self.parse_list("classes", |entry, name| {
             let number = |field: &str, default: f64| entry.get(field).and_then(as_f64).unwrap_or(default);
-            let free = entry.get("idempotency").and_then(toml::Value::as_str) == Some("free");
+            let idempotent = entry.get("idempotency").and_then(toml::Value::as_str) == Some("free");
             Method {
                 name,
                 credit: number("credit", 1.0),
                 soft_deadline: nanos(number("onTime", 1.0)),
                 deadline: nanos(number("deadline", 5.0)),
-                idempotent: free,
+                idempotent,
             }
         })
     }
 
-    /// The plans of the settings.
+    /// Plans defined by the settings' tariffs, in order.
     pub fn plans(&self) -> Result<Vec<Plan>, String> {
-        self.listed("tariffs", |entry, name| {
+        self.parse_list("tariffs", |entry, name| {
             let number = |field: &str| entry.get(field).and_then(as_f64).unwrap_or(0.0);
             Plan { name, rate: number("perSecond"), burst: number("depth") }
         })
     }
 
-    fn listed<T>(&self, list: &str, make: impl Fn(&toml::Table, String) -> T) -> Result<Vec<T>, String> {
+    /// Converts each table of a list in the settings; every entry needs a `name`.
+    fn parse_list<T>(
+        &self,
+        list: &str,
+        convert: impl Fn(&toml::Table, String) -> T,
+    ) -> Result<Vec<T>, String> {
         let entries = self.settings.get(list).and_then(toml::Value::as_array);
         let entries = entries.filter(|entries| !entries.is_empty());
         let entries = entries.ok_or_else(|| format!("'settings.{list}' must be a list of tables"))?;
-        let made = entries.iter().enumerate().map(|(at, entry)| {
-            let entry = entry.as_table().ok_or_else(|| format!("settings.{list}[{at}] is not a table"))?;
+        let parsed = entries.iter().enumerate().map(|(index, entry)| {
+            let entry = entry.as_table().ok_or_else(|| format!("settings.{list}[{index}] is not a table"))?;
             let name = entry.get("name").and_then(toml::Value::as_str);
-            let name = name.ok_or_else(|| format!("settings.{list}[{at}] has no name"))?;
-            Ok(make(entry, name.to_string()))
+            let name = name.ok_or_else(|| format!("settings.{list}[{index}] has no name"))?;
+            Ok(convert(entry, name.to_string()))
         });
-        made.collect()
+        parsed.collect()
     }
 }
 
@@ -570,18 +586,18 @@
     if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    Err(format!("'{name}' must be above nought, is {value}"))
+    Err(format!("'{name}' must be finite and above 0, but is {value}"))
 }
 
 fn check_share(value: f64, name: &str) -> Result<(), String> {
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
-    Err(format!("'{name}' must be a share from 0 to 1, is {value}"))
+    Err(format!("'{name}' must be a share from 0 to 1, but is {value}"))
 }
 
 fn as_f64(value: &toml::Value) -> Option<f64> {
-    value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64))
+    value.as_float().or_else(|| value.as_integer().map(|integer| integer as f64))
 }
 
 #[cfg(test)]
