--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -26,6 +26,7 @@
 #[derive(Default)]
 struct Options {
     command: Option<String>,
+    /// Scenario file, or the directory of tables for `report`.
     target: Option<PathBuf>,
     policy: Option<String>,
     seed: Option<u64>,
