--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -8,7 +8,7 @@
 
 /// Text of `martenramp lab --help`.
 pub const HELP: &str = "\
-martenramp lab: emulates a gateway fleet; all results are emulated, not measured
+martenramp lab: emulates a fleet of gateways; all results except wall times are emulated
 
 usage: martenramp lab run SCENARIO.toml [--policy P] [--seed N] [--out DIR]
            runs the scenario with each policy (design, plain, late; or only P), writes
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deterministic discrete-event emulator of a gateway fleet, with a command line for experiments.
 //!
-//! The emulator drives the real decision module through its `Host` interface; its results are *emulated*, not
-//! measured. A [`scenario::Scenario`] describes the fleet, the load and the faults. [`world::World`] runs it on a
+//! The emulator drives the real decision module through its `Host` interface; its results are *emulated* except wall
+//! times. A [`scenario::Scenario`] describes the fleet, the load and the faults. [`world::World`] runs it on a
 //! single clock in integer nanoseconds with seeded random streams, so the same scenario and seed produce an
 //! identical [`record::Record`]. [`report`] turns records into CSV tables and SVG charts, [`sweep`] runs a scenario
 //! over several values of a parameter, and [`cli`] implements `martenramp lab`.
